--- a/lib/src/account/directory.rs
+++ b/lib/src/account/directory.rs
@@ -126,7 +126,7 @@
 
     /// Takes over which keys were taken away, from the directory before this one. Requests go on coming
     /// with such keys for long; each would cost a check that no newer configuration has it.
-    pub fn succeed(&mut self, before: &Directory) {
+    pub fn inherit_retired_keys(&mut self, before: &Directory) {
         let old = before.keys.keys().chain(&before.retired);
         let gone = old.filter(|key| !self.keys.contains_key(key)).copied();
         self.retired = gone.take(MOST_RETIRED).collect();
--- a/lib/src/config/head.rs
+++ b/lib/src/config/head.rs
@@ -129,7 +129,7 @@
 
 impl Head {
     /// The head that follows this one through `operation`, kept in chunk `digest`.
-    pub fn follow(&self, operation: &Operation, digest: Digest) -> Self {
+    pub fn advance(&self, operation: &Operation, digest: Digest) -> Self {
         let mut recent = self.recent.clone();
         recent.push_back(Applied {
             change: operation.change.clone(),
--- a/lib/src/config/read.rs
+++ b/lib/src/config/read.rs
@@ -91,7 +91,7 @@
     }
 
     fn span(&mut self, field: Field, default: Duration) -> Duration {
-        self.optional(field, SPAN_FORM, span).unwrap_or(default)
+        self.optional(field, SPAN_FORM, parse_duration).unwrap_or(default)
     }
 
     fn name(&mut self, field: Field) -> Option<Name> {
@@ -111,7 +111,7 @@
 }
 
 /// Reads a time such as `30s`; a bare number is in milliseconds.
-pub fn span(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     match text.parse() {
         Ok(millis) => Some(Duration::from_millis(millis)),
         Err(_) => humantime::parse_duration(text).ok(),
@@ -168,7 +168,7 @@
         deadline: r.span(Field::Deadline, DEFAULT_DEADLINE),
         retry_budget: Percent(r.number(Field::RetryBudget, DEFAULT_RETRY_BUDGET)),
         priority: r.named(Field::Priority).unwrap_or_default(),
-        role_price: r.optional(Field::RolePrice, SPAN_FORM, span),
+        role_price: r.optional(Field::RolePrice, SPAN_FORM, parse_duration),
         away_limit: Percent(r.number(Field::AwayLimit, DEFAULT_AWAY_LIMIT)),
     };
     r.finish(Some(service))
@@ -220,7 +220,7 @@
         service: r.name(Field::Service),
         account: r.name(Field::Account),
         priority: r.named(Field::Priority),
-        deadline: r.optional(Field::Deadline, SPAN_FORM, span),
+        deadline: r.optional(Field::Deadline, SPAN_FORM, parse_duration),
         data_centre: r.name(Field::DataCentre),
     };
     r.finish(Some(policy))
--- a/lib/src/scale/need.rs
+++ b/lib/src/scale/need.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Policy {
     /// As many as there were.
-    AsFound,
+    InitialCount,
     /// By the peak of a sliding window, with headroom.
     Peak,
 }
@@ -34,7 +34,7 @@
 
 /// The need of one service.
 #[derive(Clone, Debug)]
-pub struct Need {
+pub struct CapacityEstimator {
     policy: Policy,
     /// When load was first seen.
     since: Option<Instant>,
@@ -45,7 +45,7 @@
     grown: Option<Instant>,
 }
 
-impl Need {
+impl CapacityEstimator {
     /// The need of a service of which nothing has been seen.
     pub fn new(policy: Policy) -> Self {
         Self { policy, since: None, peaks: VecDeque::new(), found: 0, grown: None }
@@ -53,7 +53,7 @@
 
     /// Takes in the load, in runners that would be busy all the time with it, and how many serve now.
     /// Gives how many are needed.
-    pub fn note(&mut self, now: Instant, busy: f64, serving: u32) -> Needed {
+    pub fn update(&mut self, now: Instant, busy: f64, serving: u32) -> Needed {
         let is_steady = |at: Instant| now.saturating_duration_since(at) >= STEADY;
         let steady = self.grown.is_some_and(is_steady);
         if serving > self.found && !steady {
@@ -74,7 +74,7 @@
         let seen = self.since.is_some_and(|at| now.saturating_duration_since(at) >= SEEN);
         let peak = self.peaks.front().map_or(0.0, |(_, peak)| *peak) / UTILISATION;
         let need = match self.policy {
-            Policy::AsFound => found,
+            Policy::InitialCount => found,
             Policy::Peak if seen => peak,
             Policy::Peak => peak.max(found),
         };
--- a/lib/src/scale/plan.rs
+++ b/lib/src/scale/plan.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
     /// The place of the data centre in the list of prices.
-    pub place: usize,
+    pub data_centre: usize,
     /// The kind.
     pub kind: Kind,
     /// How many.
@@ -116,9 +116,9 @@
         let goal = Goal::new(scaling, need);
         let serving: u32 = supply.iter().flat_map(|s| s.serving).sum();
         if scaling.reclaimable_price.is_some() {
-            for (place, runners) in supply.iter().enumerate() {
+            for (data_centre, runners) in supply.iter().enumerate() {
                 let count = goal.reclaimable(scaling, runners);
-                let wanted = Order { place, kind: Kind::Reclaimable, count };
+                let wanted = Order { data_centre, kind: Kind::Reclaimable, count };
                 self.raise(&seen, wanted, &mut orders);
             }
         }
@@ -126,12 +126,12 @@
         let instead: u32 = supply.iter().map(|s| s.serving[1]).sum();
         let spare = serving.saturating_sub(need).min(instead);
         let mut spare = if needed.steady { spare } else { 0 };
-        for place in scaling.by_price().into_iter().rev() {
-            let have = supply[place].ready[0];
+        for data_centre in scaling.by_price().into_iter().rev() {
+            let have = supply[data_centre].ready[0];
             let fewer = have.saturating_sub(goal.regular).min(spare);
             if fewer > 0 && scaling.reclaimable_price.is_some() {
                 spare -= fewer;
-                let wanted = Order { place, kind: Kind::Regular, count: have - fewer };
+                let wanted = Order { data_centre, kind: Kind::Regular, count: have - fewer };
                 self.order(now, wanted, &mut orders);
             }
         }
@@ -144,13 +144,13 @@
     /// Orders regular runners for those that are missing, where they cost least.
     fn make_up(&mut self, seen: &Seen<'_>, missing: u32, orders: &mut SmallVec<[Order; 8]>) {
         let mut missing = missing;
-        for place in seen.scaling.by_price() {
-            let [regular, reclaimable] = seen.supply[place].ready;
+        for data_centre in seen.scaling.by_price() {
+            let [regular, reclaimable] = seen.supply[data_centre].ready;
             let room = seen.scaling.bounds.1.saturating_sub(regular + reclaimable);
             let more = room.min(missing);
             missing -= more;
             if more > 0 {
-                let wanted = Order { place, kind: Kind::Regular, count: regular + more };
+                let wanted = Order { data_centre, kind: Kind::Regular, count: regular + more };
                 self.raise(seen, wanted, orders);
             }
         }
@@ -160,12 +160,12 @@
     /// to be had.
     fn raise(&mut self, seen: &Seen<'_>, wanted: Order, orders: &mut SmallVec<[Order; 8]>) {
         let Seen { now, scaling, supply } = *seen;
-        let Order { place, kind, count } = wanted;
-        let last = self.ordered[place][kind.index()];
+        let Order { data_centre, kind, count } = wanted;
+        let last = self.ordered[data_centre][kind.index()];
         let within = |at: Option<Instant>, limit: Duration| {
             at.is_some_and(|at| now.saturating_duration_since(at) < limit)
         };
-        if supply[place].ready[kind.index()] >= count || within(last.dry, DRY) {
+        if supply[data_centre].ready[kind.index()] >= count || within(last.dry, DRY) {
             return;
         }
         let is_same = last.count == Some(count);
@@ -176,8 +176,8 @@
     }
 
     fn order(&mut self, now: Instant, wanted: Order, orders: &mut SmallVec<[Order; 8]>) {
-        let Order { place, kind, count } = wanted;
-        let last = &mut self.ordered[place][kind.index()];
+        let Order { data_centre, kind, count } = wanted;
+        let last = &mut self.ordered[data_centre][kind.index()];
         let recently = last.at.is_some_and(|at| now.saturating_duration_since(at) < LATE);
         if last.count == Some(count) && recently {
             return;
@@ -188,14 +188,14 @@
     }
 
     /// Notes that none were to be had.
-    pub fn note_dry(&mut self, now: Instant, order: &Order) {
-        let last = &mut self.ordered[order.place][order.kind.index()];
+    pub fn record_unavailable(&mut self, now: Instant, order: &Order) {
+        let last = &mut self.ordered[order.data_centre][order.kind.index()];
         *last = Ordered { count: None, at: None, dry: Some(now) };
     }
 
     /// Notes that an order was not taken, or perhaps not: it is given again.
-    pub fn note_failed(&mut self, order: &Order) {
-        self.ordered[order.place][order.kind.index()] = Ordered::default();
+    pub fn record_failed(&mut self, order: &Order) {
+        self.ordered[order.data_centre][order.kind.index()] = Ordered::default();
     }
 }
 
--- a/lib/src/usage/collection.rs
+++ b/lib/src/usage/collection.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-use super::tally::{Collector, KEPT, Message};
+use super::tally::{Message, NodeInstance, RETAINED_WINDOWS};
 use super::window::{Counts, Windows};
 use crate::id::{Incarnation, NodeId, Window};
 
@@ -26,15 +26,15 @@
 
 /// One life of a node, as its own and other nodes know it. Times are since the start of 1970.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Life {
+pub struct NodeLifetime {
     /// The node.
     pub node: NodeId,
     /// The life.
     pub incarnation: Incarnation,
     /// When it began.
-    pub since: Duration,
+    pub started_at: Duration,
     /// When it was found to be gone; none while it is there.
-    pub gone: Option<Duration>,
+    pub lost_at: Option<Duration>,
 }
 
 /// What is to be done with a window that has ended.
@@ -45,7 +45,7 @@
     /// Counts may still come.
     Wait,
     /// It is not reported, as it would be false.
-    PassOver,
+    Skip,
 }
 
 /// A window as far as it is known.
@@ -68,7 +68,7 @@
         let is_bearable = self.missing <= self.nodes as f64 * MOST_MISSING;
         match is_bearable {
             true if after >= FOR_ALL => Verdict::Settle,
-            false if after >= FOR_MOST => Verdict::PassOver,
+            false if after >= FOR_MOST => Verdict::Skip,
             _ => Verdict::Wait,
         }
     }
@@ -94,7 +94,7 @@
 /// The counts of all nodes. Times are since the start of 1970.
 #[derive(Debug)]
 pub struct Collection {
-    me: Collector,
+    me: NodeInstance,
     /// When this node's own life began.
     since: Duration,
     windows: BTreeMap<Window, Lives>,
@@ -104,12 +104,12 @@
 
 impl Collection {
     /// An empty collection of a node whose life began at `since`.
-    pub fn new(me: Collector, since: Duration) -> Self {
+    pub fn new(me: NodeInstance, since: Duration) -> Self {
         Self { me, since, windows: BTreeMap::new(), known: HashMap::new() }
     }
 
     /// Takes what one life of a node has counted. Counts only grow.
-    pub fn take(&mut self, from: &Collector, message: Message, now: Duration) {
+    pub fn apply(&mut self, from: &NodeInstance, message: Message, now: Duration) {
         let key = (from.node.clone(), from.incarnation);
         let lives = self.known.entry(from.node.clone()).or_default();
         let life = lives.entry(from.incarnation).or_default();
@@ -123,17 +123,17 @@
     }
 
     /// Takes in which lives there are, and drops windows that are too old at `newest`.
-    pub fn note(&mut self, newest: Window, lives: &[Life]) {
-        self.windows.retain(|window, _| window.0 + KEPT > newest.0);
+    pub fn update_lifetimes(&mut self, newest: Window, lives: &[NodeLifetime]) {
+        self.windows.retain(|window, _| window.0 + RETAINED_WINDOWS > newest.0);
         let nodes: HashSet<&NodeId> = lives.iter().map(|life| &life.node).collect();
         self.known.retain(|node, _| nodes.contains(node));
         for life in lives {
             let lives = self.known.entry(life.node.clone()).or_default();
             let known = lives.entry(life.incarnation).or_default();
-            known.since = life.since;
-            known.silent = life.gone;
+            known.since = life.started_at;
+            known.silent = life.lost_at;
             for former in lives.range_mut(..life.incarnation).map(|(_, former)| former) {
-                former.replaced.get_or_insert(life.since);
+                former.replaced.get_or_insert(life.started_at);
             }
             while lives.len() > MOST_LIVES {
                 lives.pop_first();
@@ -147,7 +147,7 @@
         windows: Windows,
         window: Window,
         own: Option<&Counts>,
-        lives: &[Life],
+        lives: &[NodeLifetime],
         now: Duration,
     ) -> Total {
         let told = self.windows.get(&window);
@@ -169,13 +169,13 @@
 
     /// Whether a life that began within a window or later may follow one that this node never knew, as
     /// it began that late itself.
-    fn may_follow_unknown(&self, windows: Windows, window: Window, life: &Life) -> bool {
+    fn may_follow_unknown(&self, windows: Windows, window: Window, life: &NodeLifetime) -> bool {
         let start = windows.start(window);
         let is_first = || {
             let known = self.known.get(&life.node);
             known.is_none_or(|lives| lives.range(..life.incarnation).next().is_none())
         };
-        life.since > start && self.since > start && is_first()
+        life.started_at > start && self.since > start && is_first()
     }
 }
 
--- a/lib/src/usage/ledger.rs
+++ b/lib/src/usage/ledger.rs
@@ -46,7 +46,7 @@
 
     /// Whether this is all that has been settled, in the era `present`: a ledger that was written before
     /// the store came back from a copy may lack windows. `has_come_back` is whether it is known to have.
-    pub fn is_whole(&self, present: Era, has_come_back: bool) -> bool {
+    pub fn is_complete(&self, present: Era, has_come_back: bool) -> bool {
         self.era.map_or(!has_come_back, |era| era == present)
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Passes over a window that cannot be reported.
-    pub fn pass_over(&mut self, window: Window) {
+    pub fn skip(&mut self, window: Window) {
         self.next = self.next.max(window.next());
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Notes that a window has been reported.
-    pub fn note_reported(&mut self, window: Window) {
+    pub fn mark_reported(&mut self, window: Window) {
         self.waiting.retain(|settled| settled.window != window);
     }
 }
--- a/lib/src/usage/tally.rs
+++ b/lib/src/usage/tally.rs
@@ -7,13 +7,13 @@
 
 /// How many windows are kept, the newest among them: collectors may change, and the store be away for
 /// a minute, until a window has been settled.
-pub const KEPT: u64 = 16;
+pub const RETAINED_WINDOWS: u64 = 16;
 /// The most counts of one message, at some 20 bytes each, so that it travels in one packet.
 pub const MOST_COUNTS: usize = 48;
 
 /// One life of a node that collects counts.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Collector {
+pub struct NodeInstance {
     /// The node.
     pub node: NodeId,
     /// Its life.
@@ -74,7 +74,7 @@
 #[derive(Debug, Default)]
 pub struct Tally {
     windows: BTreeMap<Window, Counts>,
-    untold: HashMap<Collector, Untold>,
+    untold: HashMap<NodeInstance, Untold>,
     numbers: u64,
     round: u64,
     /// The window of now, as of the last round.
@@ -83,7 +83,7 @@
 
 impl Tally {
     /// Counts a request of an account that began in `window`.
-    pub fn note(&mut self, window: Window, account: &AccountId) {
+    pub fn record_request(&mut self, window: Window, account: &AccountId) {
         *self.windows.entry(window).or_default().entry(account.clone()).or_default() += 1;
         for untold in self.untold.values_mut() {
             untold.changed.insert((window, account.clone()));
@@ -97,8 +97,8 @@
 
     /// Begins a round of messages to these collectors. Drops windows that are too old at `newest`, and
     /// takes what was sent before the last round and not acknowledged for lost.
-    pub fn begin_round(&mut self, newest: Window, collectors: &[Collector]) {
-        let is_kept = |window: &Window| window.0 + KEPT > newest.0;
+    pub fn begin_round(&mut self, newest: Window, collectors: &[NodeInstance]) {
+        let is_kept = |window: &Window| window.0 + RETAINED_WINDOWS > newest.0;
         self.round += 1;
         self.newest = newest;
         self.windows.retain(|window, _| is_kept(window));
@@ -121,7 +121,7 @@
 
     /// Messages with all that a collector has to be told: counts, and once a window that it has all of
     /// those before.
-    pub fn messages(&mut self, collector: &Collector) -> Vec<Message> {
+    pub fn messages(&mut self, collector: &NodeInstance) -> Vec<Message> {
         let newest = self.newest;
         let Some(untold) = self.untold.get_mut(collector) else { return Vec::new() };
         let keys: Vec<Key> = std::mem::take(&mut untold.changed).into_iter().collect();
@@ -152,7 +152,7 @@
     }
 
     /// Takes a collector's acknowledgement of a message.
-    pub fn acknowledge(&mut self, collector: &Collector, number: u64) {
+    pub fn acknowledge(&mut self, collector: &NodeInstance, number: u64) {
         if let Some(untold) = self.untold.get_mut(collector)
             && let Some(sent) = untold.sent.remove(&number)
         {
--- a/lib/tests/account.rs
+++ b/lib/tests/account.rs
@@ -5,7 +5,7 @@
 use sardinepick_lib::account::directory::{
     Account, Directory, Entry, Fault, Identity, digest, identify,
 };
-use sardinepick_lib::account::freshness::{Freshness, VALID};
+use sardinepick_lib::account::freshness::{CHECK_VALIDITY, Freshness};
 use sardinepick_lib::id::{AccountId, ConfigVersion};
 
 fn id(name: &str) -> AccountId {
@@ -78,10 +78,10 @@
     let (at, version) = (Instant::now(), ConfigVersion(7));
     let mut freshness = Freshness::default();
     assert!(!freshness.covers(version, at));
-    freshness.note(version, at);
+    freshness.record_check(version, at);
     assert!(freshness.covers(version, at - Duration::from_millis(1)));
-    assert!(freshness.covers(version, at + VALID - Duration::from_millis(1)));
-    assert!(!freshness.covers(version, at + VALID));
+    assert!(freshness.covers(version, at + CHECK_VALIDITY - Duration::from_millis(1)));
+    assert!(!freshness.covers(version, at + CHECK_VALIDITY));
     assert!(!freshness.covers(ConfigVersion(8), at));
 }
 
@@ -90,9 +90,9 @@
 fn succeed_keys_taken_away_retired() {
     let first = directory(vec![entry("a", None, &["k1", "k2"])]);
     let mut second = directory(vec![entry("a", None, &["k2"])]);
-    second.succeed(&first);
+    second.inherit_retired_keys(&first);
     let mut third = directory(vec![entry("b", None, &["k1"])]);
-    third.succeed(&second);
+    third.inherit_retired_keys(&second);
     let of = |directory, key: &str| identify(Some(directory), false, Some(key.as_bytes()));
     assert_eq!(of(&second, "k1"), Identity::RetiredKey);
     assert_eq!(of(&third, "k2"), Identity::RetiredKey);
--- a/lib/tests/scale.rs
+++ b/lib/tests/scale.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use sardinepick_lib::scale::need::{Need, Needed, Policy};
+use sardinepick_lib::scale::need::{CapacityEstimator, Needed, Policy};
 use sardinepick_lib::scale::plan::{Kind, Order, Planner, Scaling, Supply};
 
 const S: Duration = Duration::from_secs(1);
@@ -45,9 +45,9 @@
     fn step(&mut self, now: Instant) {
         let (up, rest) = std::mem::take(&mut self.booting).into_iter().partition(|b| b.0 <= now);
         self.booting = rest;
-        for (_, place, kind, count) in Vec::from_iter::<Vec<_>>(up) {
-            self.runners[place].ready[kind] += count;
-            self.runners[place].serving[kind] += count;
+        for (_, data_centre, kind, count) in Vec::from_iter::<Vec<_>>(up) {
+            self.runners[data_centre].ready[kind] += count;
+            self.runners[data_centre].serving[kind] += count;
         }
     }
 
@@ -57,12 +57,16 @@
         if kind == 1 && self.dry.is_some_and(|until| now < until) {
             return false;
         }
-        let runners = &mut self.runners[order.place];
-        let booting: u32 =
-            self.booting.iter().filter(|b| (b.1, b.2) == (order.place, kind)).map(|b| b.3).sum();
+        let runners = &mut self.runners[order.data_centre];
+        let booting: u32 = self
+            .booting
+            .iter()
+            .filter(|b| (b.1, b.2) == (order.data_centre, kind))
+            .map(|b| b.3)
+            .sum();
         let have = runners.ready[kind] + booting;
         if order.count > have {
-            self.booting.push((now + S * 4, order.place, kind, order.count - have));
+            self.booting.push((now + S * 4, order.data_centre, kind, order.count - have));
         } else {
             runners.ready[kind] = runners.ready[kind].min(order.count);
             runners.serving[kind] = runners.ready[kind];
@@ -70,9 +74,9 @@
         true
     }
 
-    fn reclaim(&mut self, place: usize) {
-        self.runners[place].ready[1] = 0;
-        self.runners[place].serving[1] = 0;
+    fn reclaim(&mut self, data_centre: usize) {
+        self.runners[data_centre].ready[1] = 0;
+        self.runners[data_centre].serving[1] = 0;
     }
 
     fn serving(&self) -> u32 {
@@ -93,7 +97,7 @@
 /// mean price.
 fn play(
     platform: &mut Platform,
-    need: &mut Need,
+    need: &mut CapacityEstimator,
     start: Instant,
     seconds: u32,
     busy: impl Fn(f64) -> f64,
@@ -108,10 +112,10 @@
         platform.step(now);
         event(step, platform, now);
         let load = busy(f64::from(step) / 5.0);
-        let needed = need.note(now, load, platform.serving());
+        let needed = need.update(now, load, platform.serving());
         for order in planner.plan(now, &scaling, &platform.runners, needed) {
             if !platform.take(now, &order) {
-                planner.note_dry(now, &order);
+                planner.record_unavailable(now, &order);
             }
         }
         fewest = fewest.min(platform.serving());
@@ -124,7 +128,7 @@
 #[test]
 fn plan_reclaimable_first_then_fewer_regular() {
     let mut platform = Platform::new(35);
-    let mut need = Need::new(Policy::AsFound);
+    let mut need = CapacityEstimator::new(Policy::InitialCount);
     let (fewest, _) = play(&mut platform, &mut need, Instant::now(), 30, |_| 0.0, |_, _, _| {});
     assert!(fewest >= 140, "{fewest} served");
     let regular: u32 = platform.runners.iter().map(|s| s.ready[0]).sum();
@@ -138,7 +142,7 @@
 fn plan_data_centre_reclaimed_enough_left() {
     let start = Instant::now();
     let mut platform = Platform::new(35);
-    let mut need = Need::new(Policy::AsFound);
+    let mut need = CapacityEstimator::new(Policy::InitialCount);
     // Peaks of 1.9 times the mean of 35 busy runners.
     let turns = |t: f64| if ((t / 2.8) as u32).is_multiple_of(2) { 66.0 } else { 20.0 };
     let (fewest, _) = play(&mut platform, &mut need, start, 80, turns, |step, platform, now| {
@@ -155,7 +159,7 @@
 fn plan_all_reclaimed_regular_ordered() {
     let start = Instant::now();
     let mut platform = Platform::new(35);
-    let mut need = Need::new(Policy::AsFound);
+    let mut need = CapacityEstimator::new(Policy::InitialCount);
     play(
         &mut platform,
         &mut need,
@@ -164,7 +168,7 @@
         |_| 30.0,
         |step, platform, now| {
             if step == 200 {
-                (0..4).for_each(|place| platform.reclaim(place));
+                (0..4).for_each(|data_centre| platform.reclaim(data_centre));
                 platform.dry = Some(now + S * 30);
             }
         },
@@ -188,22 +192,22 @@
 #[test]
 fn note_runners_still_coming_not_known() {
     let start = Instant::now();
-    let mut need = Need::new(Policy::AsFound);
+    let mut need = CapacityEstimator::new(Policy::InitialCount);
     for n in 0..40 {
-        assert!(!need.note(start + MS * 100 * n, 0.0, 3 * (n + 1)).steady);
+        assert!(!need.update(start + MS * 100 * n, 0.0, 3 * (n + 1)).steady);
     }
-    let needed = need.note(start + S * 6, 0.0, 120);
+    let needed = need.update(start + S * 6, 0.0, 120);
     assert_eq!(needed, Needed { count: 120, steady: true });
 }
 
 #[test]
 fn note_peak_counts_for_its_window() {
     let start = Instant::now();
-    let mut need = Need::new(Policy::Peak);
-    need.note(start, 0.0, 140);
+    let mut need = CapacityEstimator::new(Policy::Peak);
+    need.update(start, 0.0, 140);
     for n in 1..100 {
         let busy = if n == 30 { 60.0 } else { 20.0 };
-        let needed = need.note(start + S * n, busy, 140);
+        let needed = need.update(start + S * n, busy, 140);
         let expected = match n {
             0..13 => 140,
             30..61 => 100,
--- a/lib/tests/usage.rs
+++ b/lib/tests/usage.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use sardinepick_lib::id::{AccountId, Incarnation, NodeId, Window};
-use sardinepick_lib::usage::collection::{Collection, Life, Total, Verdict};
+use sardinepick_lib::usage::collection::{Collection, NodeLifetime, Total, Verdict};
 use sardinepick_lib::usage::ledger::{Ledger, MOST_WAITING};
-use sardinepick_lib::usage::tally::{Collector, Count, MOST_COUNTS, Message, Tally};
+use sardinepick_lib::usage::tally::{Count, MOST_COUNTS, Message, NodeInstance, Tally};
 use sardinepick_lib::usage::window::{Counts, Windows};
 use sardinepick_lib::wall::Estimate;
 
@@ -23,8 +23,8 @@
     name.parse().expect("a node")
 }
 
-fn collector(name: &str, incarnation: u64) -> Collector {
-    Collector { node: node(name), incarnation: Incarnation(incarnation) }
+fn collector(name: &str, incarnation: u64) -> NodeInstance {
+    NodeInstance { node: node(name), incarnation: Incarnation(incarnation) }
 }
 
 fn counts(counts: &[(&str, u64)]) -> Counts {
@@ -47,7 +47,7 @@
 fn messages_all_then_only_what_changed() {
     let mut tally = Tally::default();
     let to = collector("a", 1);
-    tally.note(Window(7), &account("x"));
+    tally.record_request(Window(7), &account("x"));
     tally.begin_round(Window(7), std::slice::from_ref(&to));
     let first = tally.messages(&to);
     assert_eq!(first.len(), 1);
@@ -56,7 +56,7 @@
     tally.acknowledge(&to, first[0].number);
     tally.begin_round(Window(7), std::slice::from_ref(&to));
     assert!(tally.messages(&to).is_empty());
-    tally.note(Window(7), &account("x"));
+    tally.record_request(Window(7), &account("x"));
     tally.begin_round(Window(7), std::slice::from_ref(&to));
     assert_eq!(tally.messages(&to)[0].counts, [x(2)]);
 }
@@ -66,7 +66,7 @@
 fn messages_unacknowledged_sent_again() {
     let mut tally = Tally::default();
     let to = collector("a", 1);
-    tally.note(Window(7), &account("x"));
+    tally.record_request(Window(7), &account("x"));
     let mut sent = 0;
     for _ in 0..5 {
         tally.begin_round(Window(7), std::slice::from_ref(&to));
@@ -79,7 +79,7 @@
 fn messages_new_collector_told_all() {
     let mut tally = Tally::default();
     let (before, after) = (collector("a", 1), collector("a", 2));
-    tally.note(Window(7), &account("x"));
+    tally.record_request(Window(7), &account("x"));
     tally.begin_round(Window(7), std::slice::from_ref(&before));
     let told = tally.messages(&before);
     tally.acknowledge(&before, told[0].number);
@@ -92,32 +92,32 @@
     let mut tally = Tally::default();
     let to = collector("a", 1);
     for n in 0..MOST_COUNTS * 2 + 1 {
-        tally.note(Window(7), &account(&format!("account-{n}")));
+        tally.record_request(Window(7), &account(&format!("account-{n}")));
     }
     tally.begin_round(Window(7), std::slice::from_ref(&to));
     assert_eq!(tally.messages(&to).len(), 3);
 }
 
-fn life(name: &str, incarnation: u64, since: u64, gone: Option<u64>) -> Life {
+fn life(name: &str, incarnation: u64, since: u64, gone: Option<u64>) -> NodeLifetime {
     let incarnation = Incarnation(incarnation);
-    Life {
+    NodeLifetime {
         node: node(name),
         incarnation,
-        since: S * since as u32,
-        gone: gone.map(|g| S * g as u32),
+        started_at: S * since as u32,
+        lost_at: gone.map(|g| S * g as u32),
     }
 }
 
 fn take(collection: &mut Collection, name: &str, incarnation: u64, window: u64, requests: u64) {
     let counts = vec![Count { window: Window(window), account: account("x"), requests }];
     let message = Message { number: 1, counts, complete: Window(0) };
-    collection.take(&collector(name, incarnation), message, S * 54);
+    collection.apply(&collector(name, incarnation), message, S * 54);
 }
 
 /// Takes that a life has told all counts of the windows before one.
 fn take_complete(collection: &mut Collection, name: &str, incarnation: u64, before: u64) {
     let message = Message { number: 2, counts: Vec::new(), complete: Window(before) };
-    collection.take(&collector(name, incarnation), message, S * 55);
+    collection.apply(&collector(name, incarnation), message, S * 55);
 }
 
 fn collection(since: Duration) -> Collection {
@@ -125,7 +125,12 @@
 }
 
 /// A window, right after it has ended.
-fn total(collection: &Collection, window: Window, own: Option<&Counts>, lives: &[Life]) -> Total {
+fn total(
+    collection: &Collection,
+    window: Window,
+    own: Option<&Counts>,
+    lives: &[NodeLifetime],
+) -> Total {
     collection.total(windows(), window, own, lives, windows().end(window))
 }
 
@@ -137,7 +142,7 @@
 fn total_lives_summed_and_highest_kept() {
     let mut collection = collection(S);
     let lives = [life("a", 1, 1, None), life("b", 2, 1, None), life("me", 3, 1, None)];
-    collection.note(Window(10), &lives);
+    collection.update_lifetimes(Window(10), &lives);
     for requests in [3, 5, 4] {
         take(&mut collection, "a", 1, 10, requests);
     }
@@ -158,13 +163,13 @@
 fn total_counts_not_come_waits_then_passes_over() {
     let mut collection = collection(S);
     let lives = [life("a", 1, 1, None), life("b", 2, 1, None), life("me", 3, 1, None)];
-    collection.note(Window(10), &lives);
+    collection.update_lifetimes(Window(10), &lives);
     take(&mut collection, "a", 1, 10, 5);
     take_complete(&mut collection, "a", 1, 11);
     take(&mut collection, "b", 2, 9, 5);
     let total = total(&collection, Window(10), None, &lives);
     assert_eq!(total.verdict(S * 6), Verdict::Wait);
-    assert_eq!(total.verdict(S * 7), Verdict::PassOver);
+    assert_eq!(total.verdict(S * 7), Verdict::Skip);
 }
 
 /// Guards against a report that lacks what a node counted before it was killed.
@@ -172,10 +177,10 @@
 fn total_killed_node_counted_once_told() {
     let (mut collection, window) = (collection(S), Window(10));
     let before = [life("a", 1, 1, None), life("me", 3, 1, None)];
-    collection.note(window, &before);
+    collection.update_lifetimes(window, &before);
     take(&mut collection, "a", 1, 10, 5);
     let after = [life("a", 2, 54, None), life("me", 3, 1, None)];
-    collection.note(window, &after);
+    collection.update_lifetimes(window, &after);
     take(&mut collection, "a", 2, 10, 1);
     take_complete(&mut collection, "a", 2, 11);
     let total = total(&collection, window, None, &after);
@@ -191,7 +196,7 @@
     // All have started anew within the window.
     let mut anew = collection(S * 52);
     let lives = [life("a", 2, 52, None), life("b", 2, 52, None), life("me", 3, 52, None)];
-    anew.note(window, &lives);
+    anew.update_lifetimes(window, &lives);
     take(&mut anew, "a", 2, 10, 5);
     for name in ["a", "b"] {
         take_complete(&mut anew, name, 2, 12);
@@ -201,9 +206,9 @@
     // One is gone and has told nothing; it may count on, unheard, for a while.
     let mut one_gone = collection(S);
     let there = [life("a", 1, 1, None), life("b", 2, 1, None), life("me", 3, 1, None)];
-    one_gone.note(window, &there);
+    one_gone.update_lifetimes(window, &there);
     let lives = [life("a", 1, 1, Some(53)), life("b", 2, 1, None), life("me", 3, 1, None)];
-    one_gone.note(window, &lives);
+    one_gone.update_lifetimes(window, &lives);
     take_complete(&mut one_gone, "b", 2, 20);
     for later in [window, Window(11), Window(13)] {
         assert_eq!(total(&one_gone, later, None, &lives).missing, 1.0);
@@ -215,7 +220,7 @@
 fn total_new_node_nothing_lost() {
     let mut collection = collection(S);
     let lives = [life("a", 1, 52, None), life("me", 3, 1, None)];
-    collection.note(Window(10), &lives);
+    collection.update_lifetimes(Window(10), &lives);
     take_complete(&mut collection, "a", 1, 11);
     assert_eq!(total(&collection, Window(10), None, &lives).missing, 0.0);
 }
@@ -227,7 +232,7 @@
     let to = collector("a", 1);
     let mut round = |newest: u64, count: usize, acknowledged: &[usize]| {
         for n in 0..count {
-            tally.note(Window(7), &account(&format!("account-{n}")));
+            tally.record_request(Window(7), &account(&format!("account-{n}")));
         }
         tally.begin_round(Window(newest), std::slice::from_ref(&to));
         let messages = tally.messages(&to);
@@ -254,7 +259,7 @@
     let mut again: Ledger = serde_json::from_str(&text).expect("it reads");
     assert_eq!(again, ledger);
     assert_eq!(again.due().map(|s| s.window), Some(Window(7)));
-    again.note_reported(Window(7));
+    again.mark_reported(Window(7));
     assert_eq!((again.due(), again.next), (None, Window(8)));
 }
 
--- a/lib/tests/usage_model.rs
+++ b/lib/tests/usage_model.rs
@@ -8,9 +8,9 @@
 use rand::{RngExt as _, SeedableRng as _};
 use sardinepick_lib::history::Era;
 use sardinepick_lib::id::{AccountId, Incarnation, NodeId, Window};
-use sardinepick_lib::usage::collection::{Collection, Life, Verdict};
+use sardinepick_lib::usage::collection::{Collection, NodeLifetime, Verdict};
 use sardinepick_lib::usage::ledger::Ledger;
-use sardinepick_lib::usage::tally::{Collector, Message, Tally};
+use sardinepick_lib::usage::tally::{Message, NodeInstance, Tally};
 use sardinepick_lib::usage::window::Windows;
 
 const MS: Duration = Duration::from_millis(1);
@@ -64,8 +64,8 @@
 }
 
 impl Node {
-    fn collector(&self) -> Collector {
-        Collector { node: self.id.clone(), incarnation: Incarnation(self.life) }
+    fn collector(&self) -> NodeInstance {
+        NodeInstance { node: self.id.clone(), incarnation: Incarnation(self.life) }
     }
 
     fn start(&mut self, now: Duration) {
@@ -107,7 +107,7 @@
         let windows = Windows::new(Duration::from_secs(5));
         let node = |at: usize| {
             let id: NodeId = format!("edge-{at}").parse().expect("an id");
-            let me = Collector { node: id.clone(), incarnation: Incarnation(0) };
+            let me = NodeInstance { node: id.clone(), incarnation: Incarnation(0) };
             let mut node = Node {
                 id,
                 life: 0,
@@ -206,7 +206,7 @@
             let Some(tally) = &mut node.tally else { continue };
             let mut left = node.rate * STEP.as_secs_f64();
             while self.rng.random_bool(left.min(1.0)) {
-                tally.note(window, &account());
+                tally.record_request(window, &account());
                 *self.truth.entry(window).or_default() += 1;
                 left -= 1.0;
                 if left <= 0.0 {
@@ -222,12 +222,12 @@
         (0..self.nodes.len()).filter(there).take(2).collect()
     }
 
-    fn lives(&self) -> Vec<Life> {
-        let life = |node: &Node| Life {
+    fn lives(&self) -> Vec<NodeLifetime> {
+        let life = |node: &Node| NodeLifetime {
             node: node.id.clone(),
             incarnation: Incarnation(node.life),
-            since: node.since,
-            gone: node.unheard.filter(|_| node.is_silent(self.now)).map(|at| at + NOTICED),
+            started_at: node.since,
+            lost_at: node.unheard.filter(|_| node.is_silent(self.now)).map(|at| at + NOTICED),
         };
         self.nodes.iter().map(life).collect()
     }
@@ -235,14 +235,14 @@
     fn round(&mut self) {
         let (now, newest) = (self.now, self.windows.at(self.now));
         let (first, lives) = (self.first(), self.lives());
-        let collectors: Vec<Collector> =
+        let collectors: Vec<NodeInstance> =
             first.iter().map(|at| self.nodes[*at].collector()).collect();
         let mut sent: Vec<(usize, usize, Message)> = Vec::new();
         for (at, node) in self.nodes.iter_mut().enumerate() {
             let me = node.collector();
             let Some(tally) = &mut node.tally else { continue };
-            node.collection.note(newest, &lives);
-            let others: Vec<Collector> =
+            node.collection.update_lifetimes(newest, &lives);
+            let others: Vec<NodeInstance> =
                 collectors.iter().filter(|other| **other != me).cloned().collect();
             tally.begin_round(newest, &others);
             for (to, collector) in first.iter().zip(&collectors) {
@@ -255,7 +255,7 @@
                 continue;
             }
             let (sender, number) = (self.nodes[from].collector(), message.number);
-            self.nodes[to].collection.take(&sender, message, now);
+            self.nodes[to].collection.apply(&sender, message, now);
             if !self.rng.random_bool(0.05) {
                 let collector = self.nodes[to].collector();
                 if let Some(tally) = &mut self.nodes[from].tally {
@@ -281,13 +281,13 @@
             let total = holder.collection.total(self.windows, window, own, &lives, self.now);
             match total.verdict(self.now - self.windows.end(window)) {
                 Verdict::Wait => break,
-                Verdict::PassOver => self.passed_over += 1,
+                Verdict::Skip => self.passed_over += 1,
                 Verdict::Settle => {
                     let before = self.reported.insert(window, total.counts.values().sum());
                     self.twice += usize::from(before.is_some());
                 }
             }
-            ledger.pass_over(window);
+            ledger.skip(window);
         }
         ledger.era = Some(self.store.era);
         self.store.ledger = ledger.clone();
@@ -304,7 +304,7 @@
         }
         let mut ledger = self.store.ledger.clone();
         let has_come_back = self.store.era > Era(1);
-        if !self.store.is_trusted && !ledger.is_whole(self.store.era, has_come_back) {
+        if !self.store.is_trusted && !ledger.is_complete(self.store.era, has_come_back) {
             ledger.next = ledger.next.max(self.windows.at(self.now));
         }
         ledger
--- a/node/src/account/mod.rs
+++ b/node/src/account/mod.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use sardinepick_lib::account::freshness::{Freshness, VALID};
+use sardinepick_lib::account::freshness::{CHECK_VALIDITY, Freshness};
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::fleet::route::Configuration;
 use sardinepick_lib::history::Point;
@@ -59,10 +59,13 @@
         if state.freshness.covers(known.version, arrived) {
             return Checked::Newest;
         }
-        if state.failed.is_some_and(|at| arrived < at + VALID) {
+        if state.failed.is_some_and(|at| arrived < at + CHECK_VALIDITY) {
             return Checked::Unconfirmed;
         }
-        if state.earlier.is_some_and(|(of, at)| of == known.version && arrived < at + VALID) {
+        if state
+            .earlier
+            .is_some_and(|(of, at)| of == known.version && arrived < at + CHECK_VALIDITY)
+        {
             return Checked::Earlier;
         }
         let began = clock.now();
@@ -98,7 +101,7 @@
             }
             _ => {
                 state.from = Some(as_of);
-                state.freshness.note(known.version, began);
+                state.freshness.record_check(known.version, began);
                 Checked::Newest
             }
         }
--- a/node/src/duty/view.rs
+++ b/node/src/duty/view.rs
@@ -5,8 +5,8 @@
 
 use sardinepick_lib::id::NodeId;
 use sardinepick_lib::lease::Holder;
-use sardinepick_lib::usage::collection::Life;
-use sardinepick_lib::usage::tally::Collector;
+use sardinepick_lib::usage::collection::NodeLifetime;
+use sardinepick_lib::usage::tally::NodeInstance;
 use smallvec::SmallVec;
 
 /// By what the nodes are chosen that come first for the duties: those that also follow the store, whose
@@ -19,9 +19,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Those that come first for the duties, the very first in front, and where they are reached.
-    pub first: SmallVec<[(Collector, SocketAddr); COLLECTORS]>,
+    pub first: SmallVec<[(NodeInstance, SocketAddr); COLLECTORS]>,
     /// All lives that are known, this node's own among them.
-    pub lives: Vec<Life>,
+    pub lives: Vec<NodeLifetime>,
 }
 
 impl View {
@@ -38,7 +38,7 @@
     }
 
     /// The collectors alone.
-    pub fn collectors(&self) -> SmallVec<[Collector; COLLECTORS]> {
+    pub fn collectors(&self) -> SmallVec<[NodeInstance; COLLECTORS]> {
         self.first.iter().map(|(collector, _)| collector.clone()).collect()
     }
 }
--- a/node/src/scale/mod.rs
+++ b/node/src/scale/mod.rs
@@ -6,7 +6,7 @@
 
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::id::ServiceId;
-use sardinepick_lib::scale::need::{Need, Policy};
+use sardinepick_lib::scale::need::{CapacityEstimator, Policy};
 use sardinepick_lib::scale::plan::{Kind, Order, Planner, Scaling, Supply};
 use sardinepick_platform::duty::{Demand, Reply, order_runners};
 use tokio::time::sleep;
@@ -18,7 +18,7 @@
 /// How often the need is looked at.
 const PERIOD: Duration = Duration::from_millis(400);
 /// By what the number of runners is chosen.
-const POLICY: Policy = Policy::AsFound;
+const POLICY: Policy = Policy::InitialCount;
 
 /// A service whose runners are ordered, as this node knows it.
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
 }
 
 struct Scaled {
-    need: Need,
+    need: CapacityEstimator,
     planner: Planner,
 }
 
@@ -65,7 +65,7 @@
             scaled.retain(|name, _| services.iter().any(|service| service.name == *name));
             for service in services {
                 let one = scaled.entry(service.name.clone()).or_insert_with(|| Scaled {
-                    need: Need::new(POLICY),
+                    need: CapacityEstimator::new(POLICY),
                     planner: Planner::default(),
                 });
                 self.turn(&service, one).await;
@@ -77,7 +77,7 @@
         self.tenure.want();
         let now = self.clock.now();
         let serving = service.supply.iter().flat_map(|s| s.serving).sum();
-        let need = one.need.note(now, service.busy, serving);
+        let need = one.need.update(now, service.busy, serving);
         self.show(service, need.count);
         if !self.caller.may_call() {
             // Whoever holds the duties meanwhile orders other numbers.
@@ -105,8 +105,8 @@
         planner: &mut Planner,
         now: Instant,
     ) {
-        let data_centre = &service.scaling.prices[order.place].0;
-        let supply = service.supply[order.place];
+        let data_centre = &service.scaling.prices[order.data_centre].0;
+        let supply = service.supply[order.data_centre];
         let demand = Demand {
             service: &service.name,
             data_centre,
@@ -124,10 +124,10 @@
         );
         match outcome {
             Outcome::Replied(Reply::Accepted) => {}
-            Outcome::Replied(Reply::Unavailable) => planner.note_dry(now, order),
+            Outcome::Replied(Reply::Unavailable) => planner.record_unavailable(now, order),
             Outcome::Replied(Reply::Refused | Reply::Busy)
             | Outcome::NoAnswer
-            | Outcome::NotHolder => planner.note_failed(order),
+            | Outcome::NotHolder => planner.record_failed(order),
         }
     }
 }
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/follow.rs
@@ -95,7 +95,7 @@
     }
     let before = before.as_ref().and_then(|c| c.accounts.as_ref());
     if let (Some(accounts), Some(before)) = (&mut next.accounts, before) {
-        accounts.succeed(before);
+        accounts.inherit_retired_keys(before);
     }
     log::info!(
         version:% = next.version, was:% = was.unwrap_or_default(), revision:% = object.at,
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -22,8 +22,8 @@
 use sardinepick_lib::id::{Incarnation, NodeId, ServiceId};
 use sardinepick_lib::lease::Holder;
 use sardinepick_lib::rank;
-use sardinepick_lib::usage::collection::Life;
-use sardinepick_lib::usage::tally::Collector;
+use sardinepick_lib::usage::collection::NodeLifetime;
+use sardinepick_lib::usage::tally::NodeInstance;
 use smol_str::SmolStr;
 use tokio::sync::{Notify, watch};
 
@@ -155,7 +155,7 @@
             settings.turns,
         );
         let tenure = Arc::new(tenure);
-        let collector = Collector { node: me.id.clone(), incarnation };
+        let collector = NodeInstance { node: me.id.clone(), incarnation };
         // What nobody reports would be counted without end.
         let window = settings.usage_window.filter(|_| settings.platform.is_some());
         let usage = Arc::new(Usage::new(collector, window, clock.clone()));
@@ -309,15 +309,15 @@
             first.retain(|record| record.served);
         }
         first.truncate(COLLECTORS);
-        let collector = |record: &Record| Collector {
+        let collector = |record: &Record| NodeInstance {
             node: record.contact.id.clone(),
             incarnation: record.contact.incarnation,
         };
-        let life = |record: &Record, gone: Option<Duration>| Life {
+        let life = |record: &Record, lost_at: Option<Duration>| NodeLifetime {
             node: record.contact.id.clone(),
             incarnation: record.contact.incarnation,
-            since: Duration::from_micros(record.contact.incarnation.0),
-            gone,
+            started_at: Duration::from_micros(record.contact.incarnation.0),
+            lost_at,
         };
         let others = roster.members().map(|(record, since)| {
             let ago = now.saturating_duration_since(since);
--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -8,7 +8,7 @@
 
 use ini::Ini;
 use log::LevelFilter;
-use sardinepick_lib::config::read::span;
+use sardinepick_lib::config::read::parse_duration;
 use sardinepick_lib::hash::Digest;
 use sardinepick_lib::id::Name;
 use sardinepick_lib::lease::Term;
@@ -215,7 +215,7 @@
     }
 
     pub(crate) fn span(&mut self, section: &str, key: &str, default: Duration) -> Duration {
-        let accepted = |text: &str| span(text).filter(|s| !s.is_zero());
+        let accepted = |text: &str| parse_duration(text).filter(|s| !s.is_zero());
         self.optional(section, key, SPAN_FORM, accepted).unwrap_or(default)
     }
 
--- a/node/src/usage/mod.rs
+++ b/node/src/usage/mod.rs
@@ -10,8 +10,8 @@
 
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::id::{AccountId, NodeId, Window};
-use sardinepick_lib::usage::collection::{Collection, Life, Total};
-use sardinepick_lib::usage::tally::{Collector, Message, Tally};
+use sardinepick_lib::usage::collection::{Collection, NodeLifetime, Total};
+use sardinepick_lib::usage::tally::{Message, NodeInstance, Tally};
 use sardinepick_lib::usage::window::Windows;
 use sardinepick_lib::wall::Estimate;
 use sardinepick_wire::usage::{Body, Usage as Datagram};
@@ -33,7 +33,7 @@
 
 /// What one node has counted and collected.
 pub struct Usage {
-    me: Collector,
+    me: NodeInstance,
     windows: Option<Windows>,
     clock: Arc<dyn Clock>,
     state: Mutex<State>,
@@ -41,7 +41,7 @@
 
 impl Usage {
     /// Nothing yet. `window` is the length of the windows, none where usage is not counted.
-    pub fn new(me: Collector, window: Option<Duration>, clock: Arc<dyn Clock>) -> Self {
+    pub fn new(me: NodeInstance, window: Option<Duration>, clock: Arc<dyn Clock>) -> Self {
         let time = Estimate::new(clock.now(), clock.wall());
         let collection = Collection::new(me.clone(), time.at(clock.now()));
         let state = State { shown: VecDeque::new(), tally: Tally::default(), collection, time };
@@ -76,30 +76,30 @@
         let now = self.clock.now();
         let mut state = self.state();
         let window = windows.at(state.time.at(now));
-        state.tally.note(window, account);
+        state.tally.record_request(window, account);
     }
 
     /// The window of now, and the messages for each of these collectors.
     fn round(
         &self,
         windows: Windows,
-        collectors: &[Collector],
-        lives: &[Life],
+        collectors: &[NodeInstance],
+        lives: &[NodeLifetime],
     ) -> Vec<Vec<Message>> {
         let (now, wall) = (self.clock.now(), self.clock.wall());
         let mut state = self.state();
         let state = &mut *state;
         state.time.note_wall(now, wall);
         let newest = windows.at(state.time.at(now));
-        state.collection.note(newest, lives);
+        state.collection.update_lifetimes(newest, lives);
         let others = || collectors.iter().filter(|collector| **collector != self.me);
         state.tally.begin_round(newest, &others().cloned().collect::<Vec<_>>());
-        let messages = |collector: &Collector| state.tally.messages(collector);
+        let messages = |collector: &NodeInstance| state.tally.messages(collector);
         collectors.iter().map(messages).collect()
     }
 
     /// A window as far as this node knows it.
-    fn total(&self, windows: Windows, window: Window, lives: &[Life]) -> Total {
+    fn total(&self, windows: Windows, window: Window, lives: &[NodeLifetime]) -> Total {
         let now = self.clock.now();
         let state = self.state();
         let (own, time) = (state.tally.counts(window), state.time.at(now));
@@ -139,7 +139,7 @@
             Body::Acknowledged(number) => self.state().tally.acknowledge(&datagram.sender, number),
             Body::Counts(message) => {
                 let (number, now) = (message.number, self.time_at(self.clock.now()));
-                self.state().collection.take(&datagram.sender, message, now);
+                self.state().collection.apply(&datagram.sender, message, now);
                 let body = Body::Acknowledged(number);
                 let answer = Datagram { sender: self.me.clone(), body };
                 exchange::transmit(socket, from, &answer, metrics).await;
--- a/node/src/usage/report.rs
+++ b/node/src/usage/report.rs
@@ -8,7 +8,7 @@
 use sardinepick_lib::id::Window;
 use sardinepick_lib::usage::collection::Verdict;
 use sardinepick_lib::usage::ledger::{Ledger, Settled};
-use sardinepick_lib::usage::tally::KEPT;
+use sardinepick_lib::usage::tally::RETAINED_WINDOWS;
 use sardinepick_lib::usage::window::Windows;
 use sardinepick_platform::duty::{Reply, USAGE, report_usage};
 use sardinepick_platform::store::Refused;
@@ -33,7 +33,7 @@
 const LEDGER: &str = "ledger";
 /// The most windows that are settled in one write, as after an outage of the store: some fewer than
 /// nodes keep, since they drop the oldest.
-const MOST_AT_ONCE: u64 = KEPT - 4;
+const MOST_AT_ONCE: u64 = RETAINED_WINDOWS - 4;
 
 /// The ledger as the store has it.
 #[derive(Debug)]
@@ -146,7 +146,7 @@
             next:% = ledger.next, waiting = ledger.waiting.len(), revision:% = object.at;
             "settled usage read"
         );
-        if !ledger.is_whole(era, has_come_back) && ledger.next < current {
+        if !ledger.is_complete(era, has_come_back) && ledger.next < current {
             log::error!(
                 from:% = ledger.next, to:% = current, era:% = era;
                 "windows of usage are passed over: the store's copy may lack some that were reported"
@@ -198,14 +198,14 @@
             match total.verdict(after) {
                 Verdict::Settle => {}
                 Verdict::Wait => break,
-                Verdict::PassOver => {
+                Verdict::Skip => {
                     log::error!(
                         window:% = window, nodes = total.nodes, missing = total.missing,
                         after_ms = after.as_millis() as u64;
                         "window of usage is not reported: counts are missing"
                     );
                     self.note(window, "incomplete");
-                    next.pass_over(window);
+                    next.skip(window);
                     continue;
                 }
             }
@@ -272,13 +272,13 @@
                     "usage reported"
                 );
                 self.note(window, "reported");
-                ledger.note_reported(window);
+                ledger.mark_reported(window);
                 None
             }
             Outcome::Replied(Reply::Refused) => {
                 log::error!(window:% = window, accounts = accounts; "usage refused for good");
                 self.note(window, "refused");
-                ledger.note_reported(window);
+                ledger.mark_reported(window);
                 None
             }
             Outcome::Replied(Reply::Busy | Reply::Unavailable)
--- a/node/src/write.rs
+++ b/node/src/write.rs
@@ -158,7 +158,7 @@
         wrote: prepared.footprint.wrote.iter().cloned().collect(),
     };
     let operation_chunk = Chunk::write(&operation);
-    let next = head.follow(&operation, operation_chunk.digest);
+    let next = head.advance(&operation, operation_chunk.digest);
     let all: BTreeMap<_, _> = chunks
         .into_iter()
         .chain([root_chunk, operation_chunk])
--- a/testutils/src/measure/nodes.rs
+++ b/testutils/src/measure/nodes.rs
@@ -293,7 +293,7 @@
         };
         let operation_chunk = Chunk::write(&operation);
         let digest: Digest = operation_chunk.digest;
-        let head = Head::default().follow(&operation, digest);
+        let head = Head::default().advance(&operation, digest);
         chunks.extend([root, operation_chunk]);
         self.published = Some((head.clone(), chunks));
         for at in 0..(2 * DATA_CENTRES).min(self.nodes.len()) {
--- a/testutils/src/measure/races.rs
+++ b/testutils/src/measure/races.rs
@@ -89,7 +89,7 @@
         wrote: prepared.footprint.wrote.iter().cloned().collect(),
     };
     let digest = Chunk::write(&operation).digest;
-    head.follow(&operation, digest)
+    head.advance(&operation, digest)
 }
 
 fn run(way: Way, count: usize) -> Counts {
--- a/wire/src/usage.rs
+++ b/wire/src/usage.rs
@@ -4,7 +4,7 @@
 
 use prost::Message as _;
 use sardinepick_lib::id::{AccountId, Incarnation, NodeId, Window};
-use sardinepick_lib::usage::tally::{Collector, Count, Message};
+use sardinepick_lib::usage::tally::{Count, Message, NodeInstance};
 
 use crate::error::WireError;
 use crate::fleet as pb;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Usage {
     /// The life of the node that sends it.
-    pub sender: Collector,
+    pub sender: NodeInstance,
     /// What it says.
     pub body: Body,
 }
@@ -61,7 +61,7 @@
         };
         let whole = pb::Usage::decode(bytes).map_err(|e| WireError::Decode(e.to_string()))?;
         let node = NodeId::try_from(whole.node.as_str()).map_err(|_| WireError::Value("node"))?;
-        let sender = Collector { node, incarnation: Incarnation(whole.incarnation) };
+        let sender = NodeInstance { node, incarnation: Incarnation(whole.incarnation) };
         let body = if whole.acknowledges {
             Body::Acknowledged(whole.number)
         } else {
