--- a/lib/src/usage/collection.rs
+++ b/lib/src/usage/collection.rs
@@ -1,4 +1,4 @@
-//! The counts of all nodes, as one that collects them has them.
+//! The counts of all nodes as known to a collector.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -7,190 +7,203 @@
 use super::window::{Counts, Windows};
 use crate::id::{Incarnation, NodeId, Window};
 
-/// The share of the nodes whose counts of a window may be missing for it still to be reported. A count
-/// may be off by a twentieth, and nodes do not all count the same.
-pub const MOST_MISSING: f64 = 0.03;
+/// The share of nodes whose counts may be missing from a window that is still reported. A reported
+/// count may be off by 5 %, and the load is not spread evenly over the nodes.
+pub const MAX_MISSING_SHARE: f64 = 0.03;
 /// How long after its end a window waits for the counts of all nodes.
-const FOR_ALL: Duration = Duration::from_secs(3);
-/// How long after its end a window waits for the counts of nearly all nodes; what is later is of less
-/// use to the platform.
-const FOR_MOST: Duration = Duration::from_millis(6_500);
-/// What a node that has ended had counted and not yet sent, in time: a little more than the pause
+const ALL_NODES_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long after its end a window waits for the missing share to fall to [`MAX_MISSING_SHARE`]. A
+/// later report is of less use to the platform.
+const MOST_NODES_TIMEOUT: Duration = Duration::from_millis(6_500);
+/// The time span of counts that a terminated node may not have sent: slightly more than the interval
 /// between two messages.
-const UNSENT: Duration = Duration::from_millis(300);
-/// A node that is silent for so long has ended, and not merely been cut off.
-const ENDED: Duration = Duration::from_secs(20);
+const MAX_UNSENT: Duration = Duration::from_millis(300);
+/// A node that has been silent for this long is considered terminated rather than partitioned.
+const TERMINATED_AFTER: Duration = Duration::from_secs(20);
 
-/// The most lives of one node that are remembered: more than start within the windows that are kept.
-const MOST_LIVES: usize = 16;
+/// The maximum number of incarnations remembered per node: more than can start within the retained
+/// windows.
+const MAX_INCARNATIONS: usize = 16;
 
-/// One life of a node, as its own and other nodes know it. Times are since the start of 1970.
+/// One incarnation of a node as known to this node and others. Times are durations since the Unix
+/// epoch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NodeLifetime {
     /// The node.
     pub node: NodeId,
-    /// The life.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
-    /// When it began.
+    /// When it started.
     pub started_at: Duration,
-    /// When it was found to be gone; none while it is there.
+    /// When it was detected as silent; `None` while it is alive.
     pub lost_at: Option<Duration>,
 }
 
-/// What is to be done with a window that has ended.
+/// What to do with a window that has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// It is reported.
+    /// Settle and report it.
     Settle,
-    /// Counts may still come.
+    /// Wait, as counts may still arrive.
     Wait,
-    /// It is not reported, as it would be false.
+    /// Do not report it, as the counts would be wrong.
     Skip,
 }
 
-/// A window as far as it is known.
+/// The known total of a window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Total {
-    /// The counts.
+    /// The counts over all nodes.
     pub counts: Counts,
-    /// How many nodes there are.
+    /// The number of nodes.
     pub nodes: usize,
-    /// Of how many of them counts may be missing; parts where only the last counts of one may.
+    /// The number of nodes whose counts may be missing; fractional where only the last part of a
+    /// node's counts may be.
     pub missing: f64,
 }
 
 impl Total {
-    /// What is to be done `after` the end of the window.
+    /// Decides what to do with the window at the time `after` its end.
     pub fn verdict(&self, after: Duration) -> Verdict {
         if self.missing == 0.0 {
             return Verdict::Settle;
         }
-        let is_bearable = self.missing <= self.nodes as f64 * MOST_MISSING;
-        match is_bearable {
-            true if after >= FOR_ALL => Verdict::Settle,
-            false if after >= FOR_MOST => Verdict::Skip,
+        let is_tolerable = self.missing <= self.nodes as f64 * MAX_MISSING_SHARE;
+        match is_tolerable {
+            true if after >= ALL_NODES_TIMEOUT => Verdict::Settle,
+            false if after >= MOST_NODES_TIMEOUT => Verdict::Skip,
             _ => Verdict::Wait,
         }
     }
 }
 
-type Lives = HashMap<(NodeId, Incarnation), Counts>;
+type CountsByInstance = HashMap<(NodeId, Incarnation), Counts>;
 
-/// What is known of a life.
+/// The state of one incarnation of a node.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
-    /// When it began.
-    since: Duration,
-    /// When it was found silent; none while it is there.
-    silent: Option<Duration>,
-    /// When the next life of its node began.
-    replaced: Option<Duration>,
-    /// When it last told its counts.
-    heard: Option<Duration>,
-    /// All its counts of the windows before this one are here.
+struct InstanceState {
+    /// When it started.
+    started_at: Duration,
+    /// When it was detected as silent; `None` while it is alive.
+    silent_since: Option<Duration>,
+    /// When the next incarnation of its node started.
+    replaced_at: Option<Duration>,
+    /// When its last message arrived.
+    last_message_at: Option<Duration>,
+    /// All its counts of the windows before this one have arrived.
     complete: Window,
 }
 
-/// The counts of all nodes. Times are since the start of 1970.
+/// The counts of all nodes. Times are durations since the Unix epoch.
 #[derive(Debug)]
 pub struct Collection {
     me: NodeInstance,
-    /// When this node's own life began.
-    since: Duration,
-    windows: BTreeMap<Window, Lives>,
-    /// The lives of each node, oldest first.
-    known: HashMap<NodeId, BTreeMap<Incarnation, Known>>,
+    /// When this node's own incarnation started.
+    started_at: Duration,
+    windows: BTreeMap<Window, CountsByInstance>,
+    /// The incarnations of each node, oldest first.
+    instances: HashMap<NodeId, BTreeMap<Incarnation, InstanceState>>,
 }
 
 impl Collection {
-    /// An empty collection of a node whose life began at `since`.
-    pub fn new(me: NodeInstance, since: Duration) -> Self {
-        Self { me, since, windows: BTreeMap::new(), known: HashMap::new() }
+    /// An empty collection of the node `me`, whose incarnation started at `started_at`.
+    pub fn new(me: NodeInstance, started_at: Duration) -> Self {
+        Self { me, started_at, windows: BTreeMap::new(), instances: HashMap::new() }
     }
 
-    /// Takes what one life of a node has counted. Counts only grow.
+    /// Applies a message from one incarnation of a node. Counts only grow.
     pub fn apply(&mut self, from: &NodeInstance, message: Message, now: Duration) {
         let key = (from.node.clone(), from.incarnation);
-        let lives = self.known.entry(from.node.clone()).or_default();
-        let life = lives.entry(from.incarnation).or_default();
-        life.heard = Some(now);
-        life.complete = life.complete.max(message.complete);
+        let incarnations = self.instances.entry(from.node.clone()).or_default();
+        let state = incarnations.entry(from.incarnation).or_default();
+        state.last_message_at = Some(now);
+        state.complete = state.complete.max(message.complete);
         for count in message.counts {
-            let lives = self.windows.entry(count.window).or_default();
-            let known = lives.entry(key.clone()).or_default().entry(count.account).or_default();
+            let instances = self.windows.entry(count.window).or_default();
+            let known = instances.entry(key.clone()).or_default().entry(count.account).or_default();
             *known = count.requests.max(*known);
         }
     }
 
-    /// Takes in which lives there are, and drops windows that are too old at `newest`.
-    pub fn update_lifetimes(&mut self, newest: Window, lives: &[NodeLifetime]) {
+    /// Updates the known incarnations, and drops windows that are no longer retained at `newest`.
+    pub fn update_lifetimes(&mut self, newest: Window, lifetimes: &[NodeLifetime]) {
         self.windows.retain(|window, _| window.0 + RETAINED_WINDOWS > newest.0);
-        let nodes: HashSet<&NodeId> = lives.iter().map(|life| &life.node).collect();
-        self.known.retain(|node, _| nodes.contains(node));
-        for life in lives {
-            let lives = self.known.entry(life.node.clone()).or_default();
-            let known = lives.entry(life.incarnation).or_default();
-            known.since = life.started_at;
-            known.silent = life.lost_at;
-            for former in lives.range_mut(..life.incarnation).map(|(_, former)| former) {
-                former.replaced.get_or_insert(life.started_at);
+        let nodes: HashSet<&NodeId> = lifetimes.iter().map(|lifetime| &lifetime.node).collect();
+        self.instances.retain(|node, _| nodes.contains(node));
+        for lifetime in lifetimes {
+            let incarnations = self.instances.entry(lifetime.node.clone()).or_default();
+            let state = incarnations.entry(lifetime.incarnation).or_default();
+            state.started_at = lifetime.started_at;
+            state.silent_since = lifetime.lost_at;
+            for former in incarnations.range_mut(..lifetime.incarnation).map(|(_, former)| former) {
+                former.replaced_at.get_or_insert(lifetime.started_at);
             }
-            while lives.len() > MOST_LIVES {
-                lives.pop_first();
+            while incarnations.len() > MAX_INCARNATIONS {
+                incarnations.pop_first();
             }
         }
     }
 
-    /// A window in all, at `now`. `own` is what this node has counted, `lives` are all that are known.
+    /// The total of a window at `now`. `own` are the counts of this node, and `lifetimes` are all known
+    /// nodes.
     pub fn total(
         &self,
         windows: Windows,
         window: Window,
         own: Option<&Counts>,
-        lives: &[NodeLifetime],
+        lifetimes: &[NodeLifetime],
         now: Duration,
     ) -> Total {
-        let told = self.windows.get(&window);
+        let received = self.windows.get(&window);
         let mut counts = Counts::new();
-        for one in told.into_iter().flat_map(HashMap::values).chain(own) {
+        for one in received.into_iter().flat_map(HashMap::values).chain(own) {
             for (account, requests) in one {
                 *counts.entry(account.clone()).or_default() += requests;
             }
         }
-        let all = self.known.iter().flat_map(|(node, lives)| lives.iter().map(move |l| (node, l)));
-        let is_me =
-            |node: &NodeId, life: Incarnation| *node == self.me.node && life == self.me.incarnation;
+        let all =
+            self.instances.iter().flat_map(|(node, states)| states.iter().map(move |s| (node, s)));
+        let is_me = |node: &NodeId, incarnation: Incarnation| {
+            *node == self.me.node && incarnation == self.me.incarnation
+        };
         let others = all.filter(|(node, (incarnation, _))| !is_me(node, **incarnation));
-        let of_known = others.map(|(_, (_, life))| missing(life, windows, window, now));
-        let unknown = lives.iter().filter(|life| self.may_follow_unknown(windows, window, life));
+        let of_known = others.map(|(_, (_, state))| missing_share(state, windows, window, now));
+        let unknown =
+            lifetimes.iter().filter(|lifetime| self.may_follow_unknown(windows, window, lifetime));
         let missing = of_known.sum::<f64>() + unknown.count() as f64;
-        Total { counts, nodes: lives.len(), missing }
+        Total { counts, nodes: lifetimes.len(), missing }
     }
 
-    /// Whether a life that began within a window or later may follow one that this node never knew, as
-    /// it began that late itself.
-    fn may_follow_unknown(&self, windows: Windows, window: Window, life: &NodeLifetime) -> bool {
+    /// Whether `lifetime` may have replaced an incarnation with counts in `window` that this node never
+    /// learned of. This is possible when both it and this node started after the window began.
+    fn may_follow_unknown(
+        &self,
+        windows: Windows,
+        window: Window,
+        lifetime: &NodeLifetime,
+    ) -> bool {
         let start = windows.start(window);
         let is_first = || {
-            let known = self.known.get(&life.node);
-            known.is_none_or(|lives| lives.range(..life.incarnation).next().is_none())
+            let known = self.instances.get(&lifetime.node);
+            known.is_none_or(|states| states.range(..lifetime.incarnation).next().is_none())
         };
-        life.started_at > start && self.since > start && is_first()
+        lifetime.started_at > start && self.started_at > start && is_first()
     }
 }
 
-/// Which part of a node's counts of a window may be missing, of one life of it.
-fn missing(life: &Known, windows: Windows, window: Window, now: Duration) -> f64 {
+/// The share of a window for which counts of one incarnation may be missing.
+fn missing_share(state: &InstanceState, windows: Windows, window: Window, now: Duration) -> f64 {
     let (start, end) = (windows.start(window), windows.end(window));
-    let silent_for_long = life.silent.filter(|since| now >= *since + ENDED);
-    let ended = life.replaced.or(silent_for_long);
-    let is_elsewhere = life.since >= end || ended.is_some_and(|ended| ended <= start);
-    if life.complete > window || is_elsewhere {
+    let terminated = state.silent_since.filter(|since| now >= *since + TERMINATED_AFTER);
+    let ended_at = state.replaced_at.or(terminated);
+    let is_elsewhere = state.started_at >= end || ended_at.is_some_and(|ended| ended <= start);
+    if state.complete > window || is_elsewhere {
         return 0.0;
     }
-    let Some(ended) = ended else { return 1.0 };
-    // From when it was last heard until the next life began it may have been cut off and have counted on.
-    let from = life.heard.unwrap_or_default().max(start);
-    let unheard = ended.min(end).saturating_sub(from).max(UNSENT);
-    (unheard.as_secs_f64() / windows.length().as_secs_f64()).min(1.0)
+    let Some(ended) = ended_at else { return 1.0 };
+    // Between its last message and the start of the next incarnation it may have been partitioned and
+    // have gone on counting.
+    let from = state.last_message_at.unwrap_or_default().max(start);
+    let unreported = ended.min(end).saturating_sub(from).max(MAX_UNSENT);
+    (unreported.as_secs_f64() / windows.length().as_secs_f64()).min(1.0)
 }
--- a/lib/src/usage/ledger.rs
+++ b/lib/src/usage/ledger.rs
@@ -1,12 +1,13 @@
-//! The windows that have been settled, as the platform's store keeps them.
+//! The ledger of settled windows in the platform's store.
 //!
-//! A window's counts are written here before they are reported for the first time, and never change
-//! after that. A write takes effect only on the revision it was made from, so of two nodes that take
-//! themselves for the reporter one settles a window, and both report what it has written.
+//! The counts of a window are written to the ledger before its first report and never change
+//! afterwards. A write succeeds only against the revision that it is based on. If two nodes both act
+//! as reporter, only one of them settles a window, and both report the counts that it wrote.
 //!
-//! A store that comes back from a copy shows a ledger without the windows that were settled last, which
-//! may have been reported. Who settled them knows and goes on; anybody else passes over all that had
-//! ended, as a second sum of a window would be a false one.
+//! When the store is restored from a copy, the ledger can lack the windows that were settled last,
+//! which may already have been reported. The node that settled them still has them and continues. Any
+//! other node skips all windows that had ended by then, because a second, different total for a window
+//! would be wrong.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,44 +15,46 @@
 use crate::history::Era;
 use crate::id::Window;
 
-/// The most windows that wait to be reported; the oldest is given up for a new one.
-pub const MOST_WAITING: usize = 16;
+/// The maximum number of settled windows that wait to be reported. Beyond that the oldest is dropped.
+pub const MAX_WAITING: usize = 16;
 
 /// A settled window.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Settled {
     /// The window.
     pub window: Window,
-    /// Its counts.
+    /// The final counts of the window.
     pub counts: Counts,
 }
 
-/// The ledger.
+/// The settled windows and the position up to which windows are settled.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Ledger {
     /// The first window that is not settled.
     pub next: Window,
     /// Settled windows that are not known to have been reported, oldest first.
     pub waiting: Vec<Settled>,
-    /// The era of the store in which this was written; none of a version that did not say it.
+    /// The store era in which this ledger was written; `None` for ledgers written by versions that
+    /// did not record it.
     #[serde(default)]
     pub era: Option<Era>,
 }
 
 impl Ledger {
-    /// A ledger in which nothing is settled that ends before `next` begins.
+    /// An empty ledger whose first window to settle is `next`.
     pub fn starting_at(next: Window) -> Self {
         Self { next, waiting: Vec::new(), era: None }
     }
 
-    /// Whether this is all that has been settled, in the era `present`: a ledger that was written before
-    /// the store came back from a copy may lack windows. `has_come_back` is whether it is known to have.
-    pub fn is_complete(&self, present: Era, has_come_back: bool) -> bool {
-        self.era.map_or(!has_come_back, |era| era == present)
+    /// Whether the ledger contains everything that was settled up to era `present`. A ledger that was
+    /// written before the store was restored from a copy may lack windows. `was_restored` says
+    /// whether the store is known to have been restored.
+    pub fn is_complete(&self, present: Era, was_restored: bool) -> bool {
+        self.era.map_or(!was_restored, |era| era == present)
     }
 
-    /// The ledger with a window settled; none if that is settled already. Gives up the oldest of too
-    /// many that wait.
+    /// Settles a window. Returns the new ledger and the window that was dropped because too many were
+    /// waiting, or `None` if `window` is already settled.
     pub fn settle(&self, window: Window, counts: Counts) -> Option<(Self, Option<Settled>)> {
         if window < self.next {
             return None;
@@ -59,21 +62,21 @@
         let mut ledger = self.clone();
         ledger.next = window.next();
         ledger.waiting.push(Settled { window, counts });
-        let given_up = (ledger.waiting.len() > MOST_WAITING).then(|| ledger.waiting.remove(0));
-        Some((ledger, given_up))
+        let dropped = (ledger.waiting.len() > MAX_WAITING).then(|| ledger.waiting.remove(0));
+        Some((ledger, dropped))
     }
 
-    /// Passes over a window that cannot be reported.
+    /// Skips a window that cannot be reported.
     pub fn skip(&mut self, window: Window) {
         self.next = self.next.max(window.next());
     }
 
-    /// The next to be reported.
+    /// The next window to report.
     pub fn due(&self) -> Option<&Settled> {
         self.waiting.first()
     }
 
-    /// Notes that a window has been reported.
+    /// Removes a window that has been reported.
     pub fn mark_reported(&mut self, window: Window) {
         self.waiting.retain(|settled| settled.window != window);
     }
--- a/lib/src/usage/mod.rs
+++ b/lib/src/usage/mod.rs
@@ -1,9 +1,9 @@
-//! Usage: how many requests of each client account began to run in each window of time.
+//! Usage accounting: the number of requests per client account that started in each time window.
 //!
-//! Every node counts its own requests ([`tally`]) and sends the counts to two others that collect
-//! them ([`collection`]), so that they outlive the node. One node at a time writes a finished window
-//! into the [`ledger`] that the platform's store keeps, and only then reports it: whoever reports it
-//! again after a failure reports the same counts.
+//! Every node counts its own requests ([`tally`]) and sends the counts to two collectors
+//! ([`collection`]), so that they survive the loss of the node. One node at a time writes a finished
+//! window to the [`ledger`] in the platform's store and reports it only afterwards, so a repeated
+//! report after a failover carries the same counts.
 
 pub mod collection;
 pub mod ledger;
--- a/lib/src/usage/tally.rs
+++ b/lib/src/usage/tally.rs
@@ -1,92 +1,92 @@
-//! What one node has counted, and what of it others have acknowledged.
+//! The counts of one node, and which of them each collector has acknowledged.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use super::window::Counts;
 use crate::id::{AccountId, Incarnation, NodeId, Window};
 
-/// How many windows are kept, the newest among them: collectors may change, and the store be away for
-/// a minute, until a window has been settled.
+/// The number of windows that are retained, including the current one. Collectors can change and the
+/// store can be unreachable for a minute before a window is settled.
 pub const RETAINED_WINDOWS: u64 = 16;
-/// The most counts of one message, at some 20 bytes each, so that it travels in one packet.
-pub const MOST_COUNTS: usize = 48;
+/// The maximum number of counts per message. At about 20 bytes per count, a message fits into one
+/// packet.
+pub const MAX_COUNTS_PER_MESSAGE: usize = 48;
 
-/// One life of a node that collects counts.
+/// One incarnation of a node that sends or collects counts.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct NodeInstance {
     /// The node.
     pub node: NodeId,
-    /// Its life.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
 }
 
-/// The count of an account in a window, in all so far.
+/// The total so far for one account in one window.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Count {
     /// The window.
     pub window: Window,
     /// The account.
     pub account: AccountId,
-    /// How many of its requests have begun in the window.
+    /// The number of the account's requests that started in the window.
     pub requests: u64,
 }
 
-/// One message to a collector.
+/// A message to a collector.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Message {
-    /// Its number, which the acknowledgement names.
+    /// The number that the acknowledgement refers to.
     pub number: u64,
-    /// Counts that the collector is not known to have.
+    /// Counts that the collector may not have yet.
     pub counts: Vec<Count>,
-    /// With these the collector has all counts of the windows before this one.
+    /// After this message the collector has all counts of the windows before this one.
     pub complete: Window,
 }
 
 type Key = (Window, AccountId);
 
-/// What a collector still has to be told.
+/// The delivery state of one collector.
 #[derive(Debug, Default)]
-struct Untold {
-    /// Counts that have changed since they were sent to it.
+struct Delivery {
+    /// Counts that changed since they were last sent.
     changed: BTreeSet<Key>,
-    /// Messages that it has not acknowledged.
-    sent: BTreeMap<u64, Sent>,
-    /// It is known to have all counts of the windows before this one.
+    /// Unacknowledged messages by number.
+    in_flight: BTreeMap<u64, InFlight>,
+    /// The collector has acknowledged all counts of the windows before this one.
     complete: Window,
 }
 
-impl Untold {
-    /// Whether a message with counts of a window before `newest` is not acknowledged.
-    fn is_open(&self, newest: Window) -> bool {
-        self.sent.values().flat_map(|sent| &sent.keys).any(|(window, _)| *window < newest)
+impl Delivery {
+    /// Whether a message with counts of a window before `newest` is unacknowledged.
+    fn has_in_flight_before(&self, newest: Window) -> bool {
+        self.in_flight.values().flat_map(|sent| &sent.keys).any(|(window, _)| *window < newest)
     }
 }
 
 #[derive(Debug)]
-struct Sent {
+struct InFlight {
     round: u64,
     keys: Vec<Key>,
     complete: Window,
 }
 
-/// What one node has counted. Counts only grow, so a message that is lost, repeated or late does no
-/// harm.
+/// The counts of one node. Counts only grow, so lost, duplicated and reordered messages are harmless.
 #[derive(Debug, Default)]
 pub struct Tally {
     windows: BTreeMap<Window, Counts>,
-    untold: HashMap<NodeInstance, Untold>,
-    numbers: u64,
+    deliveries: HashMap<NodeInstance, Delivery>,
+    last_number: u64,
     round: u64,
-    /// The window of now, as of the last round.
+    /// The current window as of the last round.
     newest: Window,
 }
 
 impl Tally {
-    /// Counts a request of an account that began in `window`.
+    /// Counts a request of `account` that started in `window`.
     pub fn record_request(&mut self, window: Window, account: &AccountId) {
         *self.windows.entry(window).or_default().entry(account.clone()).or_default() += 1;
-        for untold in self.untold.values_mut() {
-            untold.changed.insert((window, account.clone()));
+        for delivery in self.deliveries.values_mut() {
+            delivery.changed.insert((window, account.clone()));
         }
     }
 
@@ -95,68 +95,69 @@
         self.windows.get(&window)
     }
 
-    /// Begins a round of messages to these collectors. Drops windows that are too old at `newest`, and
-    /// takes what was sent before the last round and not acknowledged for lost.
+    /// Starts a round of messages to `collectors`. Drops windows that are no longer retained at
+    /// `newest`. Messages that were sent before the last round and are still unacknowledged count as
+    /// lost, and their counts are sent again.
     pub fn begin_round(&mut self, newest: Window, collectors: &[NodeInstance]) {
-        let is_kept = |window: &Window| window.0 + RETAINED_WINDOWS > newest.0;
+        let is_retained = |window: &Window| window.0 + RETAINED_WINDOWS > newest.0;
         self.round += 1;
         self.newest = newest;
-        self.windows.retain(|window, _| is_kept(window));
-        self.untold.retain(|collector, _| collectors.contains(collector));
+        self.windows.retain(|window, _| is_retained(window));
+        self.deliveries.retain(|collector, _| collectors.contains(collector));
         for collector in collectors {
-            if !self.untold.contains_key(collector) {
+            if !self.deliveries.contains_key(collector) {
                 let all = self.windows.iter().flat_map(|(window, counts)| {
                     counts.keys().map(|account| (*window, account.clone()))
                 });
-                let untold = Untold { changed: all.collect(), ..Untold::default() };
-                self.untold.insert(collector.clone(), untold);
+                let delivery = Delivery { changed: all.collect(), ..Delivery::default() };
+                self.deliveries.insert(collector.clone(), delivery);
             }
         }
-        for untold in self.untold.values_mut() {
-            let lost = untold.sent.extract_if(.., |_, sent| sent.round + 1 < self.round);
-            untold.changed.extend(lost.flat_map(|(_, sent)| sent.keys));
-            untold.changed.retain(|(window, _)| is_kept(window));
+        for delivery in self.deliveries.values_mut() {
+            let lost = delivery.in_flight.extract_if(.., |_, sent| sent.round + 1 < self.round);
+            delivery.changed.extend(lost.flat_map(|(_, sent)| sent.keys));
+            delivery.changed.retain(|(window, _)| is_retained(window));
         }
     }
 
-    /// Messages with all that a collector has to be told: counts, and once a window that it has all of
-    /// those before.
+    /// The messages to send to `collector` in this round: the changed counts and, once all earlier
+    /// windows have been delivered, the mark that they are complete.
     pub fn messages(&mut self, collector: &NodeInstance) -> Vec<Message> {
         let newest = self.newest;
-        let Some(untold) = self.untold.get_mut(collector) else { return Vec::new() };
-        let keys: Vec<Key> = std::mem::take(&mut untold.changed).into_iter().collect();
-        let mut parts: Vec<&[Key]> = keys.chunks(MOST_COUNTS).collect();
-        let is_open = untold.is_open(newest);
-        if parts.is_empty() && !is_open && untold.complete < newest {
-            parts.push(&[]);
+        let Some(delivery) = self.deliveries.get_mut(collector) else { return Vec::new() };
+        let keys: Vec<Key> = std::mem::take(&mut delivery.changed).into_iter().collect();
+        let mut batches: Vec<&[Key]> = keys.chunks(MAX_COUNTS_PER_MESSAGE).collect();
+        let has_in_flight = delivery.has_in_flight_before(newest);
+        if batches.is_empty() && !has_in_flight && delivery.complete < newest {
+            batches.push(&[]);
         }
-        let ends = |part: &[Key]| part.iter().any(|(window, _)| *window < newest);
-        let ending = parts.iter().filter(|part| ends(part)).count();
+        let has_earlier = |batch: &[Key]| batch.iter().any(|(window, _)| *window < newest);
+        let earlier = batches.iter().filter(|batch| has_earlier(batch)).count();
         let mut messages = Vec::new();
-        for keys in parts {
-            // Messages may be lost one by one, so the last counts of a window go with their own mark or
-            // before it.
-            let is_complete = !is_open && (ending == 0 || ending == 1 && ends(keys));
-            let complete = if is_complete { newest } else { untold.complete };
-            self.numbers += 1;
+        for keys in batches {
+            // Each message can be lost independently, so the completion mark must not be sent before
+            // the last counts of the windows that it covers, only with them or after them.
+            let is_complete = !has_in_flight && (earlier == 0 || earlier == 1 && has_earlier(keys));
+            let complete = if is_complete { newest } else { delivery.complete };
+            self.last_number += 1;
             let count = |(window, account): &Key| {
                 let requests = *self.windows.get(window)?.get(account)?;
                 Some(Count { window: *window, account: account.clone(), requests })
             };
             let counts = keys.iter().filter_map(count).collect();
-            messages.push(Message { number: self.numbers, counts, complete });
-            let sent = Sent { round: self.round, keys: keys.to_vec(), complete };
-            untold.sent.insert(self.numbers, sent);
+            messages.push(Message { number: self.last_number, counts, complete });
+            let sent = InFlight { round: self.round, keys: keys.to_vec(), complete };
+            delivery.in_flight.insert(self.last_number, sent);
         }
         messages
     }
 
-    /// Takes a collector's acknowledgement of a message.
+    /// Records that `collector` acknowledged the message with this number.
     pub fn acknowledge(&mut self, collector: &NodeInstance, number: u64) {
-        if let Some(untold) = self.untold.get_mut(collector)
-            && let Some(sent) = untold.sent.remove(&number)
+        if let Some(delivery) = self.deliveries.get_mut(collector)
+            && let Some(sent) = delivery.in_flight.remove(&number)
         {
-            untold.complete = untold.complete.max(sent.complete);
+            delivery.complete = delivery.complete.max(sent.complete);
         }
     }
 }
--- a/lib/tests/usage.rs
+++ b/lib/tests/usage.rs
@@ -1,11 +1,11 @@
-//! Usage: counting, collecting, settling, and the time by which windows go.
+//! Usage accounting: counting, collecting and settling, and the time estimate that defines windows.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use sardinepick_lib::id::{AccountId, Incarnation, NodeId, Window};
 use sardinepick_lib::usage::collection::{Collection, NodeLifetime, Total, Verdict};
-use sardinepick_lib::usage::ledger::{Ledger, MOST_WAITING};
-use sardinepick_lib::usage::tally::{Count, MOST_COUNTS, Message, NodeInstance, Tally};
+use sardinepick_lib::usage::ledger::{Ledger, MAX_WAITING};
+use sardinepick_lib::usage::tally::{Count, MAX_COUNTS_PER_MESSAGE, Message, NodeInstance, Tally};
 use sardinepick_lib::usage::window::{Counts, Windows};
 use sardinepick_lib::wall::Estimate;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn windows_number_and_bounds() {
+fn windows_numbers_and_bounds() {
     let windows = windows();
     let window = windows.at(Duration::from_millis(1_767_225_604_999));
     assert_eq!(window, Window(353_445_120));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn messages_all_then_only_what_changed() {
+fn messages_all_counts_then_only_changes() {
     let mut tally = Tally::default();
     let to = collector("a", 1);
     tally.record_request(Window(7), &account("x"));
@@ -61,9 +61,9 @@
     assert_eq!(tally.messages(&to)[0].counts, [x(2)]);
 }
 
-/// Guards against counts that are lost with the datagram that carried them.
+/// A count in a datagram that was lost is sent again.
 #[test]
-fn messages_unacknowledged_sent_again() {
+fn messages_unacknowledged_resent() {
     let mut tally = Tally::default();
     let to = collector("a", 1);
     tally.record_request(Window(7), &account("x"));
@@ -76,62 +76,62 @@
 }
 
 #[test]
-fn messages_new_collector_told_all() {
+fn messages_new_collector_gets_all_counts() {
     let mut tally = Tally::default();
     let (before, after) = (collector("a", 1), collector("a", 2));
     tally.record_request(Window(7), &account("x"));
     tally.begin_round(Window(7), std::slice::from_ref(&before));
-    let told = tally.messages(&before);
-    tally.acknowledge(&before, told[0].number);
+    let sent = tally.messages(&before);
+    tally.acknowledge(&before, sent[0].number);
     tally.begin_round(Window(7), std::slice::from_ref(&after));
-    assert_eq!(tally.messages(&after)[0].counts, told[0].counts);
+    assert_eq!(tally.messages(&after)[0].counts, sent[0].counts);
 }
 
 #[test]
 fn messages_many_accounts_split() {
     let mut tally = Tally::default();
     let to = collector("a", 1);
-    for n in 0..MOST_COUNTS * 2 + 1 {
+    for n in 0..MAX_COUNTS_PER_MESSAGE * 2 + 1 {
         tally.record_request(Window(7), &account(&format!("account-{n}")));
     }
     tally.begin_round(Window(7), std::slice::from_ref(&to));
     assert_eq!(tally.messages(&to).len(), 3);
 }
 
-fn life(name: &str, incarnation: u64, since: u64, gone: Option<u64>) -> NodeLifetime {
+fn lifetime(name: &str, incarnation: u64, started_at: u64, lost_at: Option<u64>) -> NodeLifetime {
     let incarnation = Incarnation(incarnation);
     NodeLifetime {
         node: node(name),
         incarnation,
-        started_at: S * since as u32,
-        lost_at: gone.map(|g| S * g as u32),
+        started_at: S * started_at as u32,
+        lost_at: lost_at.map(|at| S * at as u32),
     }
 }
 
-fn take(collection: &mut Collection, name: &str, incarnation: u64, window: u64, requests: u64) {
+fn apply(collection: &mut Collection, name: &str, incarnation: u64, window: u64, requests: u64) {
     let counts = vec![Count { window: Window(window), account: account("x"), requests }];
     let message = Message { number: 1, counts, complete: Window(0) };
     collection.apply(&collector(name, incarnation), message, S * 54);
 }
 
-/// Takes that a life has told all counts of the windows before one.
-fn take_complete(collection: &mut Collection, name: &str, incarnation: u64, before: u64) {
+/// Applies a message that marks all counts of the windows before `before` as complete.
+fn apply_complete(collection: &mut Collection, name: &str, incarnation: u64, before: u64) {
     let message = Message { number: 2, counts: Vec::new(), complete: Window(before) };
     collection.apply(&collector(name, incarnation), message, S * 55);
 }
 
-fn collection(since: Duration) -> Collection {
-    Collection::new(collector("me", 3), since)
+fn collection(started_at: Duration) -> Collection {
+    Collection::new(collector("me", 3), started_at)
 }
 
-/// A window, right after it has ended.
+/// The total of a window right after its end.
 fn total(
     collection: &Collection,
     window: Window,
     own: Option<&Counts>,
-    lives: &[NodeLifetime],
+    lifetimes: &[NodeLifetime],
 ) -> Total {
-    collection.total(windows(), window, own, lives, windows().end(window))
+    collection.total(windows(), window, own, lifetimes, windows().end(window))
 }
 
 fn is_complete(total: &Total) -> bool {
@@ -139,93 +139,97 @@
 }
 
 #[test]
-fn total_lives_summed_and_highest_kept() {
+fn total_sums_instances_and_keeps_highest_count() {
     let mut collection = collection(S);
-    let lives = [life("a", 1, 1, None), life("b", 2, 1, None), life("me", 3, 1, None)];
-    collection.update_lifetimes(Window(10), &lives);
+    let lifetimes =
+        [lifetime("a", 1, 1, None), lifetime("b", 2, 1, None), lifetime("me", 3, 1, None)];
+    collection.update_lifetimes(Window(10), &lifetimes);
     for requests in [3, 5, 4] {
-        take(&mut collection, "a", 1, 10, requests);
+        apply(&mut collection, "a", 1, 10, requests);
     }
-    take(&mut collection, "b", 2, 10, 7);
+    apply(&mut collection, "b", 2, 10, 7);
     let own = counts(&[("x", 1), ("y", 2)]);
-    let now = total(&collection, Window(10), Some(&own), &lives);
+    let now = total(&collection, Window(10), Some(&own), &lifetimes);
     assert_eq!((now.counts, now.missing), (counts(&[("x", 13), ("y", 2)]), 2.0));
     for (name, incarnation) in [("a", 1), ("b", 2)] {
-        take_complete(&mut collection, name, incarnation, 11);
+        apply_complete(&mut collection, name, incarnation, 11);
     }
-    let total = total(&collection, Window(10), Some(&own), &lives);
+    let total = total(&collection, Window(10), Some(&own), &lifetimes);
     assert_eq!(total.counts, counts(&[("x", 13), ("y", 2)]));
     assert!(total.verdict(Duration::ZERO) == Verdict::Settle && total.missing == 0.0);
 }
 
-/// Guards against a false report while a node that counts is cut off from the one that collects.
+/// A window is not reported while a node that counts is partitioned from the collector.
 #[test]
-fn total_counts_not_come_waits_then_passes_over() {
+fn total_counts_missing_waits_then_skips() {
     let mut collection = collection(S);
-    let lives = [life("a", 1, 1, None), life("b", 2, 1, None), life("me", 3, 1, None)];
-    collection.update_lifetimes(Window(10), &lives);
-    take(&mut collection, "a", 1, 10, 5);
-    take_complete(&mut collection, "a", 1, 11);
-    take(&mut collection, "b", 2, 9, 5);
-    let total = total(&collection, Window(10), None, &lives);
+    let lifetimes =
+        [lifetime("a", 1, 1, None), lifetime("b", 2, 1, None), lifetime("me", 3, 1, None)];
+    collection.update_lifetimes(Window(10), &lifetimes);
+    apply(&mut collection, "a", 1, 10, 5);
+    apply_complete(&mut collection, "a", 1, 11);
+    apply(&mut collection, "b", 2, 9, 5);
+    let total = total(&collection, Window(10), None, &lifetimes);
     assert_eq!(total.verdict(S * 6), Verdict::Wait);
     assert_eq!(total.verdict(S * 7), Verdict::Skip);
 }
 
-/// Guards against a report that lacks what a node counted before it was killed.
+/// A report includes the counts that a node sent before it was killed.
 #[test]
-fn total_killed_node_counted_once_told() {
+fn total_killed_node_counts_included() {
     let (mut collection, window) = (collection(S), Window(10));
-    let before = [life("a", 1, 1, None), life("me", 3, 1, None)];
+    let before = [lifetime("a", 1, 1, None), lifetime("me", 3, 1, None)];
     collection.update_lifetimes(window, &before);
-    take(&mut collection, "a", 1, 10, 5);
-    let after = [life("a", 2, 54, None), life("me", 3, 1, None)];
+    apply(&mut collection, "a", 1, 10, 5);
+    let after = [lifetime("a", 2, 54, None), lifetime("me", 3, 1, None)];
     collection.update_lifetimes(window, &after);
-    take(&mut collection, "a", 2, 10, 1);
-    take_complete(&mut collection, "a", 2, 11);
+    apply(&mut collection, "a", 2, 10, 1);
+    apply_complete(&mut collection, "a", 2, 11);
     let total = total(&collection, window, None, &after);
     assert_eq!(total.counts, counts(&[("x", 6)]));
-    // Unheard from the last second of the window on, as it was heard at 54 s.
-    assert!((0.01..0.1).contains(&total.missing), "its last counts: {}", total.missing);
+    // Its last message arrived at 54 s, so counts of the last second of the window may be missing.
+    assert!((0.01..0.1).contains(&total.missing), "missing: {}", total.missing);
 }
 
-/// Guards against a false report where counts went with the nodes that had them.
+/// A window is not complete when counts were lost together with the nodes that held them.
 #[test]
 fn total_lost_counts_not_complete() {
     let window = Window(10);
-    // All have started anew within the window.
-    let mut anew = collection(S * 52);
-    let lives = [life("a", 2, 52, None), life("b", 2, 52, None), life("me", 3, 52, None)];
-    anew.update_lifetimes(window, &lives);
-    take(&mut anew, "a", 2, 10, 5);
+    // All nodes restarted within the window.
+    let mut restarted = collection(S * 52);
+    let lifetimes =
+        [lifetime("a", 2, 52, None), lifetime("b", 2, 52, None), lifetime("me", 3, 52, None)];
+    restarted.update_lifetimes(window, &lifetimes);
+    apply(&mut restarted, "a", 2, 10, 5);
     for name in ["a", "b"] {
-        take_complete(&mut anew, name, 2, 12);
+        apply_complete(&mut restarted, name, 2, 12);
     }
-    assert!(!is_complete(&total(&anew, window, None, &lives)));
-    assert!(is_complete(&total(&anew, Window(11), None, &lives)));
-    // One is gone and has told nothing; it may count on, unheard, for a while.
-    let mut one_gone = collection(S);
-    let there = [life("a", 1, 1, None), life("b", 2, 1, None), life("me", 3, 1, None)];
-    one_gone.update_lifetimes(window, &there);
-    let lives = [life("a", 1, 1, Some(53)), life("b", 2, 1, None), life("me", 3, 1, None)];
-    one_gone.update_lifetimes(window, &lives);
-    take_complete(&mut one_gone, "b", 2, 20);
+    assert!(!is_complete(&total(&restarted, window, None, &lifetimes)));
+    assert!(is_complete(&total(&restarted, Window(11), None, &lifetimes)));
+    // One node is silent and has sent nothing. It may go on counting without being heard.
+    let mut one_silent = collection(S);
+    let alive = [lifetime("a", 1, 1, None), lifetime("b", 2, 1, None), lifetime("me", 3, 1, None)];
+    one_silent.update_lifetimes(window, &alive);
+    let lifetimes =
+        [lifetime("a", 1, 1, Some(53)), lifetime("b", 2, 1, None), lifetime("me", 3, 1, None)];
+    one_silent.update_lifetimes(window, &lifetimes);
+    apply_complete(&mut one_silent, "b", 2, 20);
     for later in [window, Window(11), Window(13)] {
-        assert_eq!(total(&one_gone, later, None, &lives).missing, 1.0);
+        assert_eq!(total(&one_silent, later, None, &lifetimes).missing, 1.0);
     }
-    assert_eq!(total(&one_gone, Window(14), None, &lives).missing, 0.0);
+    assert_eq!(total(&one_silent, Window(14), None, &lifetimes).missing, 0.0);
 }
 
 #[test]
-fn total_new_node_nothing_lost() {
+fn total_new_node_nothing_missing() {
     let mut collection = collection(S);
-    let lives = [life("a", 1, 52, None), life("me", 3, 1, None)];
-    collection.update_lifetimes(Window(10), &lives);
-    take_complete(&mut collection, "a", 1, 11);
-    assert_eq!(total(&collection, Window(10), None, &lives).missing, 0.0);
+    let lifetimes = [lifetime("a", 1, 52, None), lifetime("me", 3, 1, None)];
+    collection.update_lifetimes(Window(10), &lifetimes);
+    apply_complete(&mut collection, "a", 1, 11);
+    assert_eq!(total(&collection, Window(10), None, &lifetimes).missing, 0.0);
 }
 
-/// Guards against a collector that takes a window for complete when a part of it was lost on the way.
+/// A collector must not treat a window as complete when one of its messages was lost.
 #[test]
 fn messages_complete_only_with_all_counts() {
     let mut tally = Tally::default();
@@ -241,49 +245,50 @@
         }
         messages.iter().map(|message| message.complete.0).collect::<Vec<_>>()
     };
-    assert_eq!(round(7, MOST_COUNTS + 1, &[0, 1]), [7, 7]);
-    // Two messages have counts of the window that has ended: neither alone completes it.
-    assert_eq!(round(8, MOST_COUNTS + 1, &[0]), [7, 7]);
-    assert_eq!(round(8, 0, &[]), Vec::<u64>::new(), "one is on its way");
-    assert_eq!(round(8, 0, &[0]), [8], "it is sent again, and is all that is missing");
-    assert_eq!(round(8, 0, &[]), Vec::<u64>::new(), "the collector knows");
+    assert_eq!(round(7, MAX_COUNTS_PER_MESSAGE + 1, &[0, 1]), [7, 7]);
+    // Two messages carry counts of the ended window, so neither alone completes it.
+    assert_eq!(round(8, MAX_COUNTS_PER_MESSAGE + 1, &[0]), [7, 7]);
+    assert_eq!(round(8, 0, &[]), Vec::<u64>::new(), "one message is in flight");
+    assert_eq!(round(8, 0, &[0]), [8], "the lost message is sent again and completes the window");
+    assert_eq!(round(8, 0, &[]), Vec::<u64>::new(), "the collector has everything");
 }
 
-/// Guards against two reports of one window with different counts.
+/// One window must not be reported twice with different counts.
 #[test]
 fn settle_window_once() {
     let ledger = Ledger::starting_at(Window(7));
-    let (ledger, _) = ledger.settle(Window(7), counts(&[("x", 1)])).expect("it is open");
+    let (ledger, _) = ledger.settle(Window(7), counts(&[("x", 1)])).expect("the window is open");
     assert!(ledger.settle(Window(7), counts(&[("x", 2)])).is_none());
-    let text = serde_json::to_string(&ledger).expect("it is JSON");
-    let mut again: Ledger = serde_json::from_str(&text).expect("it reads");
-    assert_eq!(again, ledger);
-    assert_eq!(again.due().map(|s| s.window), Some(Window(7)));
-    again.mark_reported(Window(7));
-    assert_eq!((again.due(), again.next), (None, Window(8)));
+    let text = serde_json::to_string(&ledger).expect("serializable");
+    let mut restored: Ledger = serde_json::from_str(&text).expect("deserializable");
+    assert_eq!(restored, ledger);
+    assert_eq!(restored.due().map(|s| s.window), Some(Window(7)));
+    restored.mark_reported(Window(7));
+    assert_eq!((restored.due(), restored.next), (None, Window(8)));
 }
 
 #[test]
-fn settle_too_many_waiting_oldest_given_up() {
+fn settle_too_many_waiting_oldest_dropped() {
     let mut ledger = Ledger::starting_at(Window(0));
-    let mut given_up = Vec::new();
-    for window in 0..MOST_WAITING as u64 + 2 {
-        let (next, old) = ledger.settle(Window(window), Counts::new()).expect("it is open");
-        given_up.extend(old.map(|settled| settled.window));
+    let mut dropped = Vec::new();
+    for window in 0..MAX_WAITING as u64 + 2 {
+        let (next, oldest) =
+            ledger.settle(Window(window), Counts::new()).expect("the window is open");
+        dropped.extend(oldest.map(|settled| settled.window));
         ledger = next;
     }
-    assert_eq!(given_up, [Window(0), Window(1)]);
+    assert_eq!(dropped, [Window(0), Window(1)]);
 }
 
 fn wall(seconds: f64) -> SystemTime {
     UNIX_EPOCH + Duration::from_secs_f64(1e9 + seconds)
 }
 
-fn off(estimate: &Estimate, now: Instant, true_time: f64) -> f64 {
+fn error(estimate: &Estimate, now: Instant, true_time: f64) -> f64 {
     (estimate.at(now).as_secs_f64() - 1e9 - true_time).abs()
 }
 
-/// Guards against requests counted in a wrong window while a VM's time of day is off by seconds.
+/// A wall clock that is temporarily off by seconds must not move requests into a wrong window.
 #[test]
 fn estimate_step_not_followed() {
     let start = Instant::now();
@@ -292,7 +297,7 @@
         let step = if (10..30).contains(&n) { 2.0 } else { 0.0 };
         let now = start + S * n / 4;
         estimate.note_wall(now, wall(f64::from(n) / 4.0 + step));
-        assert!(off(&estimate, now, f64::from(n) / 4.0) < 0.01);
+        assert!(error(&estimate, now, f64::from(n) / 4.0) < 0.01);
     }
 }
 
@@ -301,16 +306,17 @@
     let start = Instant::now();
     let mut estimate = Estimate::new(start, wall(0.0));
     for n in 1..10_000 {
-        // The monotonic clock loses 100 us a second.
+        // The monotonic clock runs slow by 100 us per second.
         let (now, time) = (start + S * n, f64::from(n) * 1.000_1);
         estimate.note_wall(now, wall(time));
-        assert!(off(&estimate, now, time) < 0.05);
+        assert!(error(&estimate, now, time) < 0.05);
     }
 }
 
-/// Guards against a third of the nodes that started while their clocks were off by seconds.
+/// Nodes that started while their clocks were off by seconds, here a third of all, converge to the time
+/// of the others.
 #[test]
-fn estimate_of_third_off_put_right() {
+fn estimate_third_of_nodes_off_corrected() {
     let start = Instant::now();
     let names: Vec<NodeId> = (0..30).map(|n| node(&format!("edge-{n}"))).collect();
     let mut all: Vec<Estimate> =
@@ -326,6 +332,6 @@
         }
     }
     let true_time = (now - start).as_secs_f64();
-    let most = all.iter().map(|estimate| off(estimate, now, true_time)).fold(0.0, f64::max);
-    assert!(most < 0.3, "{most} s off");
+    let largest = all.iter().map(|estimate| error(estimate, now, true_time)).fold(0.0, f64::max);
+    assert!(largest < 0.3, "{largest} s off");
 }
