--- a/lib/src/scale/mod.rs
+++ b/lib/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! How many runners a service has in each data centre.
+//! Autoscaling: the number of runners that a service has in each data centre.
 
 pub mod need;
 pub mod plan;
--- a/lib/src/scale/need.rs
+++ b/lib/src/scale/need.rs
@@ -1,83 +1,88 @@
-//! How many runners a load needs.
+//! The number of runners that the load of a service requires.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// By what the number is chosen.
+/// How the required number of runners is determined.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Policy {
-    /// As many as there were.
+    /// The number of runners at the start of the deployment.
     InitialCount,
-    /// By the peak of a sliding window, with headroom.
+    /// The peak load within a sliding window, plus headroom.
     Peak,
 }
 
-/// How long a peak counts. Bursts come every few seconds, faster than a runner starts, so what they
-/// need has to be there before them.
-const WINDOW: Duration = Duration::from_secs(30);
-/// How long the load has to have been seen before fewer runners are needed than there were.
-const SEEN: Duration = Duration::from_secs(12);
-/// How long the number of runners has to have been no higher for it to be taken as what there is: at
-/// the start of a deployment they come one after the other.
-const STEADY: Duration = Duration::from_secs(2);
-/// The part of a runner's time that the load may take at its peak.
-const UTILISATION: f64 = 0.6;
+/// The length of the sliding window. Load bursts arrive every few seconds, faster than a runner boots,
+/// so the capacity for them has to be in place beforehand.
+const PEAK_WINDOW: Duration = Duration::from_secs(30);
+/// How long the load must have been observed before fewer runners than at the start can be required.
+const MIN_OBSERVATION: Duration = Duration::from_secs(12);
+/// How long the number of runners must not have risen for it to count as the initial one. At the start
+/// of a deployment runners come up one after the other.
+const STABLE_AFTER: Duration = Duration::from_secs(2);
+/// The share of a runner's time that the peak load may take.
+const MAX_UTILISATION: f64 = 0.6;
 
-/// What is needed.
+/// The capacity that a service requires.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Needed {
-    /// How many runners.
+pub struct RequiredCapacity {
+    /// The number of runners.
     pub count: u32,
-    /// Whether that is known well enough for runners to be given back.
-    pub steady: bool,
+    /// Whether the number is known well enough to give runners back.
+    pub is_stable: bool,
 }
 
-/// The need of one service.
+/// Estimates the capacity that one service requires.
 #[derive(Clone, Debug)]
 pub struct CapacityEstimator {
     policy: Policy,
-    /// When load was first seen.
-    since: Option<Instant>,
-    /// The peaks that count, each lower than the one before.
+    /// When load was first observed.
+    load_since: Option<Instant>,
+    /// The peaks within the window, each lower than the one before.
     peaks: VecDeque<(Instant, f64)>,
-    /// How many runners there were at first, and since when that is known.
-    found: u32,
-    grown: Option<Instant>,
+    /// The number of runners at the start.
+    initial: u32,
+    /// When `initial` last rose.
+    initial_since: Option<Instant>,
 }
 
 impl CapacityEstimator {
-    /// The need of a service of which nothing has been seen.
+    /// An estimator for a service that has not been observed yet.
     pub fn new(policy: Policy) -> Self {
-        Self { policy, since: None, peaks: VecDeque::new(), found: 0, grown: None }
+        Self { policy, load_since: None, peaks: VecDeque::new(), initial: 0, initial_since: None }
     }
 
-    /// Takes in the load, in runners that would be busy all the time with it, and how many serve now.
-    /// Gives how many are needed.
-    pub fn update(&mut self, now: Instant, busy: f64, serving: u32) -> Needed {
-        let is_steady = |at: Instant| now.saturating_duration_since(at) >= STEADY;
-        let steady = self.grown.is_some_and(is_steady);
-        if serving > self.found && !steady {
-            (self.found, self.grown) = (serving, Some(now));
+    /// Updates the estimate and returns it. `busy` is the load as the number of runners that it would
+    /// keep fully busy, `serving` the number of runners that take work.
+    pub fn update(&mut self, now: Instant, busy: f64, serving: u32) -> RequiredCapacity {
+        let is_settled = |at: Instant| now.saturating_duration_since(at) >= STABLE_AFTER;
+        let is_stable = self.initial_since.is_some_and(is_settled);
+        if serving > self.initial && !is_stable {
+            (self.initial, self.initial_since) = (serving, Some(now));
         }
         if busy > 0.0 {
-            self.since.get_or_insert(now);
+            self.load_since.get_or_insert(now);
         }
         while self.peaks.back().is_some_and(|(_, peak)| *peak <= busy) {
             self.peaks.pop_back();
         }
         self.peaks.push_back((now, busy));
-        while self.peaks.front().is_some_and(|(at, _)| now.saturating_duration_since(*at) > WINDOW)
+        while self
+            .peaks
+            .front()
+            .is_some_and(|(at, _)| now.saturating_duration_since(*at) > PEAK_WINDOW)
         {
             self.peaks.pop_front();
         }
-        let found = f64::from(self.found);
-        let seen = self.since.is_some_and(|at| now.saturating_duration_since(at) >= SEEN);
-        let peak = self.peaks.front().map_or(0.0, |(_, peak)| *peak) / UTILISATION;
-        let need = match self.policy {
-            Policy::InitialCount => found,
-            Policy::Peak if seen => peak,
-            Policy::Peak => peak.max(found),
+        let initial = f64::from(self.initial);
+        let is_observed =
+            self.load_since.is_some_and(|at| now.saturating_duration_since(at) >= MIN_OBSERVATION);
+        let peak = self.peaks.front().map_or(0.0, |(_, peak)| *peak) / MAX_UTILISATION;
+        let count = match self.policy {
+            Policy::InitialCount => initial,
+            Policy::Peak if is_observed => peak,
+            Policy::Peak => peak.max(initial),
         };
-        Needed { count: need.ceil() as u32, steady }
+        RequiredCapacity { count: count.ceil() as u32, is_stable }
     }
 }
--- a/lib/src/scale/plan.rs
+++ b/lib/src/scale/plan.rs
@@ -1,90 +1,90 @@
-//! Which numbers of runners are ordered, by what is needed and what is there.
+//! Decides how many runners to order in each data centre, from the required and the present capacity.
 //!
-//! Runners are billed by the second. Reclaimable ones cost a part of that, and all of a data centre's
-//! may be taken back at once. So reclaimable ones carry the load, spread so that the loss of one data
-//! centre's leaves what the load needs, and a few that cannot be taken back stay in each. A number is
-//! lowered only once the runners that replace it serve.
+//! Runners are billed by the second. Reclaimable runners cost a fraction of the price of regular ones,
+//! but all reclaimable runners of a data centre can be taken back at once. So reclaimable runners carry
+//! the load, spread such that the loss of those of one data centre leaves the required capacity, and a
+//! few regular runners stay in each data centre. A number is lowered only once the replacements serve.
 
 use std::time::{Duration, Instant};
 
 use smallvec::SmallVec;
 
-use super::need::Needed;
+use super::need::RequiredCapacity;
 use crate::id::DataCentre;
 
-/// The bounds and prices of a service whose runners are ordered.
+/// The bounds and prices of a service that is scaled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scaling {
-    /// The fewest and the most runners in each data centre, of both kinds together.
+    /// The minimum and maximum number of runners per data centre, of both kinds together.
     pub bounds: (u32, u32),
-    /// How long a new runner takes to serve.
+    /// The time from the order of a runner until it takes work.
     pub boot: Duration,
-    /// What a reclaimable runner costs against one that is not; none where there are none.
+    /// The price of a reclaimable runner relative to a regular one; `None` where there are none.
     pub reclaimable_price: Option<f64>,
-    /// The price of a runner's second in each data centre.
+    /// The price of a runner per second in each data centre.
     pub prices: Vec<(DataCentre, f64)>,
 }
 
-/// The kinds of runners.
+/// The kind of a runner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// They stay until they are given back.
+    /// Stays until it is given back.
     Regular,
-    /// They may be taken back.
+    /// Can be taken back by the platform at any time.
     Reclaimable,
 }
 
 /// The runners of one data centre.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Supply {
-    /// Those of each kind that are there and do not leave: regular, and reclaimable.
+    /// The number of runners that are present and not leaving: regular, reclaimable.
     pub ready: [u32; 2],
-    /// Those of them that take work.
+    /// The number of those that take work.
     pub serving: [u32; 2],
 }
 
-/// One order: a number of runners of a kind in a data centre.
+/// An order that sets the number of runners of one kind in one data centre.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
-    /// The place of the data centre in the list of prices.
+    /// The index of the data centre in [`Scaling::prices`].
     pub data_centre: usize,
-    /// The kind.
+    /// The kind of runner.
     pub kind: Kind,
-    /// How many.
+    /// The number of runners.
     pub count: u32,
 }
 
-/// The share of the runners that cannot be taken back, and at least one in each data centre: what
-/// still serves should all others be taken back at once.
+/// The share of regular runners, with at least one in each data centre. They keep serving when all
+/// others are taken back at once.
 const REGULAR_SHARE: f64 = 0.06;
-/// How long after none were to be had in a data centre some are ordered there again.
-const DRY: Duration = Duration::from_millis(2_000);
-/// How much longer than a new runner takes to serve an order is waited for before it is repeated.
-const LATE: Duration = Duration::from_millis(2_500);
-/// The share of what is needed below which the runners that serve are too few, and regular ones are
-/// ordered in place of reclaimable ones that are not to be had.
-const SHORT: f64 = 0.8;
-
-/// What was ordered last of one kind in one data centre.
+/// How long after an order failed for lack of runners it is repeated in that data centre.
+const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_millis(2_000);
+/// How long to wait beyond the boot time before an order is repeated.
+const ORDER_GRACE: Duration = Duration::from_millis(2_500);
+/// The share of the required capacity below which regular runners are ordered in place of reclaimable
+/// ones that are unavailable.
+const SHORTAGE_SHARE: f64 = 0.8;
+
+/// The last order for one kind in one data centre.
 #[derive(Clone, Copy, Debug, Default)]
-struct Ordered {
+struct LastOrder {
     count: Option<u32>,
     at: Option<Instant>,
-    dry: Option<Instant>,
+    unavailable_at: Option<Instant>,
 }
 
-/// What a plan is made from.
+/// The inputs of a plan.
 #[derive(Clone, Copy)]
-struct Seen<'a> {
+struct Inputs<'a> {
     now: Instant,
     scaling: &'a Scaling,
     supply: &'a [Supply],
 }
 
-/// The orders for one service.
+/// Plans the orders for one service.
 #[derive(Debug, Default)]
 pub struct Planner {
-    ordered: Vec<[Ordered; 2]>,
+    last_orders: Vec<[LastOrder; 2]>,
 }
 
 impl Kind {
@@ -97,88 +97,97 @@
 }
 
 impl Planner {
-    /// The orders to give at `now`. `supply` has the runners by the places of the list of prices, and
-    /// `needed` is how many have to serve, also while one data centre's reclaimable ones are away.
+    /// Returns the orders to place at `now`. `supply` has the runners by data centre, in the order of
+    /// [`Scaling::prices`]. `required` has to be served even while the reclaimable runners of one data
+    /// centre are unavailable.
     pub fn plan(
         &mut self,
         now: Instant,
         scaling: &Scaling,
         supply: &[Supply],
-        needed: Needed,
+        required: RequiredCapacity,
     ) -> SmallVec<[Order; 8]> {
-        let need = needed.count;
-        self.ordered.resize_with(scaling.prices.len(), Default::default);
+        let need = required.count;
+        self.last_orders.resize_with(scaling.prices.len(), Default::default);
         let mut orders = SmallVec::new();
         if supply.len() != scaling.prices.len() || supply.is_empty() || need == 0 {
             return orders;
         }
-        let seen = Seen { now, scaling, supply };
-        let goal = Goal::new(scaling, need);
+        let inputs = Inputs { now, scaling, supply };
+        let target = Target::new(scaling, need);
         let serving: u32 = supply.iter().flat_map(|s| s.serving).sum();
         if scaling.reclaimable_price.is_some() {
             for (data_centre, runners) in supply.iter().enumerate() {
-                let count = goal.reclaimable(scaling, runners);
+                let count = target.reclaimable(scaling, runners);
                 let wanted = Order { data_centre, kind: Kind::Reclaimable, count };
-                self.raise(&seen, wanted, &mut orders);
+                self.increase(&inputs, wanted, &mut orders);
             }
         }
-        // What serves in their place may be given back for them.
-        let instead: u32 = supply.iter().map(|s| s.serving[1]).sum();
-        let spare = serving.saturating_sub(need).min(instead);
-        let mut spare = if needed.steady { spare } else { 0 };
+        // A regular runner may be given back only for a reclaimable one that already serves.
+        let replacements: u32 = supply.iter().map(|s| s.serving[1]).sum();
+        let spare = serving.saturating_sub(need).min(replacements);
+        let mut spare = if required.is_stable { spare } else { 0 };
         for data_centre in scaling.by_price().into_iter().rev() {
             let have = supply[data_centre].ready[0];
-            let fewer = have.saturating_sub(goal.regular).min(spare);
+            let fewer = have.saturating_sub(target.regular).min(spare);
             if fewer > 0 && scaling.reclaimable_price.is_some() {
                 spare -= fewer;
                 let wanted = Order { data_centre, kind: Kind::Regular, count: have - fewer };
                 self.order(now, wanted, &mut orders);
             }
         }
-        if f64::from(serving) < f64::from(need) * SHORT {
-            self.make_up(&seen, need - serving, &mut orders);
+        if f64::from(serving) < f64::from(need) * SHORTAGE_SHARE {
+            self.cover_shortage(&inputs, need - serving, &mut orders);
         }
         orders
     }
 
-    /// Orders regular runners for those that are missing, where they cost least.
-    fn make_up(&mut self, seen: &Seen<'_>, missing: u32, orders: &mut SmallVec<[Order; 8]>) {
+    /// Orders `missing` regular runners, in the cheapest data centres first.
+    fn cover_shortage(
+        &mut self,
+        inputs: &Inputs<'_>,
+        missing: u32,
+        orders: &mut SmallVec<[Order; 8]>,
+    ) {
         let mut missing = missing;
-        for data_centre in seen.scaling.by_price() {
-            let [regular, reclaimable] = seen.supply[data_centre].ready;
-            let room = seen.scaling.bounds.1.saturating_sub(regular + reclaimable);
+        for data_centre in inputs.scaling.by_price() {
+            let [regular, reclaimable] = inputs.supply[data_centre].ready;
+            let room = inputs.scaling.bounds.1.saturating_sub(regular + reclaimable);
             let more = room.min(missing);
             missing -= more;
             if more > 0 {
                 let wanted = Order { data_centre, kind: Kind::Regular, count: regular + more };
-                self.raise(seen, wanted, orders);
+                self.increase(inputs, wanted, orders);
             }
         }
     }
 
-    /// Orders `count` runners where fewer serve, unless such an order is being carried out or none are
-    /// to be had.
-    fn raise(&mut self, seen: &Seen<'_>, wanted: Order, orders: &mut SmallVec<[Order; 8]>) {
-        let Seen { now, scaling, supply } = *seen;
+    /// Places an order that raises the number of runners, unless the same order is being carried out or
+    /// runners were unavailable a moment ago.
+    fn increase(&mut self, inputs: &Inputs<'_>, wanted: Order, orders: &mut SmallVec<[Order; 8]>) {
+        let Inputs { now, scaling, supply } = *inputs;
         let Order { data_centre, kind, count } = wanted;
-        let last = self.ordered[data_centre][kind.index()];
+        let last = self.last_orders[data_centre][kind.index()];
         let within = |at: Option<Instant>, limit: Duration| {
             at.is_some_and(|at| now.saturating_duration_since(at) < limit)
         };
-        if supply[data_centre].ready[kind.index()] >= count || within(last.dry, DRY) {
+        if supply[data_centre].ready[kind.index()] >= count
+            || within(last.unavailable_at, UNAVAILABLE_RETRY_DELAY)
+        {
             return;
         }
         let is_same = last.count == Some(count);
-        if is_same && within(last.at, scaling.boot + LATE) {
+        if is_same && within(last.at, scaling.boot + ORDER_GRACE) {
             return;
         }
         self.order(now, wanted, orders);
     }
 
+    /// Places an order unless the same one was placed a moment ago.
     fn order(&mut self, now: Instant, wanted: Order, orders: &mut SmallVec<[Order; 8]>) {
         let Order { data_centre, kind, count } = wanted;
-        let last = &mut self.ordered[data_centre][kind.index()];
-        let recently = last.at.is_some_and(|at| now.saturating_duration_since(at) < LATE);
+        let last = &mut self.last_orders[data_centre][kind.index()];
+        let recently = last.at.is_some_and(|at| now.saturating_duration_since(at) < ORDER_GRACE);
         if last.count == Some(count) && recently {
             return;
         }
@@ -187,47 +196,47 @@
         orders.push(wanted);
     }
 
-    /// Notes that none were to be had.
+    /// Records that no runners were available for an order.
     pub fn record_unavailable(&mut self, now: Instant, order: &Order) {
-        let last = &mut self.ordered[order.data_centre][order.kind.index()];
-        *last = Ordered { count: None, at: None, dry: Some(now) };
+        let last = &mut self.last_orders[order.data_centre][order.kind.index()];
+        *last = LastOrder { count: None, at: None, unavailable_at: Some(now) };
     }
 
-    /// Notes that an order was not taken, or perhaps not: it is given again.
+    /// Records that an order was not accepted, or may not have been, so that it is repeated.
     pub fn record_failed(&mut self, order: &Order) {
-        self.ordered[order.data_centre][order.kind.index()] = Ordered::default();
+        self.last_orders[order.data_centre][order.kind.index()] = LastOrder::default();
     }
 }
 
-/// What there should be in each data centre.
+/// The target number of runners per data centre.
 #[derive(Clone, Copy, Debug)]
-struct Goal {
+struct Target {
     regular: u32,
     reclaimable: u32,
 }
 
-impl Goal {
+impl Target {
     fn new(scaling: &Scaling, need: u32) -> Self {
-        let places = scaling.prices.len() as f64;
+        let data_centres = scaling.prices.len() as f64;
         let need = f64::from(need);
-        let regular = (need * REGULAR_SHARE / places).ceil().max(f64::from(scaling.bounds.0));
-        // Where one data centre's are away, the others' have to do.
-        let others = (places - 1.0).max(1.0);
-        let reclaimable = ((need - regular * places) / others).ceil().max(0.0);
+        let regular = (need * REGULAR_SHARE / data_centres).ceil().max(f64::from(scaling.bounds.0));
+        // The load has to fit even while the reclaimable runners of one data centre are unavailable.
+        let others = (data_centres - 1.0).max(1.0);
+        let reclaimable = ((need - regular * data_centres) / others).ceil().max(0.0);
         Self { regular: regular as u32, reclaimable: reclaimable as u32 }
     }
 
-    /// How many reclaimable runners there should be in a data centre, within its bounds.
+    /// The target number of reclaimable runners in a data centre, within its bounds.
     fn reclaimable(&self, scaling: &Scaling, supply: &Supply) -> u32 {
         self.reclaimable.min(scaling.bounds.1.saturating_sub(supply.ready[0].max(self.regular)))
     }
 }
 
 impl Scaling {
-    /// The places of the data centres, those with the lowest price first.
+    /// The indexes of the data centres, cheapest first.
     fn by_price(&self) -> Vec<usize> {
-        let mut places: Vec<usize> = (0..self.prices.len()).collect();
-        places.sort_by(|a, b| self.prices[*a].1.total_cmp(&self.prices[*b].1));
-        places
+        let mut data_centres: Vec<usize> = (0..self.prices.len()).collect();
+        data_centres.sort_by(|a, b| self.prices[*a].1.total_cmp(&self.prices[*b].1));
+        data_centres
     }
 }
