--- a/lib/src/account/directory.rs
+++ b/lib/src/account/directory.rs
@@ -1,4 +1,4 @@
-//! The accounts of one configuration, found by the digest of a key.
+//! The client accounts of one configuration, indexed by key digest.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,113 +9,115 @@
 use crate::hash::Digest;
 use crate::id::AccountId;
 
-/// The longest key that is accepted, in bytes.
-pub const LONGEST_KEY: usize = 256;
-/// The most faults of one configuration that are kept for the log.
-const MOST_FAULTS: usize = 16;
+/// The maximum length of a key in bytes.
+pub const MAX_KEY_LEN: usize = 256;
+/// The maximum number of faults per configuration that are kept for the log.
+const MAX_FAULTS: usize = 16;
 
-/// The most keys that were taken away and are remembered.
-const MOST_RETIRED: usize = 4_096;
+/// The maximum number of removed keys that are remembered.
+const MAX_RETIRED_KEYS: usize = 4_096;
 
 /// A client account.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Account {
-    /// Its name, which runners are told.
+    /// The name of the account, which is passed on to runners.
     pub name: AccountId,
-    /// The rank of its requests, 0 the highest; none where that of the route holds.
+    /// The rank of its requests, with 0 as the highest; `None` to use the rank of the route.
     pub rank: Option<u8>,
 }
 
-/// An account as a configuration gives it, with the digests of its keys.
+/// An account in a configuration, with the digests of its keys.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
     /// The account.
     pub account: Account,
-    /// Digests of its keys.
+    /// The digests of its keys.
     pub keys: SmallVec<[Digest; 2]>,
 }
 
-/// A part of a configuration's accounts that is not used.
+/// A problem in the accounts of a configuration; the part that it concerns is not used.
 #[derive(Clone, Debug, Error, Eq, PartialEq)]
 pub enum Fault {
-    /// An account has no usable name.
+    /// The name of an account is invalid.
     #[error("account {position}: {detail}")]
     Name {
-        /// Its place in the list.
+        /// The position of the account in the list.
         position: usize,
-        /// What is wrong with the name.
+        /// Why the name is invalid.
         detail: SmolStr,
     },
-    /// An account has a key that no request can carry.
-    #[error("account {account}: a key of {length} bytes is not used")]
+    /// A key is empty or too long for a request to carry.
+    #[error(
+        "account {account}: ignoring a key of {length} bytes, must be 1 to {MAX_KEY_LEN} bytes"
+    )]
     Key {
         /// The account.
         account: AccountId,
         /// The length of the key, in bytes.
         length: usize,
     },
-    /// Two accounts have one name; their keys count for the first.
-    #[error("account {account} is named twice")]
+    /// Two accounts have the same name; the keys of both belong to the first.
+    #[error("account {account} is defined more than once")]
     NamedTwice {
         /// The account.
         account: AccountId,
     },
-    /// A key names two accounts, and so none.
-    #[error("one key belongs to {first} and to {second}; it is not used")]
+    /// Two accounts have the same key, which therefore identifies neither.
+    #[error("accounts {first} and {second} have the same key, which is ignored")]
     Shared {
-        /// An account that has the key.
+        /// The first account with the key.
         first: AccountId,
-        /// Another one.
+        /// The second account with the key.
         second: AccountId,
     },
 }
 
-/// The digest of a key, if it is one that a configuration may hold.
+/// The digest of a key, or `None` if the key is empty or too long.
 pub fn digest(key: &[u8]) -> Option<Digest> {
-    (1..=LONGEST_KEY).contains(&key.len()).then(|| Digest::of(key))
+    (1..=MAX_KEY_LEN).contains(&key.len()).then(|| Digest::of(key))
 }
 
-/// The accounts of one configuration. Keys are kept as digests only, so that no dump of the memory
-/// or the state shows one.
+/// The accounts of one configuration. Keys are kept as digests only, so that dumps of memory or state do
+/// not reveal them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Directory {
     accounts: Vec<Account>,
-    /// The place of the account of each key.
+    /// The index of the account of each key.
     keys: HashMap<Digest, u32>,
-    /// Keys that earlier configurations had, and this one has not.
+    /// Keys of earlier configurations that are no longer in this one.
     retired: HashSet<Digest>,
     faults: Vec<Fault>,
 }
 
 impl Directory {
-    /// A directory of these accounts. What cannot be used of them is left out and told by
-    /// [`Directory::faults`], after `faults` that were found before.
+    /// Builds a directory from `entries`. Invalid parts are left out and listed in [`Directory::faults`],
+    /// after the given `faults`.
     pub fn new(entries: impl IntoIterator<Item = Entry>, faults: Vec<Fault>) -> Self {
         let mut directory = Self { faults, ..Self::default() };
-        let mut places: HashMap<AccountId, u32> = HashMap::new();
+        let mut indexes: HashMap<AccountId, u32> = HashMap::new();
         let mut shared = Vec::new();
         for Entry { account, keys } in entries {
             let next = u32::try_from(directory.accounts.len()).unwrap_or(u32::MAX);
-            let place = *places.entry(account.name.clone()).or_insert(next);
-            if place == next {
+            let index = *indexes.entry(account.name.clone()).or_insert(next);
+            if index == next {
                 directory.accounts.push(account);
             } else {
                 directory.faults.push(Fault::NamedTwice { account: account.name });
             }
             for key in keys {
-                let owner = *directory.keys.entry(key).or_insert(place);
-                if owner != place {
-                    shared.push((key, owner, place));
+                let owner = *directory.keys.entry(key).or_insert(index);
+                if owner != index {
+                    shared.push((key, owner, index));
                 }
             }
         }
         for (key, first, second) in shared {
             directory.keys.remove(&key);
-            let name = |place: u32| directory.accounts[place as usize].name.clone();
+            let name = |index: u32| directory.accounts[index as usize].name.clone();
             let fault = Fault::Shared { first: name(first), second: name(second) };
             directory.faults.push(fault);
         }
-        directory.faults.truncate(MOST_FAULTS);
+        directory.faults.truncate(MAX_FAULTS);
         directory
     }
 
@@ -124,15 +126,16 @@
         self.accounts.get(*self.keys.get(key)? as usize)
     }
 
-    /// Takes over which keys were taken away, from the directory before this one. Requests go on coming
-    /// with such keys for long; each would cost a check that no newer configuration has it.
-    pub fn inherit_retired_keys(&mut self, before: &Directory) {
-        let old = before.keys.keys().chain(&before.retired);
-        let gone = old.filter(|key| !self.keys.contains_key(key)).copied();
-        self.retired = gone.take(MOST_RETIRED).collect();
+    /// Takes over the retired keys from the previous directory, and adds those that this one no longer
+    /// has. Requests with retired keys keep arriving for a long time. Without this, each would cause a
+    /// check for a newer configuration that has the key.
+    pub fn inherit_retired_keys(&mut self, previous: &Directory) {
+        let old = previous.keys.keys().chain(&previous.retired);
+        let retired = old.filter(|key| !self.keys.contains_key(key)).copied();
+        self.retired = retired.take(MAX_RETIRED_KEYS).collect();
     }
 
-    /// Whether a key was taken away.
+    /// Whether a key was in an earlier configuration and has been removed.
     pub fn is_retired(&self, key: &Digest) -> bool {
         self.retired.contains(key)
     }
@@ -142,34 +145,34 @@
         &self.accounts
     }
 
-    /// How many keys there are.
+    /// The number of keys.
     pub fn keys(&self) -> usize {
         self.keys.len()
     }
 
-    /// What of the configuration's accounts is not used.
+    /// The problems in the accounts of the configuration.
     pub fn faults(&self) -> &[Fault] {
         &self.faults
     }
 }
 
-/// Whose a request is.
+/// The account of a request, or why it has none.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Identity {
-    /// Nobody's in particular: the configuration has no accounts, or the route needs no key.
+    /// No account is needed: the configuration has none, or the route accepts requests without a key.
     Anonymous,
-    /// An account's.
+    /// The key belongs to this account.
     Account(Account),
-    /// It has no key and needs one.
+    /// The request has no key, and the route requires one.
     NoKey,
-    /// No account of this configuration has its key.
+    /// No account of this configuration has the key.
     UnknownKey,
-    /// Its key was taken away.
+    /// The key was removed by an earlier configuration change.
     RetiredKey,
 }
 
-/// Finds whose a request is, by its `key` and whether its route is `anonymous`. `directory` is none
-/// where the configuration has no accounts.
+/// Identifies the account of a request by its `key`. `anonymous` says whether its route accepts requests
+/// without a valid key. `directory` is `None` if the configuration has no accounts.
 pub fn identify(directory: Option<&Directory>, anonymous: bool, key: Option<&[u8]>) -> Identity {
     let Some(directory) = directory else { return Identity::Anonymous };
     let digest = key.and_then(digest);
--- a/lib/src/account/freshness.rs
+++ b/lib/src/account/freshness.rs
@@ -1,16 +1,16 @@
-//! How recently a configuration is known to have been the newest.
+//! Tracks when a configuration was last confirmed to be the newest.
 //!
 //! A key that a node does not know may have been added a moment ago. Before the node refuses it, it
-//! makes sure that no newer configuration exists. One check answers all requests that came before it
-//! began, and those that come within [`CHECK_VALIDITY`] after it, so made-up keys cost a bounded number of
-//! checks however many come.
+//! checks that no newer configuration exists. One check covers all requests that arrived before it
+//! started or within [`CHECK_VALIDITY`] after its start, so requests with invalid keys cause a bounded
+//! number of checks, however many arrive.
 
 use std::time::{Duration, Instant};
 
 use crate::id::ConfigVersion;
 
-/// How long a check holds. A change has to be in force within a few seconds of its acknowledgement;
-/// this leaves most of that for the change to arrive.
+/// How long a check is valid. A change must take effect within a few seconds of its acknowledgement, and
+/// most of that time is left for its propagation.
 pub const CHECK_VALIDITY: Duration = Duration::from_secs(2);
 
 /// The last check.
@@ -20,13 +20,13 @@
 }
 
 impl Freshness {
-    /// Notes that `version` was the newest at `began`, when the check was sent.
-    pub fn record_check(&mut self, version: ConfigVersion, began: Instant) {
-        self.last = Some((version, began));
+    /// Records that a check sent at `started_at` found `version` to be the newest.
+    pub fn record_check(&mut self, version: ConfigVersion, started_at: Instant) {
+        self.last = Some((version, started_at));
     }
 
-    /// Whether `version` is known to have been the newest recently enough for a request that arrived
-    /// at `arrived`.
+    /// Whether the last check confirmed `version` recently enough for a request that arrived at
+    /// `arrived`.
     pub fn covers(&self, version: ConfigVersion, arrived: Instant) -> bool {
         self.last.is_some_and(|(checked, at)| checked == version && arrived < at + CHECK_VALIDITY)
     }
--- a/lib/src/account/mod.rs
+++ b/lib/src/account/mod.rs
@@ -1,4 +1,4 @@
-//! Client accounts and the keys by which their requests are known.
+//! Client accounts and the API keys that identify their requests.
 
 pub mod directory;
 pub mod freshness;
--- a/lib/tests/account.rs
+++ b/lib/tests/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts: keys, whose a request is, and when a configuration counts as the newest.
+//! Client accounts: keys, identification of requests, and freshness of the configuration.
 
 use std::time::{Duration, Instant};
 
@@ -26,23 +26,23 @@
 }
 
 #[test]
-fn directory_several_keys_found() {
+fn directory_finds_account_by_any_key() {
     let directory = directory(vec![entry("a", Some(1), &["k1", "k2"]), entry("b", None, &["k3"])]);
     let found = ["k1", "k2", "k3", "k4"].map(|key| name(&directory, key));
     assert_eq!(found, [Some("a"), Some("a"), Some("b"), None]);
     assert!(directory.faults().is_empty());
 }
 
-/// Guards against a request served under a wrong account where two accounts claim its key.
+/// A request whose key belongs to two accounts must not be served under either.
 #[test]
-fn directory_key_of_two_accounts_of_none() {
+fn directory_shared_key_belongs_to_no_account() {
     let directory = directory(vec![entry("a", None, &["k1", "k2"]), entry("b", None, &["k1"])]);
     assert_eq!([name(&directory, "k1"), name(&directory, "k2")], [None, Some("a")]);
     assert_eq!(directory.faults(), [Fault::Shared { first: id("a"), second: id("b") }]);
 }
 
 #[test]
-fn directory_name_twice_one_account() {
+fn directory_duplicate_name_one_account() {
     let directory = directory(vec![entry("a", Some(1), &["k1"]), entry("a", Some(7), &["k2"])]);
     assert_eq!([name(&directory, "k1"), name(&directory, "k2")], [Some("a"), Some("a")]);
     assert_eq!(directory.accounts().len(), 1);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn digest_empty_and_overlong_none() {
+fn digest_empty_or_too_long_none() {
     assert_eq!(digest(b""), None);
     assert_eq!(digest(&[b'k'; 257]), None);
     assert!(digest(&[b'k'; 256]).is_some());
@@ -58,17 +58,17 @@
 
 #[test]
 fn identify_by_route_and_key() {
-    let known = directory(vec![entry("a", Some(1), &["k1"])]);
+    let accounts = directory(vec![entry("a", Some(1), &["k1"])]);
     let account = Identity::Account(Account { name: id("a"), rank: Some(1) });
-    let of =
-        |anonymous, key: Option<&str>| identify(Some(&known), anonymous, key.map(str::as_bytes));
-    assert_eq!(of(false, Some("k1")), account);
-    assert_eq!(of(true, Some("k1")), account);
-    assert_eq!(of(false, Some("k2")), Identity::UnknownKey);
-    assert_eq!(of(false, Some("")), Identity::UnknownKey);
-    assert_eq!(of(false, None), Identity::NoKey);
-    assert_eq!(of(true, None), Identity::Anonymous);
-    assert_eq!(of(true, Some("k2")), Identity::Anonymous);
+    let result =
+        |anonymous, key: Option<&str>| identify(Some(&accounts), anonymous, key.map(str::as_bytes));
+    assert_eq!(result(false, Some("k1")), account);
+    assert_eq!(result(true, Some("k1")), account);
+    assert_eq!(result(false, Some("k2")), Identity::UnknownKey);
+    assert_eq!(result(false, Some("")), Identity::UnknownKey);
+    assert_eq!(result(false, None), Identity::NoKey);
+    assert_eq!(result(true, None), Identity::Anonymous);
+    assert_eq!(result(true, Some("k2")), Identity::Anonymous);
     assert_eq!(identify(None, false, None), Identity::Anonymous);
     assert_eq!(identify(Some(&Directory::default()), false, Some(b"k1")), Identity::UnknownKey);
 }
@@ -85,17 +85,17 @@
     assert!(!freshness.covers(ConfigVersion(8), at));
 }
 
-/// Guards against a check of the store for each request with a key that was taken away.
+/// Requests with a removed key must not each cause a check of the store.
 #[test]
-fn succeed_keys_taken_away_retired() {
+fn inherit_retired_keys_removed_keys_retired() {
     let first = directory(vec![entry("a", None, &["k1", "k2"])]);
     let mut second = directory(vec![entry("a", None, &["k2"])]);
     second.inherit_retired_keys(&first);
     let mut third = directory(vec![entry("b", None, &["k1"])]);
     third.inherit_retired_keys(&second);
-    let of = |directory, key: &str| identify(Some(directory), false, Some(key.as_bytes()));
-    assert_eq!(of(&second, "k1"), Identity::RetiredKey);
-    assert_eq!(of(&third, "k2"), Identity::RetiredKey);
-    assert!(matches!(of(&third, "k1"), Identity::Account(_)));
-    assert_eq!(of(&third, "k3"), Identity::UnknownKey);
+    let result = |directory, key: &str| identify(Some(directory), false, Some(key.as_bytes()));
+    assert_eq!(result(&second, "k1"), Identity::RetiredKey);
+    assert_eq!(result(&third, "k2"), Identity::RetiredKey);
+    assert!(matches!(result(&third, "k1"), Identity::Account(_)));
+    assert_eq!(result(&third, "k3"), Identity::UnknownKey);
 }
