--- a/lib/src/config/change.rs
+++ b/lib/src/config/change.rs
@@ -1,9 +1,9 @@
-//! A change to the configuration: a batch of edits that lands whole or not at all.
+//! A change to the configuration: a batch of edits that is applied atomically.
 //!
-//! A change is prepared against the snapshot that its author saw. When other changes have landed
-//! since, it is rebased onto them unless one of them wrote what this change read or wrote. The
-//! idea that a mere overlap in time need not abort is that of MaaT (Mahmoud and others, VLDB
-//! 2014), applied to a single head object; docs/design/configuration.md has the measurement.
+//! A change is prepared against the snapshot that its author read. When other changes have been applied
+//! since, it is rebased onto them unless one of them wrote what this change read or wrote. The idea that
+//! an overlap in time alone need not abort a transaction is that of MaaT (Mahmoud et al., VLDB 2014),
+//! applied here to a single head object; docs/design/configuration.md has the measurement.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,30 +21,31 @@
 /// One edit of one object.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Edit {
-    /// Makes a new object.
+    /// Creates an object.
     Create {
         /// The object.
         key: Key,
         /// Its fields.
         fields: Vec<Assignment>,
     },
-    /// Sets fields of an object that is there.
+    /// Sets fields of an existing object.
     Set {
         /// The object.
         key: Key,
         /// The fields to set.
         fields: Vec<Assignment>,
     },
-    /// Takes an object away.
+    /// Deletes an object.
     Delete {
         /// The object.
         key: Key,
     },
-    /// Puts an object back as it was, or takes it away where it was not. Only undo makes these.
+    /// Restores an object to an earlier state, or deletes it if it did not exist then. Only undo creates
+    /// these.
     Restore {
         /// The object.
         key: Key,
-        /// The object as it was.
+        /// The earlier state; `None` if the object did not exist.
         record: Option<Arc<Record>>,
     },
 }
@@ -61,67 +62,69 @@
     }
 }
 
-/// Why a change is refused. Nothing of it is in force anywhere.
+/// Why a change is rejected. No part of a rejected change takes effect.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum ChangeError {
-    /// An object that should be made is already there.
-    #[error("{0} exists already")]
+    /// The object to create already exists.
+    #[error("{0} already exists")]
     Exists(Key),
-    /// An object that should be edited is not there.
+    /// The object to edit does not exist.
     #[error("{0} does not exist")]
     Absent(Key),
-    /// The configuration after the change would not be right.
-    #[error("the change leaves the configuration wrong: {}", list(.0))]
+    /// The resulting configuration would be invalid.
+    #[error("the change would make the configuration invalid: {}", join_errors(.0))]
     Invalid(Vec<ObjectError>),
     /// Another change wrote what this one read or wrote.
-    #[error("{key} was changed by {author} in generation {generation} after you looked")]
+    #[error("{key} was changed by {author} in generation {generation} since you read it")]
     Conflict {
-        /// The object that both touch.
+        /// The object that both changes touch.
         key: Key,
-        /// Who made the other change.
+        /// The author of the other change.
         author: Name,
         /// The generation of the other change.
         generation: Generation,
     },
-    /// So many changes have landed that the conflict can no longer be judged.
-    #[error("generation {0} is too old to change; look again and repeat the command")]
+    /// The head no longer lists all changes since the base, so conflicts cannot be detected.
+    #[error(
+        "generation {0} is too old to base a change on; read the configuration again and repeat the command"
+    )]
     TooOld(Generation),
 }
 
-fn list(errors: &[ObjectError]) -> String {
-    let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
-    lines.join("; ")
+fn join_errors(errors: &[ObjectError]) -> String {
+    let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
+    messages.join("; ")
 }
 
-/// What a change read and wrote, by object.
+/// The read set and write set of a change.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Footprint {
-    /// The objects on which its being right depends.
+    /// The objects that the validity of the change depends on.
     pub read: BTreeSet<Key>,
-    /// The objects that it writes.
+    /// The objects that the change writes.
     pub wrote: BTreeSet<Key>,
 }
 
 impl Footprint {
-    /// The first object of `other` that this footprint touches.
+    /// The first object written by `other` that this footprint contains.
     pub fn overlap(&self, other: &Applied) -> Option<Key> {
         other.wrote.iter().find(|k| self.read.contains(k) || self.wrote.contains(k)).cloned()
     }
 }
 
-/// A change that has been applied to a snapshot but not yet to the head.
+/// A change that has been applied to a snapshot but not yet committed to the head.
 #[derive(Clone, Debug)]
 pub struct Prepared {
     /// The configuration after the change.
     pub snapshot: Snapshot,
-    /// What it read and wrote.
+    /// What the change reads and writes.
     pub footprint: Footprint,
 }
 
 /// Applies `edits` to `base`.
 ///
 /// # Errors
-/// The first edit that cannot be made, or all that is wrong with the result.
+/// The first edit that cannot be applied, or all validation errors of the result.
 pub fn prepare(base: &Snapshot, edits: &[Edit]) -> Result<Prepared, ChangeError> {
     let mut records = base.records.clone();
     let mut footprint = Footprint::default();
@@ -176,8 +179,8 @@
     }
 }
 
-/// Checks that nothing which landed between `base` and `head` touches `footprint`. The result of a
-/// rebased change is checked again as a whole, so this is about intent and not about validity.
+/// Checks that no change between `base` and `head` touches `footprint`. The result of a rebased change is
+/// validated again as a whole, so this check protects the author's intent rather than validity.
 ///
 /// # Errors
 /// [`ChangeError::Conflict`] with the other change, or [`ChangeError::TooOld`].
@@ -201,7 +204,7 @@
     Ok(())
 }
 
-/// The edits that take `from` to `to` for the objects that differ.
+/// The edits that turn `from` into `to`, one for each object that differs.
 pub fn difference(from: &Snapshot, to: &Snapshot) -> Vec<Edit> {
     let keys: BTreeSet<&Key> = from.records.keys().chain(to.records.keys()).collect();
     let differs = |key: &&Key| from.records.get(*key) != to.records.get(*key);
@@ -211,7 +214,7 @@
         .collect()
 }
 
-/// The edit that gives a runner its admission state.
+/// The edit that sets the admission state of a runner.
 pub fn admission(runner: Name, state: super::object::Admission) -> Edit {
     let key = Key { kind: Kind::Runner, name: runner };
     let value = SmolStr::new_static(state.into());
--- a/lib/src/config/choice.rs
+++ b/lib/src/config/choice.rs
@@ -1,9 +1,10 @@
-//! Values of fields that are one of a few names.
+//! Enumerated field values.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumIter, EnumString, IntoStaticStr, VariantNames};
 
-/// Declares an enum whose variants are written in snake case, in the language and in the store.
+/// Declares an enum whose variants are written in snake case, both in the query language and in the
+/// store.
 macro_rules! choice {
     ($(#[$meta:meta])* $name:ident { $($(#[$inner:meta])* $variant:ident,)* }) => {
         $(#[$meta])*
@@ -33,23 +34,23 @@
 pub(crate) use choice;
 
 choice!(
-    /// How urgent work is; the later ones go first.
+    /// The priority of requests; later variants are served first.
     #[derive(Default)]
     Priority {
-        /// Work that can wait.
+        /// Deferrable requests.
         Low,
-        /// Work without a mark.
+        /// The default.
         #[default]
         Normal,
-        /// Work that goes first.
+        /// Served before normal requests.
         High,
-        /// Work that goes before all else.
+        /// Served before all other requests.
         Urgent,
     }
 );
 
 choice!(
-    /// What a service is.
+    /// The type of a service.
     Form {
         /// Served by model engines over the completions protocol.
         Model,
@@ -59,12 +60,12 @@
 );
 
 choice!(
-    /// The work that an engine does.
+    /// The role of an engine.
     #[derive(Default)]
     Role {
-        /// Prompts only.
+        /// Prompt processing only.
         Prefill,
-        /// Output tokens only.
+        /// Output generation only.
         Decode,
         /// Both.
         #[default]
@@ -73,39 +74,39 @@
 );
 
 choice!(
-    /// What operators want of a runner.
+    /// Whether operators let a runner accept new requests.
     #[derive(Default)]
     Admission {
-        /// It takes new work.
+        /// It accepts new requests.
         #[default]
         Ready,
-        /// It finishes what it has and takes nothing new.
+        /// It finishes its current requests and accepts no new ones.
         Drain,
     }
 );
 
 choice!(
-    /// Whether a runner refuses orders with an old fencing number.
+    /// Whether a runner rejects orders with an outdated fencing token.
     #[derive(Default)]
     Fencing {
-        /// It refuses old numbers.
+        /// It rejects outdated tokens.
         Checked,
-        /// It obeys whoever speaks. The safe assumption.
+        /// It accepts orders with any token. This is the safe assumption.
         #[default]
         Ignored,
     }
 );
 
 choice!(
-    /// What an operator may do; the later ones may do all that the earlier may.
+    /// The permissions of an operator; each variant includes those of the earlier ones.
     #[derive(Default)]
     Right {
-        /// Ask.
+        /// Read only.
         #[default]
         Look,
         /// Drain runners and set fields of services, runners and policies.
         Operate,
-        /// Everything.
+        /// All operations.
         Administer,
     }
 );
--- a/lib/src/config/chunk.rs
+++ b/lib/src/config/chunk.rs
@@ -1,7 +1,7 @@
-//! Content-addressed chunks: the form in which a configuration is stored and passed on.
+//! Content-addressed chunks, in which a configuration is stored and transferred.
 //!
-//! Objects fall into a fixed number of buckets by the hash of their key, so that a change to one
-//! object makes one new chunk and one new root, whatever the size of the whole.
+//! Objects are distributed over a fixed number of buckets by the hash of their key, so that a change to
+//! one object creates one new chunk and one new root, whatever the size of the configuration.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,48 +12,48 @@
 use super::record::{Key, Record};
 use crate::hash::{Digest, place};
 
-/// How many buckets objects fall into. At 6,800 accounts and 1,600 runners of some 200 bytes a
-/// bucket has some 15 KB, far below the platform's megabyte, and the root 9 KB.
+/// The number of buckets. With 6,800 accounts and 1,600 runners of about 200 bytes each, a bucket has
+/// about 15 KB, far below the platform's limit of 1 MiB, and the root has 9 KB.
 pub const BUCKETS: usize = 128;
 
-/// The largest value that the platform's service holds, in bytes.
+/// The maximum size of a value in the platform's store, in bytes.
 pub const MAX_VALUE: usize = 1 << 20;
 
 const BUCKET_SEED: u64 = 0x6275_636b;
 
-/// The objects of one bucket as bytes, with their digest.
+/// The serialized objects of one bucket and their digest.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Chunk {
-    /// The digest of the bytes, which is the chunk's name.
+    /// The digest of the bytes, which names the chunk.
     pub digest: Digest,
-    /// The objects, written as JSON.
+    /// The objects as JSON.
     pub bytes: Vec<u8>,
 }
 
 /// The digests of all chunks of one configuration, by bucket; `None` for an empty bucket.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Root {
-    /// One entry a bucket.
+    /// One entry per bucket.
     pub chunks: Vec<Option<Digest>>,
 }
 
-/// Why bytes are not a chunk.
+/// An invalid chunk.
 #[derive(Debug, Error)]
 pub enum ChunkError {
-    /// The bytes do not have the digest that they were asked by.
-    #[error("chunk {expected} has bytes with digest {found}")]
+    /// The bytes do not have the requested digest.
+    #[error("chunk {expected} has content with digest {found}")]
     Digest {
-        /// The digest that was asked for.
+        /// The requested digest.
         expected: Digest,
-        /// The digest of what came.
+        /// The digest of the received bytes.
         found: Digest,
     },
-    /// The bytes are not JSON of the expected form.
-    #[error("chunk {digest} cannot be read: {source}")]
+    /// The bytes are not JSON of the expected type.
+    #[error("chunk {digest} cannot be parsed: {source}")]
     Form {
         /// The chunk.
         digest: Digest,
-        /// What the JSON reader says.
+        /// The JSON error.
         source: serde_json::Error,
     },
 }
@@ -65,15 +65,15 @@
 }
 
 impl Chunk {
-    /// Wraps bytes of our own making.
+    /// A chunk of locally created bytes.
     pub fn new(bytes: Vec<u8>) -> Self {
         Self { digest: Digest::of(&bytes), bytes }
     }
 
-    /// Wraps bytes from elsewhere, which must have the digest that they were asked by.
+    /// A chunk of received bytes, which must have the requested digest.
     ///
     /// # Errors
-    /// [`ChunkError::Digest`] when they have another.
+    /// [`ChunkError::Digest`] if the digest differs.
     pub fn checked(expected: Digest, bytes: Vec<u8>) -> Result<Self, ChunkError> {
         let chunk = Self::new(bytes);
         if chunk.digest != expected {
@@ -82,18 +82,18 @@
         Ok(chunk)
     }
 
-    /// Reads the chunk's JSON.
+    /// Deserializes the content.
     ///
     /// # Errors
-    /// [`ChunkError::Form`] when it is not what is expected.
+    /// [`ChunkError::Form`] if it is not JSON of type `T`.
     pub fn read<T: for<'de> Deserialize<'de>>(&self) -> Result<T, ChunkError> {
         serde_json::from_slice(&self.bytes)
             .map_err(|source| ChunkError::Form { digest: self.digest, source })
     }
 
-    /// Writes `value` as a chunk.
+    /// Serializes `value` into a chunk.
     pub fn write<T: Serialize>(value: &T) -> Self {
-        Self::new(serde_json::to_vec(value).expect("configuration types are JSON"))
+        Self::new(serde_json::to_vec(value).expect("configuration types serialize to JSON"))
     }
 }
 
@@ -117,10 +117,10 @@
     (root, chunks)
 }
 
-/// Puts records together from chunks.
+/// Reassembles records from chunks.
 ///
 /// # Errors
-/// A chunk that cannot be read.
+/// The first chunk that cannot be parsed.
 pub fn join(chunks: &[Chunk]) -> Result<BTreeMap<Key, Arc<Record>>, ChunkError> {
     let mut records = BTreeMap::new();
     for chunk in chunks {
--- a/lib/src/config/head.rs
+++ b/lib/src/config/head.rs
@@ -1,4 +1,4 @@
-//! The head object and the operation log: which configuration is in force, and how it came to be.
+//! The head object and the operation log: the configuration in force and its history.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -12,14 +12,15 @@
 use crate::hash::Digest;
 use crate::id::{Generation, Name};
 
-/// How many of the newest changes the head names itself, so that a lost answer is settled by one
-/// read. At 1,800 changes a day these reach back more than half an hour on average.
-pub const RECENT: usize = 48;
+/// The number of recent changes listed in the head itself, so that the outcome of a change whose
+/// response was lost can be determined with one read. At 1,800 changes per day they cover more than half
+/// an hour on average.
+pub const MAX_RECENT_CHANGES: usize = 48;
 
-/// The identity of one change, made by whoever asks for it. Repeating it never applies it twice.
+/// The idempotency key of a change, chosen by its author. A repeated change is never applied twice.
 ///
-/// It is written `generation.text`, with the generation that was in force when it was made: the
-/// change can have been applied only after that, which bounds how far the log is searched for it.
+/// It is written as `generation.text`, with the generation in force when it was created. The change can
+/// have been applied only after that generation, which bounds the search for it in the log.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "SmolStr", into = "SmolStr")]
 pub struct ChangeId {
@@ -27,16 +28,16 @@
     text: SmolStr,
 }
 
-/// The longest change id, in bytes.
+/// The maximum length of a change id in bytes.
 pub const MAX_CHANGE_ID: usize = 64;
 
-/// Text that is not a change id.
+/// An invalid change id.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 #[error("a change id is a generation, '.', and letters or digits, at most {MAX_CHANGE_ID} bytes")]
 pub struct ChangeIdError;
 
 impl ChangeId {
-    /// The generation that was in force when the change was asked for.
+    /// The generation that was in force when the change was requested.
     pub fn made_at(&self) -> Generation {
         self.made_at
     }
@@ -54,8 +55,8 @@
     fn from_str(id: &str) -> Result<Self, ChangeIdError> {
         let (generation, text) = id.split_once('.').ok_or(ChangeIdError)?;
         let made_at = generation.parse().map_err(|_| ChangeIdError)?;
-        let fits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric());
-        if !fits || id.len() > MAX_CHANGE_ID {
+        let is_valid_text = !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric());
+        if !is_valid_text || id.len() > MAX_CHANGE_ID {
             return Err(ChangeIdError);
         }
         Ok(Self { made_at, text: SmolStr::new(text) })
@@ -76,50 +77,50 @@
     }
 }
 
-/// The single object that says which configuration is in force.
+/// The single object that determines which configuration is in force.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Head {
     /// The generation in force.
     pub generation: Generation,
-    /// The chunk with the operation that made it.
+    /// The chunk with the operation that created this generation.
     pub operation: Digest,
-    /// The chunk with the root.
+    /// The chunk with the root of the configuration.
     pub root: Digest,
-    /// The newest changes, oldest first.
+    /// The most recent changes, oldest first.
     pub recent: VecDeque<Applied>,
-    /// How often unused chunks have been swept. A sweep writes the head before it removes anything,
-    /// so that a writer which looked before it has to look again.
+    /// The number of sweeps of unused chunks. A sweep writes the head before it removes anything, so that
+    /// writers that read the head before the sweep have to read it again.
     #[serde(default)]
     pub sweeps: u64,
 }
 
-/// A change that was applied.
+/// An applied change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Applied {
-    /// The change.
+    /// The id of the change.
     pub change: ChangeId,
-    /// The generation that it made.
+    /// The generation that it created.
     pub generation: Generation,
-    /// Who asked for it.
+    /// The author of the change.
     pub author: Name,
     /// The objects that it wrote.
     pub wrote: Vec<Key>,
 }
 
-/// One entry of the operation log, in a chunk of its own that is never changed.
+/// An entry of the operation log, stored in an immutable chunk of its own.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Operation {
-    /// The generation that it made.
+    /// The generation that it created.
     pub generation: Generation,
-    /// The operation before it; none for the first.
+    /// The previous operation; `None` for the first one.
     pub parent: Option<Digest>,
-    /// The root that it made.
+    /// The root that it created.
     pub root: Digest,
-    /// The change.
+    /// The id of the change.
     pub change: ChangeId,
-    /// Who asked for it.
+    /// The author of the change.
     pub author: Name,
-    /// The time of day, in milliseconds since 1970.
+    /// The wall-clock time, in milliseconds since the Unix epoch.
     pub at: u64,
     /// The text of the command.
     pub text: SmolStr,
@@ -128,7 +129,7 @@
 }
 
 impl Head {
-    /// The head that follows this one through `operation`, kept in chunk `digest`.
+    /// The head after `operation`, which is stored in chunk `digest`.
     pub fn advance(&self, operation: &Operation, digest: Digest) -> Self {
         let mut recent = self.recent.clone();
         recent.push_back(Applied {
@@ -137,7 +138,7 @@
             author: operation.author.clone(),
             wrote: operation.wrote.clone(),
         });
-        while recent.len() > RECENT {
+        while recent.len() > MAX_RECENT_CHANGES {
             recent.pop_front();
         }
         Self {
@@ -149,12 +150,12 @@
         }
     }
 
-    /// The application of `change`, if it is among the newest.
+    /// The entry of `change`, if it is among the recent changes.
     pub fn applied(&self, change: &ChangeId) -> Option<&Applied> {
         self.recent.iter().find(|a| &a.change == change)
     }
 
-    /// The newest changes after `base`; none if they reach further back than the head remembers.
+    /// The changes after `base`; `None` if the head no longer lists all of them.
     pub fn since(&self, base: Generation) -> Option<impl Iterator<Item = &Applied>> {
         let oldest = self.recent.front().map_or(self.generation.next(), |a| a.generation);
         (oldest <= base.next()).then(|| self.recent.iter().filter(move |a| a.generation > base))
--- a/lib/src/config/mod.rs
+++ b/lib/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration: what operators create and change, checked as a whole, kept as immutable
-//! snapshots that follow one another by generation.
+//! The configuration that operators create and change. It is validated as a whole and kept as immutable
+//! snapshots that are numbered by generation.
 
 pub mod change;
 pub mod choice;
--- a/lib/src/config/object.rs
+++ b/lib/src/config/object.rs
@@ -1,4 +1,4 @@
-//! Configuration objects in their checked form, made from records by `TryFrom`.
+//! Typed and validated configuration objects, converted from records by `TryFrom`.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,32 +13,32 @@
 use crate::id::Name;
 use crate::unit::{Percent, RequestRate};
 
-/// What is wrong with one object.
+/// A validation error in one object.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum ObjectError {
-    /// A field that the object must have is not set.
+    /// A required field is not set.
     #[error("{key}: {field} must be set: {expected}")]
     Missing {
         /// The object.
         key: Key,
         /// The field.
         field: Field,
-        /// The accepted form.
+        /// A description of the accepted values.
         expected: SmolStr,
     },
-    /// A field has a value that it may not have.
+    /// A field has an invalid value.
     #[error("{key}: {field} = {value:?} is not accepted: {expected}")]
     Value {
         /// The object.
         key: Key,
         /// The field.
         field: Field,
-        /// The value as it was written.
+        /// The value as written.
         value: SmolStr,
-        /// The accepted form.
+        /// A description of the accepted values.
         expected: SmolStr,
     },
-    /// The object has a field that its kind does not have.
+    /// The object has a field that does not exist for its kind.
     #[error("{key}: a {} has no field {field}; it has {expected}", .key.kind)]
     Unknown {
         /// The object.
@@ -48,48 +48,48 @@
         /// The fields of this kind.
         expected: SmolStr,
     },
-    /// The object names another that is not there.
+    /// The object references another one that does not exist.
     #[error("{key}: {field} names {target}, which does not exist")]
     Reference {
         /// The object.
         key: Key,
         /// The field.
         field: Field,
-        /// The object that is not there.
+        /// The missing object.
         target: Key,
     },
 }
 
-/// A model with its weights.
+/// A model and its weights.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Model {
     /// Its name.
     pub name: Name,
-    /// The version that engines should load.
+    /// The version that engines load.
     pub version: SmolStr,
-    /// Where the weights are kept.
+    /// The location of the weights.
     pub weights: SmolStr,
 }
 
-/// A service that callers name in their requests.
+/// A service, which callers name in their requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: Name,
-    /// Model or plain.
+    /// Whether this is a model service or a plain HTTP service.
     pub form: Form,
-    /// The model that its engines run, for a model service.
+    /// The model that its engines run; set for model services.
     pub model: Option<Name>,
-    /// The time within which a request must be answered unless it says less.
+    /// The deadline of requests that do not set a shorter one.
     pub deadline: Duration,
-    /// Tries beyond the first, in hundredths of the requests.
+    /// The retry budget, in percent of the requests.
     pub retry_budget: Percent,
-    /// The priority of its work.
+    /// The priority of its requests.
     pub priority: Priority,
-    /// What one role change costs beyond the engine's own time away; without a price engines keep
-    /// the roles that operators give them.
+    /// The cost of one role change in addition to the engine's own unavailability. Without it, engines
+    /// keep the roles that operators assign.
     pub role_price: Option<Duration>,
-    /// The share of its runners that may be away at once.
+    /// The percentage of its runners that may be unavailable at the same time.
     pub away_limit: Percent,
 }
 
@@ -100,17 +100,17 @@
     pub name: Name,
     /// Its service.
     pub service: Name,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: Name,
-    /// The role that operators gave it at first.
+    /// The initial role, assigned by operators.
     pub role: Role,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: Admission,
-    /// Whether it checks fencing numbers.
+    /// Whether it checks fencing tokens.
     pub fencing: Fencing,
-    /// How many requests it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
 }
 
@@ -121,47 +121,47 @@
     pub name: Name,
     /// The SHA-256 of its key.
     pub key: Digest,
-    /// The rate that it may keep up.
+    /// The sustained request rate limit.
     pub rate: RequestRate,
-    /// What it may send at once beyond its rate.
+    /// The number of requests allowed in a burst beyond the rate.
     pub burst: u32,
-    /// How many of its requests may be under way.
+    /// The maximum number of concurrent requests.
     pub concurrency: u32,
-    /// The priority of its work.
+    /// The priority of its requests.
     pub priority: Priority,
-    /// Its share when there is not enough for all.
+    /// The weight of its share under contention.
     pub weight: u32,
 }
 
-/// A rule for which work goes first.
+/// A prioritisation rule.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Policy {
     /// Its name.
     pub name: Name,
-    /// The service it speaks of, or all.
+    /// The service that it applies to; `None` for all.
     pub service: Option<Name>,
-    /// The account it speaks of, or all.
+    /// The account that it applies to; `None` for all.
     pub account: Option<Name>,
-    /// The priority it gives.
+    /// The priority that it assigns.
     pub priority: Option<Priority>,
-    /// The deadline it gives.
+    /// The deadline that it assigns.
     pub deadline: Option<Duration>,
-    /// The data centre whose runners it prefers.
+    /// The data centre whose runners are preferred.
     pub data_centre: Option<Name>,
 }
 
-/// A person or program that may use the administration API.
+/// A user of the administration API, human or automated.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Operator {
     /// Its name.
     pub name: Name,
     /// The SHA-256 of its key.
     pub key: Digest,
-    /// What it may do.
+    /// Its permissions.
     pub role: Right,
 }
 
-/// Any object in checked form.
+/// A validated object of any kind.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Object {
     /// A model.
@@ -179,7 +179,7 @@
 }
 
 impl Kind {
-    /// The fields that an object of this kind may have.
+    /// The fields of objects of this kind.
     pub fn fields(self) -> &'static [Field] {
         match self {
             Kind::Model => &[Field::Version, Field::Weights],
@@ -228,7 +228,7 @@
 }
 
 impl Object {
-    /// Which object this is.
+    /// The key of the object.
     pub fn key(&self) -> Key {
         let (kind, name) = match self {
             Object::Model(o) => (Kind::Model, &o.name),
@@ -241,7 +241,7 @@
         Key { kind, name: name.clone() }
     }
 
-    /// The objects that this one names, with the field that does.
+    /// The objects that this one references, each with the referencing field.
     pub fn references(&self) -> Vec<(Field, Key)> {
         let mut found = Vec::new();
         let mut add = |field, kind, name: &Option<Name>| {
--- a/lib/src/config/read.rs
+++ b/lib/src/config/read.rs
@@ -1,4 +1,4 @@
-//! Checked objects from records.
+//! Conversion of records into validated objects.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 
 const NAME_FORM: &str = "a name of a-z, 0-9, '-', '_' and '.'";
 const NUMBER_FORM: &str = "a whole number";
-const SPAN_FORM: &str = "a time such as 1500ms, 30s or 5m";
+const DURATION_FORM: &str = "a time such as 1500ms, 30s or 5m";
 const KEY_FORM: &str = "the SHA-256 of a key, 64 hexadecimal digits";
 const ADDRESS_FORM: &str = "an IP address and port such as 10.0.0.7:8000";
 
-/// Reads the fields of one record and collects what is wrong with them.
+/// Reads the fields of one record and collects the errors.
 struct Reader<'a> {
     record: &'a Record,
     errors: Vec<ObjectError>,
@@ -27,11 +27,11 @@
 impl<'a> Reader<'a> {
     fn new(record: &'a Record) -> Self {
         let mut reader = Self { record, errors: Vec::new() };
-        reader.check_fields();
+        reader.check_unknown_fields();
         reader
     }
 
-    fn check_fields(&mut self) {
+    fn check_unknown_fields(&mut self) {
         let known = self.record.key.kind.fields();
         for assignment in &self.record.fields {
             if !known.contains(&assignment.field) {
@@ -81,7 +81,7 @@
         self.optional(field, expected, parse)
     }
 
-    fn named<T: FromStr + VariantNames>(&mut self, field: Field) -> Option<T> {
+    fn choice<T: FromStr + VariantNames>(&mut self, field: Field) -> Option<T> {
         let expected = format_smolstr!("one of {}", T::VARIANTS.join(", "));
         self.optional(field, &expected, |v| v.parse().ok())
     }
@@ -90,8 +90,8 @@
         self.optional(field, NUMBER_FORM, |v| v.parse().ok()).unwrap_or(default)
     }
 
-    fn span(&mut self, field: Field, default: Duration) -> Duration {
-        self.optional(field, SPAN_FORM, parse_duration).unwrap_or(default)
+    fn duration(&mut self, field: Field, default: Duration) -> Duration {
+        self.optional(field, DURATION_FORM, parse_duration).unwrap_or(default)
     }
 
     fn name(&mut self, field: Field) -> Option<Name> {
@@ -110,7 +110,7 @@
     }
 }
 
-/// Reads a time such as `30s`; a bare number is in milliseconds.
+/// Parses a duration such as `30s`; a bare number is in milliseconds.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     match text.parse() {
         Ok(millis) => Some(Duration::from_millis(millis)),
@@ -145,7 +145,7 @@
     let mut r = Reader::new(record);
     let text = |v: &str| Some(SmolStr::new(v));
     let version = r.required(Field::Version, "a version such as 3", text);
-    let weights = r.optional(Field::Weights, "a place in the weight store", text);
+    let weights = r.optional(Field::Weights, "a location in the weight store", text);
     let model = version.map(|version| Model {
         name: record.key.name.clone(),
         version,
@@ -156,7 +156,7 @@
 
 fn service(record: &Record) -> Result<Service, Vec<ObjectError>> {
     let mut r = Reader::new(record);
-    let form = r.named(Field::Form).unwrap_or(Form::Model);
+    let form = r.choice(Field::Form).unwrap_or(Form::Model);
     let model = match form {
         Form::Model => r.required_name(Field::Model),
         Form::Plain => r.name(Field::Model),
@@ -165,10 +165,10 @@
         name: record.key.name.clone(),
         form,
         model,
-        deadline: r.span(Field::Deadline, DEFAULT_DEADLINE),
+        deadline: r.duration(Field::Deadline, DEFAULT_DEADLINE),
         retry_budget: Percent(r.number(Field::RetryBudget, DEFAULT_RETRY_BUDGET)),
-        priority: r.named(Field::Priority).unwrap_or_default(),
-        role_price: r.optional(Field::RolePrice, SPAN_FORM, parse_duration),
+        priority: r.choice(Field::Priority).unwrap_or_default(),
+        role_price: r.optional(Field::RolePrice, DURATION_FORM, parse_duration),
         away_limit: Percent(r.number(Field::AwayLimit, DEFAULT_AWAY_LIMIT)),
     };
     r.finish(Some(service))
@@ -179,9 +179,9 @@
     let service = r.required_name(Field::Service);
     let address = r.required(Field::Address, ADDRESS_FORM, |v| v.parse().ok());
     let data_centre = r.required_name(Field::DataCentre);
-    let role = r.named(Field::Role).unwrap_or_default();
-    let state = r.named(Field::State).unwrap_or_default();
-    let fencing = r.named(Field::Fencing).unwrap_or_default();
+    let role = r.choice(Field::Role).unwrap_or_default();
+    let state = r.choice(Field::State).unwrap_or_default();
+    let fencing = r.choice(Field::Fencing).unwrap_or_default();
     let slots = r.optional(Field::Slots, "a whole number from 1", |v| {
         v.parse().ok().filter(|slots| *slots > 0)
     });
@@ -206,7 +206,7 @@
     let rate = RequestRate(r.number(Field::Rate, DEFAULT_RATE));
     let burst = r.number(Field::Burst, DEFAULT_BURST);
     let concurrency = r.number(Field::Concurrency, DEFAULT_CONCURRENCY);
-    let priority = r.named(Field::Priority).unwrap_or_default();
+    let priority = r.choice(Field::Priority).unwrap_or_default();
     let weight = r.number(Field::Weight, 1).max(1);
     let name = record.key.name.clone();
     let account = key.map(|key| Account { name, key, rate, burst, concurrency, priority, weight });
@@ -219,8 +219,8 @@
         name: record.key.name.clone(),
         service: r.name(Field::Service),
         account: r.name(Field::Account),
-        priority: r.named(Field::Priority),
-        deadline: r.optional(Field::Deadline, SPAN_FORM, parse_duration),
+        priority: r.choice(Field::Priority),
+        deadline: r.optional(Field::Deadline, DURATION_FORM, parse_duration),
         data_centre: r.name(Field::DataCentre),
     };
     r.finish(Some(policy))
@@ -229,7 +229,7 @@
 fn operator(record: &Record) -> Result<Operator, Vec<ObjectError>> {
     let mut r = Reader::new(record);
     let key = r.required(Field::Key, KEY_FORM, |v| v.parse().ok());
-    let role = r.named(Field::Role).unwrap_or_default();
+    let role = r.choice(Field::Role).unwrap_or_default();
     let operator = key.map(|key| Operator { name: record.key.name.clone(), key, role });
     r.finish(operator)
 }
--- a/lib/src/config/record.rs
+++ b/lib/src/config/record.rs
@@ -1,4 +1,4 @@
-//! Configuration objects in their raw form, as the language writes them and the store keeps them.
+//! Configuration objects in raw form, as written in the query language and kept in the store.
 
 use std::fmt;
 
@@ -10,19 +10,19 @@
 use crate::id::Name;
 
 choice!(
-    /// What an object is.
+    /// The kind of an object.
     Kind {
-        /// A model with its weights.
+        /// A model and its weights.
         Model,
-        /// A service that callers name in their requests.
+        /// A service, which callers name in their requests.
         Service,
         /// A back end of a service.
         Runner,
         /// A client account.
         Account,
-        /// A rule for which work goes first.
+        /// A prioritisation rule.
         Policy,
-        /// A person or program that may use the administration API.
+        /// A user of the administration API, human or automated.
         Operator,
     }
 );
@@ -30,59 +30,59 @@
 choice!(
     /// A field of an object.
     Field {
-        /// The account that a policy speaks of.
+        /// The account that a policy applies to.
         Account,
         /// The IP address and port of a runner.
         Address,
-        /// The part of a service that may be away for role changes at once, in hundredths.
+        /// The percentage of a service's runners that may be unavailable for role changes at the same time.
         AwayLimit,
-        /// How many requests an account may send at once beyond its rate.
+        /// The number of requests that an account may send in a burst beyond its rate.
         Burst,
-        /// How many requests of an account may be under way at once.
+        /// The maximum number of concurrent requests of an account.
         Concurrency,
         /// The data centre of a runner.
         DataCentre,
-        /// The time within which a request must be answered.
+        /// The deadline of requests.
         Deadline,
-        /// Whether a runner checks fencing numbers.
+        /// Whether a runner checks fencing tokens.
         Fencing,
-        /// Whether a service is a model or a plain one.
+        /// Whether a service is a model service or a plain HTTP service.
         Form,
         /// The SHA-256 of a key.
         Key,
         /// The model of a service.
         Model,
-        /// The priority of an account, a service or a policy's work.
+        /// The priority of the requests of an account, service or policy.
         Priority,
-        /// Requests a second.
+        /// The request rate limit, per second.
         Rate,
-        /// The tries beyond the first, in hundredths of the requests.
+        /// The retry budget, in percent of the requests.
         RetryBudget,
-        /// The work of a runner's engine, or the rights of an operator.
+        /// The role of a runner's engine, or the permissions of an operator.
         Role,
-        /// The price of one role change in seconds of one engine's work.
+        /// The cost of one role change, in seconds of one engine's work.
         RolePrice,
         /// The service of a runner or a policy.
         Service,
-        /// How many requests a runner works on at once.
+        /// The number of requests that a runner processes concurrently.
         Slots,
-        /// Whether a runner takes new work.
+        /// Whether a runner accepts new requests.
         State,
         /// The version of a model.
         Version,
-        /// The share of an account when there is not enough for all.
+        /// The weight of an account's share under contention.
         Weight,
-        /// Where a model's weights are kept.
+        /// The location of a model's weights.
         Weights,
     }
 );
 
-/// The kind and name of an object, unlike those of any other.
+/// The kind and name of an object, which identify it uniquely.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Key {
-    /// What the object is.
+    /// The kind of the object.
     pub kind: Kind,
-    /// Its name among those of its kind.
+    /// The name of the object, unique within its kind.
     pub name: Name,
 }
 
@@ -92,19 +92,19 @@
     }
 }
 
-/// One `field = value`.
+/// A `field = value` assignment.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Assignment {
     /// The field.
     pub field: Field,
-    /// The value as it was written.
+    /// The value as written.
     pub value: SmolStr,
 }
 
-/// An object in raw form: its fields sorted, each at most once.
+/// An object in raw form: its fields are sorted and unique.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Which object this is.
+    /// The key of the object.
     pub key: Key,
     /// Its fields, in the order of [`Field`].
     pub fields: Vec<Assignment>,
@@ -118,15 +118,15 @@
 
     /// The value of `field`, if it is set.
     pub fn get(&self, field: Field) -> Option<&SmolStr> {
-        let at = self.fields.binary_search_by_key(&field, |a| a.field).ok()?;
-        Some(&self.fields[at].value)
+        let index = self.fields.binary_search_by_key(&field, |a| a.field).ok()?;
+        Some(&self.fields[index].value)
     }
 
-    /// Sets `field`, whether or not it was set before.
+    /// Sets `field`, replacing an existing value.
     pub fn set(&mut self, field: Field, value: SmolStr) {
         match self.fields.binary_search_by_key(&field, |a| a.field) {
-            Ok(at) => self.fields[at].value = value,
-            Err(at) => self.fields.insert(at, Assignment { field, value }),
+            Ok(index) => self.fields[index].value = value,
+            Err(index) => self.fields.insert(index, Assignment { field, value }),
         }
     }
 }
--- a/lib/src/config/snapshot.rs
+++ b/lib/src/config/snapshot.rs
@@ -1,4 +1,4 @@
-//! An immutable configuration of one generation, with the indexes that requests use.
+//! An immutable configuration of one generation, with indexes for request processing.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -9,38 +9,38 @@
 use crate::hash::Digest;
 use crate::id::{Generation, Name};
 
-/// A whole checked configuration. Cheap to share, never changed.
+/// A complete validated configuration. It is immutable and shared by reference.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Its generation; nought is the empty one before the first change.
+    /// The generation; 0 is the empty configuration before the first change.
     pub generation: Generation,
-    /// Its objects in raw form.
+    /// The objects in raw form.
     pub records: BTreeMap<Key, Arc<Record>>,
-    /// Its objects in checked form.
+    /// The validated objects.
     objects: BTreeMap<Key, Arc<Object>>,
-    /// The runners of each service, in the order of their names.
+    /// The runners of each service, sorted by name.
     runners: HashMap<Name, Vec<Arc<Object>>>,
-    /// The policies, in the order of their names: each request looks through them, and must not look
-    /// through all accounts and runners to find them.
+    /// The policies, sorted by name. Every request scans them, which must not require scanning all
+    /// accounts and runners.
     policies: Vec<Arc<Object>>,
-    /// The accounts by the digest of their key.
+    /// The accounts and operators by the digest of their key.
     keys: HashMap<Digest, Key>,
 }
 
 impl Snapshot {
-    /// Checks `records` as a whole.
+    /// Validates `records` as a whole. Objects that are unchanged since `previous` are reused.
     ///
     /// # Errors
-    /// Everything that is wrong, at once.
+    /// All validation errors.
     pub fn build(
         generation: Generation,
         records: BTreeMap<Key, Arc<Record>>,
-        before: Option<&Snapshot>,
+        previous: Option<&Snapshot>,
     ) -> Result<Self, Vec<ObjectError>> {
         let mut errors = Vec::new();
         let mut objects = BTreeMap::new();
         for (key, record) in &records {
-            if let Some(object) = before.and_then(|b| b.unchanged(key, record)) {
+            if let Some(object) = previous.and_then(|p| p.unchanged(key, record)) {
                 objects.insert(key.clone(), object);
                 continue;
             }
@@ -69,16 +69,16 @@
             policies: Vec::new(),
             keys: HashMap::new(),
         };
-        snapshot.index();
+        snapshot.build_indexes();
         Ok(snapshot)
     }
 
     fn unchanged(&self, key: &Key, record: &Arc<Record>) -> Option<Arc<Object>> {
-        let same = self.records.get(key).is_some_and(|r| Arc::ptr_eq(r, record) || r == record);
-        same.then(|| self.objects.get(key).cloned()).flatten()
+        let is_same = self.records.get(key).is_some_and(|r| Arc::ptr_eq(r, record) || r == record);
+        is_same.then(|| self.objects.get(key).cloned()).flatten()
     }
 
-    fn index(&mut self) {
+    fn build_indexes(&mut self) {
         for object in self.objects.values() {
             match object.as_ref() {
                 Object::Runner(runner) => {
@@ -102,7 +102,7 @@
         self.objects.get(&key).map(Arc::as_ref)
     }
 
-    /// All objects in the order of their keys.
+    /// All objects, sorted by key.
     pub fn objects(&self) -> impl Iterator<Item = &Object> {
         self.objects.values().map(Arc::as_ref)
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The services.
+    /// All services, sorted by name.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.objects().filter_map(|o| match o {
             Object::Service(service) => Some(service),
@@ -123,7 +123,7 @@
         })
     }
 
-    /// The runners of a service, in the order of their names.
+    /// The runners of a service, sorted by name.
     pub fn runners(&self, service: &Name) -> impl Iterator<Item = &Runner> {
         let found = self.runners.get(service).map(Vec::as_slice).unwrap_or_default();
         found.iter().filter_map(|o| match o.as_ref() {
@@ -140,8 +140,8 @@
         }
     }
 
-    /// The account whose key has this digest. The table is keyed by digests of secrets, and the
-    /// digest that was found is compared again in constant time.
+    /// The account whose key has this digest. The lookup by the digest of a secret is not constant-time, so
+    /// the digest found is compared again in constant time.
     pub fn account_of_key(&self, digest: &Digest) -> Option<&Account> {
         let key = self.keys.get(digest)?;
         match self.objects.get(key)?.as_ref() {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The policies that speak of this service and account.
+    /// The policies that apply to this service and account.
     pub fn policies<'a>(
         &'a self,
         service: &'a Name,
@@ -176,7 +176,7 @@
         })
     }
 
-    /// The root and chunks that hold this configuration.
+    /// The root and chunks of this configuration.
     pub fn chunks(&self) -> (Root, Vec<Chunk>) {
         super::chunk::split(&self.records)
     }
