--- a/lib/src/language/mod.rs
+++ b/lib/src/language/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' language: queries and commands, parsed by a grammar and checked.
+//! The operators' query language: queries and commands, parsed with a PEG grammar.
 
 pub mod parse;
 pub mod print;
--- a/lib/src/language/parse.rs
+++ b/lib/src/language/parse.rs
@@ -1,4 +1,5 @@
-//! From text to statements. An error points at the word and says what was expected.
+//! Parses text into statements. An error gives the position of the offending word and what was expected
+//! there.
 
 use std::str::FromStr;
 
@@ -18,10 +19,10 @@
 use crate::id::{Generation, Name};
 use crate::unit::Tokens;
 
-/// The longest text that is accepted, in bytes.
+/// The maximum length of a text in bytes.
 pub const MAX_TEXT: usize = 1 << 18;
 
-/// The parser that is made from the grammar.
+/// The parser generated from the grammar.
 #[allow(missing_docs)]
 mod grammar {
     #[derive(pest_derive::Parser)]
@@ -31,36 +32,36 @@
 
 use grammar::{Grammar, Rule};
 
-/// Text that is not in the language.
+/// A syntax error.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("line {line}, column {column}: at {found:?}: {expected}")]
 pub struct ParseError {
-    /// The line, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The column, from 1, in characters.
+    /// The column in characters, starting at 1.
     pub column: usize,
-    /// The word that is not right; empty at the end.
+    /// The offending word; empty at the end of the text.
     pub found: String,
-    /// What was expected there.
+    /// What was expected instead.
     pub expected: String,
 }
 
-/// Parses a text into its statements.
+/// Parses a text into statements.
 ///
 /// # Errors
-/// The first word that does not fit, with what would.
+/// The position of the first offending word and what was expected there.
 pub fn parse(text: &str) -> Result<Vec<Statement>, ParseError> {
     if text.len() > MAX_TEXT {
         let expected = format!("a text of at most {MAX_TEXT} bytes");
         return Err(ParseError { line: 1, column: 1, found: String::new(), expected });
     }
     let mut input =
-        Grammar::parse(Rule::input, text).map_err(|error| grammar_error(text, &error))?;
+        Grammar::parse(Rule::input, text).map_err(|error| syntax_error(text, &error))?;
     let Some(input) = input.next() else { return Ok(Vec::new()) };
     input.into_inner().filter(|p| p.as_rule() != Rule::EOI).map(statement).collect()
 }
 
-fn grammar_error(text: &str, error: &pest::error::Error<Rule>) -> ParseError {
+fn syntax_error(text: &str, error: &pest::error::Error<Rule>) -> ParseError {
     let (line, column) = match error.line_col {
         LineColLocation::Pos(at) | LineColLocation::Span(at, _) => at,
     };
@@ -120,13 +121,13 @@
     }
 }
 
-/// An error at a word that fits the grammar but is not known.
+/// An error for a word that matches the grammar but is not a known name.
 fn word_error(pair: &Pair<Rule>, expected: String) -> ParseError {
     let (line, column) = pair.line_col();
     ParseError { line, column, found: pair.as_str().to_owned(), expected }
 }
 
-fn one_of<T>(pair: &Pair<Rule>, names: impl Iterator<Item = T>) -> ParseError
+fn unknown_word<T>(pair: &Pair<Rule>, names: impl Iterator<Item = T>) -> ParseError
 where
     T: std::fmt::Display,
 {
@@ -134,7 +135,7 @@
     word_error(pair, format!("expected one of {}", names.join(", ")))
 }
 
-fn checked<T>(pair: &Pair<Rule>) -> Result<T, ParseError>
+fn parse_word<T>(pair: &Pair<Rule>) -> Result<T, ParseError>
 where
     T: FromStr,
     T::Err: std::fmt::Display,
@@ -143,10 +144,10 @@
 }
 
 fn kind(pair: &Pair<Rule>) -> Result<Kind, ParseError> {
-    pair.as_str().parse().map_err(|_| one_of(pair, Kind::iter()))
+    pair.as_str().parse().map_err(|_| unknown_word(pair, Kind::iter()))
 }
 
-/// The inner pairs without the keywords.
+/// The inner pairs without keywords.
 fn parts(pair: Pair<Rule>) -> impl Iterator<Item = Pair<Rule>> {
     pair.into_inner().filter(|p| !format!("{:?}", p.as_rule()).ends_with("_word"))
 }
@@ -165,7 +166,8 @@
             Ok(Statement::History(limit))
         }
         Rule::undo => {
-            let generation = parts(pair).next().map(|p| checked::<Generation>(&p)).transpose()?;
+            let generation =
+                parts(pair).next().map(|p| parse_word::<Generation>(&p)).transpose()?;
             Ok(Statement::Undo(generation))
         }
         Rule::explain => explain(pair),
@@ -186,12 +188,12 @@
     let rule = pair.as_rule();
     let mut parts = parts(pair);
     if matches!(rule, Rule::drain | Rule::resume) {
-        let name = checked(&parts.next().expect("a runner is named"))?;
+        let name = parse_word(&parts.next().expect("a runner is named"))?;
         let state = if rule == Rule::drain { Admission::Drain } else { Admission::Ready };
         return Ok(admission(name, state));
     }
     let kind = kind(&parts.next().expect("a kind is named"))?;
-    let name = checked(&parts.next().expect("an object is named"))?;
+    let name = parse_word(&parts.next().expect("an object is named"))?;
     let key = Key { kind, name };
     let fields = match parts.next() {
         Some(pair) => pair.into_inner().map(|p| assignment(kind, p)).collect::<Result<_, _>>()?,
@@ -213,7 +215,7 @@
         .parse()
         .ok()
         .filter(|field| known.contains(field))
-        .ok_or_else(|| one_of(&field_pair, known.iter()))?;
+        .ok_or_else(|| unknown_word(&field_pair, known.iter()))?;
     let value = value(inner.next().expect("an assignment has a value"));
     Ok(Assignment { field, value })
 }
@@ -230,7 +232,7 @@
 }
 
 fn subject(pair: &Pair<Rule>) -> Result<Subject, ParseError> {
-    pair.as_str().parse().map_err(|_| one_of(pair, Subject::iter()))
+    pair.as_str().parse().map_err(|_| unknown_word(pair, Subject::iter()))
 }
 
 fn column(subject: Subject, pair: &Pair<Rule>) -> Result<Column, ParseError> {
@@ -239,11 +241,11 @@
         .parse()
         .ok()
         .filter(|column| known.contains(column))
-        .ok_or_else(|| one_of(pair, known.iter()))
+        .ok_or_else(|| unknown_word(pair, known.iter()))
 }
 
 fn limit(pair: Pair<Rule>) -> Result<usize, ParseError> {
-    checked(&parts(pair).next().expect("a limit has a number"))
+    parse_word(&parts(pair).next().expect("a limit has a number"))
 }
 
 fn show(pair: Pair<Rule>) -> Result<Query, ParseError> {
@@ -289,8 +291,10 @@
     let mut inner = pair.into_inner();
     let column = column(subject, &inner.next().expect("a condition has a column"))?;
     let operator_pair = inner.next().expect("a condition has an operator");
-    let operator =
-        operator_pair.as_str().parse().map_err(|_| one_of(&operator_pair, Operator::iter()))?;
+    let operator = operator_pair
+        .as_str()
+        .parse()
+        .map_err(|_| unknown_word(&operator_pair, Operator::iter()))?;
     let value = value(inner.next().expect("a condition has a value"));
     Ok(Condition { column, operator, value })
 }
@@ -306,7 +310,7 @@
     let form = parts(pair).next().expect("explain has a form");
     let rule = form.as_rule();
     let mut parts = parts(form);
-    let name: Name = checked(&parts.next().expect("explain names a service"))?;
+    let name: Name = parse_word(&parts.next().expect("explain names a service"))?;
     if rule == Rule::explain_roles {
         return Ok(Statement::ExplainRoles(name));
     }
@@ -315,9 +319,9 @@
         let rule = part.as_rule();
         let inner = self::parts(part).next().expect("a part has a value");
         match rule {
-            Rule::prompt_part => probe.prompt = Some(checked::<Tokens>(&inner)?),
-            Rule::output_part => probe.output = Some(checked::<Tokens>(&inner)?),
-            _ => probe.account = Some(checked(&inner)?),
+            Rule::prompt_part => probe.prompt = Some(parse_word::<Tokens>(&inner)?),
+            Rule::output_part => probe.output = Some(parse_word::<Tokens>(&inner)?),
+            _ => probe.account = Some(parse_word(&inner)?),
         }
     }
     Ok(Statement::ExplainRequest(probe))
--- a/lib/src/language/print.rs
+++ b/lib/src/language/print.rs
@@ -1,4 +1,4 @@
-//! From statements back to text, such that parsing the text gives the same statements.
+//! Formats statements as text that parses to the same statements.
 
 use std::fmt;
 
@@ -11,7 +11,7 @@
         match self {
             Statement::Show(query) => query.fmt(f),
             Statement::Count(count) => count.fmt(f),
-            Statement::Change(edits) => batch(f, edits),
+            Statement::Change(edits) => fmt_edits(f, edits),
             Statement::Undo(None) => f.write_str("undo"),
             Statement::Undo(Some(generation)) => write!(f, "undo {generation}"),
             Statement::Plan(inner) => write!(f, "plan {inner}"),
@@ -23,7 +23,7 @@
     }
 }
 
-fn batch(f: &mut fmt::Formatter<'_>, edits: &[Edit]) -> fmt::Result {
+fn fmt_edits(f: &mut fmt::Formatter<'_>, edits: &[Edit]) -> fmt::Result {
     if let [edit] = edits {
         return write!(f, "{edit}");
     }
@@ -39,11 +39,11 @@
         match self {
             Edit::Create { key, fields } => {
                 write!(f, "create {key}")?;
-                assignments(f, fields)
+                fmt_assignments(f, fields)
             }
             Edit::Set { key, fields } => {
                 write!(f, "set {key}")?;
-                assignments(f, fields)
+                fmt_assignments(f, fields)
             }
             Edit::Delete { key } => write!(f, "delete {key}"),
             Edit::Restore { key, record: Some(_) } => write!(f, "# restores {key}"),
@@ -52,15 +52,15 @@
     }
 }
 
-fn assignments(f: &mut fmt::Formatter<'_>, fields: &[Assignment]) -> fmt::Result {
-    for (at, assignment) in fields.iter().enumerate() {
-        let comma = if at > 0 { "," } else { "" };
+fn fmt_assignments(f: &mut fmt::Formatter<'_>, fields: &[Assignment]) -> fmt::Result {
+    for (index, assignment) in fields.iter().enumerate() {
+        let comma = if index > 0 { "," } else { "" };
         write!(f, "{comma} {} = {}", assignment.field, Quoted(&assignment.value))?;
     }
     Ok(())
 }
 
-/// A value, in quotes so that any characters but quotes and line ends may stand in it.
+/// A quoted value, which can contain all characters except quotes and newlines.
 struct Quoted<'a>(&'a str);
 
 impl fmt::Display for Quoted<'_> {
@@ -69,11 +69,11 @@
     }
 }
 
-fn conditions(f: &mut fmt::Formatter<'_>, conditions: &[Condition]) -> fmt::Result {
-    for (at, condition) in conditions.iter().enumerate() {
-        let word = if at == 0 { "where" } else { "and" };
+fn fmt_conditions(f: &mut fmt::Formatter<'_>, conditions: &[Condition]) -> fmt::Result {
+    for (index, condition) in conditions.iter().enumerate() {
+        let keyword = if index == 0 { "where" } else { "and" };
         let Condition { column, operator, value } = condition;
-        write!(f, " {word} {column} {operator} {}", Quoted(value))?;
+        write!(f, " {keyword} {column} {operator} {}", Quoted(value))?;
     }
     Ok(())
 }
@@ -85,7 +85,7 @@
             let columns: Vec<&str> = self.columns.iter().map(std::convert::Into::into).collect();
             write!(f, " ({})", columns.join(", "))?;
         }
-        conditions(f, &self.conditions)?;
+        fmt_conditions(f, &self.conditions)?;
         if let Some(order) = self.order {
             let direction = if order.descending { "desc" } else { "asc" };
             write!(f, " order by {} {direction}", order.column)?;
@@ -100,7 +100,7 @@
 impl fmt::Display for Count {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "count {}", self.subject)?;
-        conditions(f, &self.conditions)?;
+        fmt_conditions(f, &self.conditions)?;
         match self.by {
             Some(column) => write!(f, " by {column}"),
             None => Ok(()),
--- a/lib/src/language/statement.rs
+++ b/lib/src/language/statement.rs
@@ -1,4 +1,4 @@
-//! What can be said in the operators' language.
+//! The statements of the query language.
 
 use smol_str::SmolStr;
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
@@ -7,28 +7,28 @@
 use crate::id::{Generation, Name};
 use crate::unit::Tokens;
 
-/// One statement.
+/// A statement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Statement {
-    /// Shows rows.
+    /// Lists rows.
     Show(Query),
     /// Counts rows.
     Count(Count),
-    /// Changes the configuration, whole or not at all.
+    /// Changes the configuration atomically.
     Change(Vec<Edit>),
-    /// Puts the configuration back to before a generation's change.
+    /// Reverts the change of a generation; `None` for the current one.
     Undo(Option<Generation>),
-    /// Says what a change would do.
+    /// Previews a change without applying it.
     Plan(Box<Statement>),
-    /// Lists the newest operations.
+    /// Lists the most recent operations.
     History(Option<usize>),
-    /// Says where a request would go and why.
+    /// Explains where a request would be routed and why.
     ExplainRequest(Probe),
-    /// Says why the roles of a service are as they are.
+    /// Explains the current roles of a service's runners.
     ExplainRoles(Name),
 }
 
-/// Rows of which kind.
+/// The kind of rows that a query returns.
 #[derive(Clone, Copy, Debug, Display, EnumIter, EnumString, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Subject {
@@ -36,7 +36,7 @@
     Models,
     /// Services.
     Services,
-    /// Runners with their load.
+    /// Runners and their load.
     Runners,
     /// Client accounts.
     Accounts,
@@ -44,13 +44,13 @@
     Policies,
     /// Operators.
     Operators,
-    /// The system's own nodes.
+    /// Nodes of this system.
     Nodes,
-    /// Who holds the authority over each service.
+    /// The lease holder of each service.
     Leases,
 }
 
-/// A column of rows.
+/// A column of a row.
 #[derive(
     Clone,
     Copy,
@@ -79,58 +79,58 @@
     Role,
     /// The state of a runner or node.
     State,
-    /// Whether a runner checks fencing numbers.
+    /// Whether a runner checks fencing tokens.
     Fencing,
-    /// How many requests a runner works on at once.
+    /// The number of requests that a runner processes concurrently.
     Slots,
-    /// Requests that this node has under way.
+    /// The number of requests in flight on this node.
     InFlight,
-    /// Requests that wait.
+    /// The number of queued requests.
     Queue,
-    /// The load as last reported, in hundredths.
+    /// The last reported load, in percent.
     Load,
-    /// The age of what the row says, in milliseconds.
+    /// The age of the row's data, in milliseconds.
     Age,
     /// The generation in force.
     Generation,
-    /// The life of a node.
+    /// The incarnation of a node.
     Incarnation,
     /// The holder of a lease.
     Holder,
-    /// The fencing number of a lease.
+    /// The fencing token of a lease.
     Epoch,
-    /// Model or plain.
+    /// Whether a service is a model service or a plain HTTP service.
     Form,
     /// The model of a service.
     Model,
     /// The version of a model.
     Version,
-    /// Where weights are kept.
+    /// The location of a model's weights.
     Weights,
     /// A deadline.
     Deadline,
     /// A priority.
     Priority,
-    /// Requests a second.
+    /// The request rate limit, per second.
     Rate,
-    /// Requests at once beyond the rate.
+    /// The number of requests allowed in a burst beyond the rate.
     Burst,
-    /// Requests under way at once.
+    /// The maximum number of concurrent requests.
     Concurrency,
-    /// A share.
+    /// The weight of a share under contention.
     Weight,
     /// The account of a policy.
     Account,
-    /// Tries beyond the first.
+    /// The retry budget.
     RetryBudget,
-    /// The price of a role change.
+    /// The cost of a role change.
     RolePrice,
-    /// The share that may be away.
+    /// The percentage of runners that may be unavailable at the same time.
     AwayLimit,
 }
 
 impl Subject {
-    /// The columns that rows of this kind have, in the order in which they are shown.
+    /// The columns of this kind of rows, in display order.
     pub fn columns(self) -> &'static [Column] {
         use Column::*;
         match self {
@@ -151,7 +151,7 @@
     }
 }
 
-/// How a condition compares.
+/// A comparison operator.
 #[derive(Clone, Copy, Debug, Display, EnumIter, EnumString, Eq, PartialEq)]
 pub enum Operator {
     /// Equal.
@@ -160,19 +160,19 @@
     /// Not equal.
     #[strum(serialize = "!=")]
     NotEqual,
-    /// Less.
+    /// Less than.
     #[strum(serialize = "<")]
     Less,
-    /// Less or equal.
+    /// Less than or equal.
     #[strum(serialize = "<=")]
     AtMost,
-    /// More.
+    /// Greater than.
     #[strum(serialize = ">")]
     Greater,
-    /// More or equal.
+    /// Greater than or equal.
     #[strum(serialize = ">=")]
     AtLeast,
-    /// Has the value as a part.
+    /// Contains the value as a substring.
     #[strum(serialize = "~")]
     Contains,
 }
@@ -182,56 +182,56 @@
 pub struct Condition {
     /// The column.
     pub column: Column,
-    /// How it is compared.
+    /// The comparison operator.
     pub operator: Operator,
-    /// With what.
+    /// The value to compare with.
     pub value: SmolStr,
 }
 
-/// In which order rows come.
+/// The sort order of rows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Order {
-    /// The column that decides.
+    /// The column to sort by.
     pub column: Column,
-    /// Largest first.
+    /// Whether the largest value comes first.
     pub descending: bool,
 }
 
-/// A question for rows.
+/// A query for rows.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Query {
-    /// Rows of which kind.
+    /// The kind of rows.
     pub subject: Subject,
-    /// Which columns; empty for all.
+    /// The columns to return; empty for all.
     pub columns: Vec<Column>,
-    /// All must hold.
+    /// The conditions, all of which must hold.
     pub conditions: Vec<Condition>,
-    /// In which order.
+    /// The sort order.
     pub order: Option<Order>,
-    /// At most so many.
+    /// The maximum number of rows.
     pub limit: Option<usize>,
 }
 
-/// A question for a number of rows.
+/// A query for the number of rows.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Count {
-    /// Rows of which kind.
+    /// The kind of rows.
     pub subject: Subject,
-    /// All must hold.
+    /// The conditions, all of which must hold.
     pub conditions: Vec<Condition>,
-    /// One number for each value of this column.
+    /// The column to group by.
     pub by: Option<Column>,
 }
 
-/// A request that is only thought of.
+/// A hypothetical request to explain.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Probe {
     /// The service.
     pub service: Name,
-    /// The length of its prompt.
+    /// The length of the prompt.
     pub prompt: Option<Tokens>,
-    /// The length of its output.
+    /// The length of the output.
     pub output: Option<Tokens>,
-    /// Whose it is.
+    /// The account of the request.
     pub account: Option<Name>,
 }
--- a/lib/tests/language.rs
+++ b/lib/tests/language.rs
@@ -1,4 +1,4 @@
-//! The operators' language: round trips, errors that point at the word, and arbitrary input.
+//! The query language: round trips, error positions and arbitrary input.
 
 use expect_test::expect;
 use proptest::prelude::*;
@@ -10,11 +10,11 @@
 use strum::IntoEnumIterator as _;
 
 fn error(text: &str) -> String {
-    parse(text).expect_err("the text is wrong").to_string()
+    parse(text).expect_err("invalid text").to_string()
 }
 
 #[test]
-fn parse_error_points_at_word() {
+fn parse_error_names_offending_word() {
     expect![[r#"line 1, column 6: at "runer": expected one of models, services, runners, accounts, policies, operators, nodes, leases"#]]
         .assert_eq(&error("show runer"));
     expect![[r#"line 1, column 20: at "colour": expected one of name, service, address, data_centre, role, state, fencing, slots, in_flight, queue, load, age"#]]
@@ -42,7 +42,7 @@
         "undo 12",
         "explain service telraad prompt 1200 output 30 account hotel",
         "explain roles telraad",
-        "# only a remark",
+        "# only a comment",
     ];
     for text in texts {
         let statements = parse(text).unwrap_or_else(|e| panic!("{text}: {e}"));
@@ -51,7 +51,7 @@
 }
 
 fn names() -> impl Strategy<Value = sardinepick_lib::id::Name> {
-    "[a-z][a-z0-9_.-]{0,12}".prop_map(|text| text.parse().expect("a right name"))
+    "[a-z][a-z0-9_.-]{0,12}".prop_map(|text| text.parse().expect("a valid name"))
 }
 
 fn values() -> impl Strategy<Value = SmolStr> {
