--- a/lib/src/config/chunk.rs
+++ b/lib/src/config/chunk.rs
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// [`ChunkError::Digest`] if the digest differs.
-    pub fn checked(expected: Digest, bytes: Vec<u8>) -> Result<Self, ChunkError> {
+    pub fn verified(expected: Digest, bytes: Vec<u8>) -> Result<Self, ChunkError> {
         let chunk = Self::new(bytes);
         if chunk.digest != expected {
             return Err(ChunkError::Digest { expected, found: chunk.digest });
--- a/lib/src/language/parse.rs
+++ b/lib/src/language/parse.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 use super::statement::{
-    Column, Condition, Count, Operator, Order, Probe, Query, Statement, Subject,
+    Column, Condition, Count, HypotheticalRequest, Operator, Order, Query, Statement, Subject,
 };
 use crate::config::change::{Edit, admission};
 use crate::config::object::Admission;
@@ -314,7 +314,8 @@
     if rule == Rule::explain_roles {
         return Ok(Statement::ExplainRoles(name));
     }
-    let mut probe = Probe { service: name, prompt: None, output: None, account: None };
+    let mut probe =
+        HypotheticalRequest { service: name, prompt: None, output: None, account: None };
     for part in parts {
         let rule = part.as_rule();
         let inner = self::parts(part).next().expect("a part has a value");
--- a/lib/src/language/print.rs
+++ b/lib/src/language/print.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::statement::{Condition, Count, Probe, Query, Statement};
+use super::statement::{Condition, Count, HypotheticalRequest, Query, Statement};
 use crate::config::change::Edit;
 use crate::config::record::Assignment;
 
@@ -108,7 +108,7 @@
     }
 }
 
-impl fmt::Display for Probe {
+impl fmt::Display for HypotheticalRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "explain service {}", self.service)?;
         if let Some(prompt) = self.prompt {
--- a/lib/src/language/statement.rs
+++ b/lib/src/language/statement.rs
@@ -23,7 +23,7 @@
     /// Lists the most recent operations.
     History(Option<usize>),
     /// Explains where a request would be routed and why.
-    ExplainRequest(Probe),
+    ExplainRequest(HypotheticalRequest),
     /// Explains the current roles of a service's runners.
     ExplainRoles(Name),
 }
@@ -225,7 +225,7 @@
 
 /// A hypothetical request to explain.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Probe {
+pub struct HypotheticalRequest {
     /// The service.
     pub service: Name,
     /// The length of the prompt.
--- a/lib/src/scale/plan.rs
+++ b/lib/src/scale/plan.rs
@@ -18,7 +18,7 @@
     /// The minimum and maximum number of runners per data centre, of both kinds together.
     pub bounds: (u32, u32),
     /// The time from the order of a runner until it takes work.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// The price of a reclaimable runner relative to a regular one; `None` where there are none.
     pub reclaimable_price: Option<f64>,
     /// The price of a runner per second in each data centre.
@@ -177,7 +177,7 @@
             return;
         }
         let is_same = last.count == Some(count);
-        if is_same && within(last.at, scaling.boot + ORDER_GRACE) {
+        if is_same && within(last.at, scaling.boot_time + ORDER_GRACE) {
             return;
         }
         self.order(now, wanted, orders);
--- a/lib/tests/scale.rs
+++ b/lib/tests/scale.rs
@@ -12,7 +12,7 @@
     let price = |name: &str, price| (name.parse().expect("a data centre"), price);
     Scaling {
         bounds: (1, 70),
-        boot: S * 4,
+        boot_time: S * 4,
         reclaimable_price: reclaimable,
         prices: vec![price("a", 0.85), price("b", 1.2), price("c", 1.0), price("d", 1.1)],
     }
--- a/node/src/configuration.rs
+++ b/node/src/configuration.rs
@@ -208,7 +208,7 @@
 async fn read_chunk(node: &Node, digest: Digest) -> Result<Chunk, FetchError> {
     let object = node.store.get(&chunk_object(&digest)).await?;
     let object = object.ok_or(FetchError::Missing(digest))?;
-    Chunk::checked(digest, object.value.to_vec()).map_err(|error| FetchError::Spread(error.into()))
+    Chunk::verified(digest, object.value.to_vec()).map_err(|error| FetchError::Spread(error.into()))
 }
 
 /// Puts the configuration that was fetched last in force here, and tells others.
--- a/node/src/explain.rs
+++ b/node/src/explain.rs
@@ -1,7 +1,7 @@
 //! Why a request would go where, and why the roles of a service are as they are.
 
 use sardinepick_lib::id::Name;
-use sardinepick_lib::language::statement::Probe;
+use sardinepick_lib::language::statement::HypotheticalRequest;
 use sardinepick_lib::query::{Row, Table};
 use sardinepick_lib::runner::Prefix;
 use smol_str::{SmolStr, ToSmolStr, format_smolstr};
@@ -26,7 +26,7 @@
 
 /// What is predicted of every runner for a request, the best first; `None` if there is no such
 /// service.
-pub fn request(node: &Node, probe: &Probe) -> Option<Table> {
+pub fn request(node: &Node, probe: &HypotheticalRequest) -> Option<Table> {
     let pool = node.pool(&probe.service)?;
     let prompt = probe.prompt.map_or(PROMPT, |t| t.0);
     let output = probe.output.map_or(OUTPUT, |t| t.0);
