--- a/lib/src/language/parse.rs
+++ b/lib/src/language/parse.rs
@@ -314,16 +314,16 @@
     if rule == Rule::explain_roles {
         return Ok(Statement::ExplainRoles(name));
     }
-    let mut probe =
+    let mut request =
         HypotheticalRequest { service: name, prompt: None, output: None, account: None };
     for part in parts {
         let rule = part.as_rule();
         let inner = self::parts(part).next().expect("a part has a value");
         match rule {
-            Rule::prompt_part => probe.prompt = Some(parse_word::<Tokens>(&inner)?),
-            Rule::output_part => probe.output = Some(parse_word::<Tokens>(&inner)?),
-            _ => probe.account = Some(parse_word(&inner)?),
+            Rule::prompt_part => request.prompt = Some(parse_word::<Tokens>(&inner)?),
+            Rule::output_part => request.output = Some(parse_word::<Tokens>(&inner)?),
+            _ => request.account = Some(parse_word(&inner)?),
         }
     }
-    Ok(Statement::ExplainRequest(probe))
+    Ok(Statement::ExplainRequest(request))
 }
--- a/lib/src/language/print.rs
+++ b/lib/src/language/print.rs
@@ -17,7 +17,7 @@
             Statement::Plan(inner) => write!(f, "plan {inner}"),
             Statement::History(None) => f.write_str("history"),
             Statement::History(Some(limit)) => write!(f, "history limit {limit}"),
-            Statement::ExplainRequest(probe) => probe.fmt(f),
+            Statement::ExplainRequest(request) => request.fmt(f),
             Statement::ExplainRoles(service) => write!(f, "explain roles {service}"),
         }
     }
