--- a/node/src/serve/quarantine/count.rs
+++ b/node/src/serve/quarantine/count.rs
@@ -1,4 +1,5 @@
-//! Counting the ends of runners under requests, with the nodes that count them for all.
+//! Counting runner crashes per request, together with the nodes that are responsible for its
+//! counts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,20 +13,20 @@
 use smallvec::SmallVec;
 use tokio::time::timeout;
 
-use super::{State, note_stage, set};
+use super::{State, note_stage, set_stage};
 use crate::serve::crash;
 use crate::serve::request::Request;
 use crate::serve::scheduler::transmit;
 use crate::serve::shared::Shared;
 use crate::serve::ticket::Ticket;
 
-/// How long a node that counts has to answer, each time it is told.
-const PATIENCE: Duration = Duration::from_millis(15);
-/// How often it is told. One datagram can be lost; one that comes twice counts once.
-const TRIES: u32 = 2;
+/// The reply timeout of a crash report, for each attempt.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(15);
+/// How often a crash report is sent. A datagram can be lost; duplicates count once.
+const SEND_ATTEMPTS: u32 = 2;
 
-/// Notes that a call broke off. Gives how many ends of runners count against its request by now; none
-/// if the runner has not ended.
+/// Handles a call that broke off. Returns how many crashes count against its request so far; 0 if
+/// the runner's process has not ended.
 pub async fn note_broken(
     shared: &Shared,
     ticket: &Ticket,
@@ -35,53 +36,54 @@
     let Some(life) = crash::detect(shared, ticket, request, reach).await else { return 0 };
     let end = End { life, reach };
     let fingerprint = request.fingerprint;
-    let here = count(shared, fingerprint, end);
+    let local = count(shared, fingerprint, end);
     let peers = counting_nodes(shared, &fingerprint).into_iter().flatten();
-    let others = join_all(peers.map(|peer| tell(shared, peer, fingerprint, end))).await;
-    let ends = others.into_iter().flatten().map(|ends| ends as usize).fold(here, usize::max);
+    let others = join_all(peers.map(|peer| report(shared, peer, fingerprint, end))).await;
+    let crashes =
+        others.into_iter().flatten().map(|crashes| crashes as usize).fold(local, usize::max);
     log::info!(
-        request:% = request.id, fingerprint:% = fingerprint, ends = ends, here = here;
+        request:% = request.id, fingerprint:% = fingerprint, ends = crashes, here = local;
         "ends of runners under a request counted"
     );
-    ends
+    crashes
 }
 
-/// Counts an end, and proposes the request if there are enough.
+/// Counts a crash, and proposes the request for quarantine if there are enough.
 fn count(shared: &Shared, request: Fingerprint, end: End) -> usize {
     let now = shared.clock.now();
     let mut state = shared.keeper.state();
-    let ends = state.suspects.note(request, end, now);
+    let crashes = state.suspects.note(request, end, now);
     let State { suspects, quarantine, .. } = &mut *state;
     let proposed = suspects.get(&request).and_then(|s| quarantine.propose(request, s, now));
     if let Some(entry) = proposed {
-        // Nobody hears of a proposal that this node can itself object to.
+        // A proposal that this node itself objects to is cleared before it is gossiped.
         let objects = state.quarantine.objects(&entry);
         drop(state);
         note_stage(shared, &entry, "counted");
         if objects {
-            set(shared, &request, Stage::Cleared, "answered since");
+            set_stage(shared, &request, Stage::Cleared, "answered since");
         }
         shared.beat_now.notify_one();
     }
-    ends
+    crashes
 }
 
-/// Tells a node that counts of an end. Gives how many it has counted; none if it does not answer.
-async fn tell(shared: &Shared, peer: SocketAddr, request: Fingerprint, end: End) -> Option<u32> {
-    for _ in 0..TRIES {
-        let (number, answer) = shared.keeper.state().questions.register();
+/// Reports a crash to a counting node. Returns that node's count; `None` if it does not reply.
+async fn report(shared: &Shared, peer: SocketAddr, request: Fingerprint, end: End) -> Option<u32> {
+    for _ in 0..SEND_ATTEMPTS {
+        let (number, answer) = shared.keeper.state().reports.register();
         transmit(shared, peer, &Schedule::Ended { number, request, end }).await;
-        let answer = timeout(PATIENCE, answer).await;
-        shared.keeper.state().questions.cancel(number);
-        if let Ok(Ok(ends)) = answer {
-            return Some(ends);
+        let answer = timeout(REPLY_TIMEOUT, answer).await;
+        shared.keeper.state().reports.cancel(number);
+        if let Ok(Ok(crashes)) = answer {
+            return Some(crashes);
         }
     }
-    log::info!(peer:% = peer, fingerprint:% = request; "node that counts ends is silent");
+    log::info!(peer:% = peer, fingerprint:% = request; "no reply to a crash report");
     None
 }
 
-/// Takes what another node tells of an end, and answers.
+/// Handles a crash report of another node, and replies.
 pub async fn take_ended(
     shared: &Shared,
     from: SocketAddr,
@@ -89,17 +91,17 @@
     request: Fingerprint,
     end: End,
 ) {
-    let ends = u32::try_from(count(shared, request, end)).unwrap_or(u32::MAX);
-    transmit(shared, from, &Schedule::Counted { number, ends }).await;
+    let crashes = u32::try_from(count(shared, request, end)).unwrap_or(u32::MAX);
+    transmit(shared, from, &Schedule::Counted { number, ends: crashes }).await;
 }
 
-/// Takes the answer of a node that counts.
-pub fn take_counted(shared: &Shared, number: u64, ends: u32) {
-    shared.keeper.state().questions.resolve(number, ends);
+/// Handles the reply to a crash report.
+pub fn take_counted(shared: &Shared, number: u64, crashes: u32) {
+    shared.keeper.state().reports.resolve(number, crashes);
 }
 
-/// The nodes that count a request's ends, the first of them first: where each is reached, or none for
-/// this one.
+/// The nodes that count a request's crashes, the primary first: the address of each, or `None` for
+/// this node.
 fn counting_nodes(
     shared: &Shared,
     request: &Fingerprint,
@@ -111,7 +113,7 @@
     counting(request, nodes).into_iter().map(peer).collect()
 }
 
-/// Whether this node is the first of those that count a request's ends.
-pub(super) fn counts_first(shared: &Shared, request: &Fingerprint) -> bool {
+/// Whether this node is the primary counter of a request's crashes.
+pub(super) fn is_primary_counter(shared: &Shared, request: &Fingerprint) -> bool {
     counting_nodes(shared, request).first() == Some(&None)
 }
--- a/node/src/serve/quarantine/mod.rs
+++ b/node/src/serve/quarantine/mod.rs
@@ -1,5 +1,5 @@
-//! Keeping from runners what ends them: counting ends with the other nodes, and heeding what comes
-//! of it wherever a request is about to reach a runner.
+//! Quarantine of requests that crash runners: counting crashes together with the other nodes, and
+//! enforcing the resulting decisions wherever a request is about to reach a runner.
 
 use std::collections::HashSet;
 use std::sync::atomic::AtomicBool;
@@ -12,7 +12,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
 
-use self::count::counts_first;
+use self::count::is_primary_counter;
 use crate::serve::pending::Pending;
 use crate::serve::request::Request;
 use crate::serve::shared::Shared;
@@ -21,29 +21,31 @@
 pub mod news;
 pub mod store;
 
-/// How often proposals are looked at while any awaits its decision, and all else otherwise.
-const PERIODS: (Duration, Duration) = (Duration::from_millis(20), Duration::from_secs(1));
+/// How often proposals are checked while any awaits its decision.
+const DECISION_POLL: Duration = Duration::from_millis(20);
+/// How often entries are checked for expiry otherwise.
+const EXPIRY_POLL: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Default)]
 struct State {
     suspects: Suspects,
     quarantine: Quarantine,
-    /// Ends that other nodes were told of.
-    questions: Pending<u32>,
-    /// What was decided here and the store does not keep yet.
-    unwritten: HashSet<Fingerprint>,
+    /// Crash reports to other nodes that await a reply.
+    reports: Pending<u32>,
+    /// Decisions of this node that have not been written to the store.
+    pending_writes: HashSet<Fingerprint>,
 }
 
-/// What a node keeps of requests under which runners end.
+/// A node's record of requests that crash runners.
 #[derive(Debug)]
 pub struct Keeper {
     state: Mutex<State>,
-    /// Signals that what may be run has changed.
+    /// Signals that the stage of a request has changed.
     changed: watch::Sender<()>,
-    /// Signals that something was decided here.
-    decided: Notify,
-    /// Whether what the store keeps has been read.
-    is_read: AtomicBool,
+    /// Signals that there are decisions to write to the store.
+    write_pending: Notify,
+    /// Whether the entries in the store have been read.
+    store_read: AtomicBool,
 }
 
 impl Default for Keeper {
@@ -51,8 +53,8 @@
         Self {
             state: Mutex::default(),
             changed: watch::Sender::new(()),
-            decided: Notify::new(),
-            is_read: AtomicBool::new(false),
+            write_pending: Notify::new(),
+            store_read: AtomicBool::new(false),
         }
     }
 }
@@ -63,19 +65,19 @@
     }
 }
 
-/// Whether a request may go to a runner.
+/// Whether quarantine allows a request to run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It may.
+    /// It may run.
     Free,
-    /// It may once, to see whether runners still end under it.
+    /// It may run once, to see whether it still crashes runners.
     Trial,
-    /// It may not.
+    /// It must not run.
     Refused,
 }
 
-/// Finds out whether a request may go to a runner. While that is being decided, which takes a third of
-/// a second, it waits: a refusal could turn out wrong, and a run could end one more runner.
+/// Decides whether a request may run. It waits while a decision is pending, which takes a third of
+/// a second: a refusal could turn out wrong, and a run could crash another runner.
 pub async fn admit(shared: &Shared, request: &Request) -> Admission {
     loop {
         let now = shared.clock.now();
@@ -83,12 +85,12 @@
         match standing {
             Standing::Free => return Admission::Free,
             Standing::Refused => return refuse(shared, request),
-            // The rest of its way says that its time is over.
+            // The deadline has passed; later stages report that.
             Standing::Undecided if request.left(now).is_zero() => return Admission::Free,
             Standing::Undecided => {
-                // No change for so long is looked at as one is: proposals lapse, and time passes.
+                // A timeout is handled like a change: proposals expire with time.
                 let mut changed = shared.keeper.changed.subscribe();
-                let _ = timeout(PERIODS.0, changed.changed()).await;
+                let _ = timeout(DECISION_POLL, changed.changed()).await;
             }
         }
     }
@@ -97,10 +99,11 @@
 fn refuse(shared: &Shared, request: &Request) -> Admission {
     let fingerprint = &request.fingerprint;
     let now = shared.clock.now();
-    // One node alone tries, so that a request that comes to many at once ends one runner at the most.
-    let tries = counts_first(shared, fingerprint)
+    // Only one node runs the trial, so that a request sent to many nodes at once crashes at most
+    // one runner.
+    let is_trial = is_primary_counter(shared, fingerprint)
         && shared.keeper.state().quarantine.begin_trial(fingerprint, now);
-    if tries {
+    if is_trial {
         log::info!(request:% = request.id, fingerprint:% = fingerprint; "quarantine tries it again");
         shared.metrics.quarantine.with_label_values(&["tried"]).inc();
         return Admission::Trial;
@@ -117,36 +120,39 @@
     Admission::Refused
 }
 
-/// Notes that a request that was to be tried has not run: the next one is.
+/// Records that a trial did not run; the next request becomes the trial.
 pub fn return_trial(shared: &Shared, request: &Fingerprint) {
     shared.keeper.state().quarantine.return_trial(request);
 }
 
-/// Whether a request is refused, without waiting where that is not decided.
+/// Whether a request is refused, without waiting for a pending decision.
 pub fn is_refused(shared: &Shared, request: &Request) -> bool {
     let now = shared.clock.now();
     let standing = shared.keeper.state().quarantine.standing(&request.fingerprint, now);
     standing == Standing::Refused
 }
 
-/// Notes that a runner has answered a request whole: it has not ended under it.
+/// Records that a runner answered a request completely, and clears the request if that contradicts
+/// a proposal to quarantine it.
 pub fn note_answered(shared: &Shared, request: &Fingerprint) {
     let now = shared.clock.now();
-    let speaks = shared.keeper.state().quarantine.note_answered(*request, now);
-    if speaks {
-        set(shared, request, Stage::Cleared, "answered");
+    let objects = shared.keeper.state().quarantine.note_answered(*request, now);
+    if objects {
+        set_stage(shared, request, Stage::Cleared, "answered");
     }
 }
 
-/// Runs a request again that is not run, by an operator's word. Whether there is one.
+/// Releases a request from quarantine on an operator's command. Returns whether it was quarantined.
 pub fn release(shared: &Shared, request: &Fingerprint) -> bool {
     let now = shared.clock.now();
     let standing = shared.keeper.state().quarantine.standing(request, now);
-    standing != Standing::Free && set(shared, request, Stage::Cleared, "released by an operator")
+    standing != Standing::Free
+        && set_stage(shared, request, Stage::Cleared, "released by an operator")
 }
 
-/// Brings a request to a stage, here and at all others. Whether that is new.
-fn set(shared: &Shared, request: &Fingerprint, stage: Stage, why: &str) -> bool {
+/// Moves a request to a stage on this node and, by gossip, on all others. Returns whether the stage
+/// changed.
+fn set_stage(shared: &Shared, request: &Fingerprint, stage: Stage, why: &str) -> bool {
     let now = shared.clock.now();
     let (was, entry) = {
         let mut state = shared.keeper.state();
@@ -154,27 +160,27 @@
         (was, state.quarantine.set(request, stage, now))
     };
     let Some(entry) = entry else { return false };
-    heed(shared, &entry);
+    update_suspects(shared, &entry);
     note_stage(shared, &entry, why);
     shared.beat_now.notify_one();
-    // Of what is only proposed the store knows nothing.
+    // Proposals are not stored, so only changes from or to `Confirmed` are written.
     if [was, Some(stage)].contains(&Some(Stage::Confirmed)) {
-        keep(shared, *request);
+        schedule_write(shared, *request);
     }
     true
 }
 
-/// Has the store follow what was decided here.
-fn keep(shared: &Shared, request: Fingerprint) {
-    shared.keeper.state().unwritten.insert(request);
-    shared.keeper.decided.notify_one();
+/// Schedules the current stage of a request to be written to the store.
+fn schedule_write(shared: &Shared, request: Fingerprint) {
+    shared.keeper.state().pending_writes.insert(request);
+    shared.keeper.write_pending.notify_one();
 }
 
-/// Does with suspects what a stage asks for.
-fn heed(shared: &Shared, entry: &Entry) {
+/// Applies a stage to the crash counts.
+fn update_suspects(shared: &Shared, entry: &Entry) {
     let mut state = shared.keeper.state();
     match entry.stage {
-        // What one request accounts for speaks no longer against the others that were there.
+        // Crashes explained by this request no longer count against the others that were running.
         Stage::Confirmed => state.suspects.excuse(&entry.ends, &entry.request),
         Stage::Cleared => state.suspects.clear(&entry.request),
         Stage::Proposed | Stage::Withdrawn => {}
@@ -188,33 +194,33 @@
         ends = entry.ends.len(), begun = entry.begun, why = why; "quarantine changes"
     );
     shared.metrics.quarantine.with_label_values(&[stage]).inc();
-    // Those that wait look again.
+    // Wakes requests that wait for a decision.
     shared.keeper.changed.send_replace(());
 }
 
-/// Decides what was proposed and forgets what is long ago, until the process ends.
+/// Decides proposals and expires old entries until the process ends.
 pub async fn run(shared: Arc<Shared>) {
     let mut changed = shared.keeper.changed.subscribe();
     loop {
         let now = shared.clock.now();
-        let deliberating = shared.keeper.state().quarantine.is_deliberating(now);
-        if deliberating {
-            sleep(PERIODS.0).await;
+        let is_deciding = shared.keeper.state().quarantine.is_deliberating(now);
+        if is_deciding {
+            sleep(DECISION_POLL).await;
         } else {
-            // A change is looked at as the time that passes is.
-            let _ = timeout(PERIODS.1, changed.changed()).await;
+            // A change and a timeout are handled alike.
+            let _ = timeout(EXPIRY_POLL, changed.changed()).await;
         }
         decide(&shared);
         for request in expire(&shared) {
-            log::info!(fingerprint:% = request; "quarantine forgets a request");
-            if counts_first(&shared, &request) {
-                keep(&shared, request);
+            log::info!(fingerprint:% = request; "quarantine entry expired");
+            if is_primary_counter(&shared, &request) {
+                schedule_write(&shared, request);
             }
         }
     }
 }
 
-/// Forgets what is long ago, and names the requests that were not run till now.
+/// Expires old entries, and returns the requests that are no longer refused.
 fn expire(shared: &Shared) -> Vec<Fingerprint> {
     let now = shared.clock.now();
     let mut state = shared.keeper.state();
@@ -222,7 +228,7 @@
     state.quarantine.expire(now)
 }
 
-/// Decides proposals whose time has come, where this node has counted enough ends itself.
+/// Decides the proposals that are due, provided that this node has counted enough crashes itself.
 fn decide(shared: &Shared) {
     let now = shared.clock.now();
     let due = shared.keeper.state().quarantine.due(now);
@@ -233,12 +239,12 @@
             (counted >= ENDS).then(|| state.quarantine.decide(&request, now)).flatten()
         };
         if let Some(stage) = stage {
-            set(shared, &request, stage, "decided");
+            set_stage(shared, &request, stage, "decided");
         }
     }
 }
 
-/// What is known, for people.
+/// The state of the quarantine as JSON, for operators.
 pub fn state(shared: &Shared) -> serde_json::Value {
     let now = shared.clock.now();
     let state = shared.keeper.state();
--- a/node/src/serve/quarantine/news.rs
+++ b/node/src/serve/quarantine/news.rs
@@ -1,21 +1,21 @@
-//! What nodes tell each other of requests that are not run: with beats, and when they compare lists.
+//! Gossip of quarantined requests, with heartbeats and when nodes compare their full lists.
 
 use sardinepick_lib::fleet::quarantine::{Entry, Stage};
 use sardinepick_lib::id::NodeId;
 use sardinepick_wire::fleet as pb;
 use sardinepick_wire::quarantine::{quarantined, read_quarantined};
 
-use super::count::counts_first;
-use super::{heed, keep, note_stage, set};
+use super::count::is_primary_counter;
+use super::{note_stage, schedule_write, set_stage, update_suspects};
 use crate::serve::shared::Shared;
 
-/// Takes what another node tells of requests that are not run.
+/// Applies another node's entries.
 pub fn take(shared: &Shared, told: &[pb::Quarantined], from: &str) {
     let now = shared.clock.now();
     let entries = match read_quarantined(told, now) {
         Ok(entries) => entries,
         Err(error) => {
-            log::warn!(node = from, error:% = error; "quarantine of a node is not taken");
+            log::warn!(node = from, error:% = error; "malformed quarantine gossip dropped");
             return;
         }
     };
@@ -28,44 +28,45 @@
             }
             was
         };
-        heed(shared, &entry);
+        update_suspects(shared, &entry);
         note_stage(shared, &entry, "heard");
-        // Two nodes that count may decide differently, and one of them have written it down.
+        // Two counting nodes may decide differently, and one of them may have written its decision
+        // to the store.
         let lifted = was == Some(Stage::Confirmed) && entry.stage != Stage::Confirmed;
-        if lifted && counts_first(shared, &entry.request) {
-            keep(shared, entry.request);
+        if lifted && is_primary_counter(shared, &entry.request) {
+            schedule_write(shared, entry.request);
         }
         if shared.keeper.state().quarantine.objects(&entry) {
-            set(shared, &entry.request, Stage::Cleared, "answered since");
+            set_stage(shared, &entry.request, Stage::Cleared, "answered since");
         }
         shared.beat_now.notify_one();
     }
 }
 
-/// What has not been told to other nodes yet, as far as one message carries it.
+/// Entries not gossiped yet, as many as fit into one message.
 pub fn next(shared: &Shared) -> Vec<pb::Quarantined> {
     let news = shared.keeper.state().quarantine.take_news();
     quarantined(&news, shared.clock.now())
 }
 
-/// Whether there is more to be told.
+/// Whether there are entries that have not been gossiped.
 pub fn has_news(shared: &Shared) -> bool {
     shared.keeper.state().quarantine.has_news()
 }
 
-/// All that is known, for another node; what is refused comes first.
+/// All entries, for another node; refused requests come first.
 pub fn all(shared: &Shared) -> Vec<pb::Quarantined> {
     let mut all: Vec<Entry> = shared.keeper.state().quarantine.entries().cloned().collect();
     all.sort_by_key(|entry| entry.stage != Stage::Confirmed);
     quarantined(&all, shared.clock.now())
 }
 
-/// A digest of all that is known.
+/// A digest of all entries.
 pub fn digest(shared: &Shared) -> u64 {
     shared.keeper.state().quarantine.digest(shared.clock.now())
 }
 
-/// Compares another node's digest. True if lists should be compared.
+/// Compares another node's digest. Returns whether the full lists should be compared.
 pub fn note_digest(shared: &Shared, node: &NodeId, digest: u64) -> bool {
     shared.keeper.state().quarantine.note_digest(node, digest, shared.clock.now())
 }
--- a/node/src/serve/quarantine/store.rs
+++ b/node/src/serve/quarantine/store.rs
@@ -1,5 +1,5 @@
-//! Keeping in the platform's store what is not run, for when all nodes start anew and none is left
-//! that could tell the others.
+//! Persistence of the quarantine in the platform's store, for the case that all nodes restart and
+//! none is left to gossip it.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,20 +11,20 @@
 use sardinepick_platform::quarantine::{QUARANTINE, decode, encode};
 use tokio::time::sleep;
 
-use super::{counts_first, heed, keep, note_stage};
+use super::{is_primary_counter, note_stage, schedule_write, update_suspects};
 use crate::serve::shared::Shared;
 use crate::serve::store::{Purpose, StoreError};
 
-/// Reads what the store keeps, once in the life of this process; what comes later other nodes tell.
+/// Reads the stored entries once per process; later changes arrive by gossip.
 pub async fn read_once(shared: Arc<Shared>) {
-    if shared.keeper.is_read.swap(true, Ordering::Relaxed) {
+    if shared.keeper.store_read.swap(true, Ordering::Relaxed) {
         return;
     }
     let (objects, _) = match shared.store.list(Purpose::Quarantine, QUARANTINE).await {
         Ok(read) => read,
         Err(error) => {
             log::info!(error:% = error; "quarantine not read from the store");
-            shared.keeper.is_read.store(false, Ordering::Relaxed);
+            shared.keeper.store_read.store(false, Ordering::Relaxed);
             return;
         }
     };
@@ -32,21 +32,21 @@
     for object in objects {
         match decode(&object.name, &object.content, now) {
             Ok(entry) if shared.keeper.state().quarantine.take(entry.clone(), now) => {
-                heed(&shared, &entry);
+                update_suspects(&shared, &entry);
                 note_stage(&shared, &entry, "kept by the store");
                 shared.beat_now.notify_one();
             }
             Ok(_) => {}
             Err(error) => {
                 shared.metrics.foreign.with_label_values(&["quarantine", error.reason()]).inc();
-                log::warn!(request:% = object.name, error:% = error; "quarantine entry is not taken");
+                log::warn!(request:% = object.name, error:% = error; "quarantine entry skipped");
             }
         }
     }
 }
 
-/// Has what is not run written again whenever the store has come back from a copy, until the process
-/// ends. Of the nodes that know of a request one writes it.
+/// Writes the confirmed entries again whenever the store has been restored from a copy, until the
+/// process ends. Each entry is written by its primary counter only.
 pub async fn write_again(shared: Arc<Shared>) {
     let mut eras = shared.history.changes();
     while eras.changed().await.is_ok() {
@@ -58,10 +58,10 @@
             let entries = state.quarantine.entries();
             entries.filter(|entry| entry.stage == Stage::Confirmed).map(|e| e.request).collect()
         };
-        let mine = confirmed.into_iter().filter(|request| counts_first(&shared, request));
+        let mine = confirmed.into_iter().filter(|request| is_primary_counter(&shared, request));
         let mut count = 0;
         for request in mine {
-            keep(&shared, request);
+            schedule_write(&shared, request);
             count += 1;
         }
         if count > 0 {
@@ -70,25 +70,25 @@
     }
 }
 
-/// Brings the store up to what was decided here, until the process ends.
+/// Writes pending decisions to the store until the process ends.
 pub async fn run(shared: Arc<Shared>) {
     let mut failures = 0;
     loop {
-        let request = shared.keeper.state().unwritten.iter().next().copied();
+        let request = shared.keeper.state().pending_writes.iter().next().copied();
         let Some(request) = request else {
             failures = 0;
-            shared.keeper.decided.notified().await;
+            shared.keeper.write_pending.notified().await;
             continue;
         };
-        // What changes meanwhile is written again.
-        shared.keeper.state().unwritten.remove(&request);
+        // Removed before the write, so that a change during the write is written again.
+        shared.keeper.state().pending_writes.remove(&request);
         if let Err(error) = write(&shared, &request).await {
             failures += 1;
             log::info!(
                 fingerprint:% = request, failures = failures, error:% = error;
                 "quarantine not written to the store"
             );
-            shared.keeper.state().unwritten.insert(request);
+            shared.keeper.state().pending_writes.insert(request);
             let draw: f64 = shared.rng().random();
             sleep(pause(failures, draw)).await;
         }
