--- a/node/src/history/mod.rs
+++ b/node/src/history/mod.rs
@@ -1,4 +1,5 @@
-//! The era of the platform's store, as one node knows it from the store's answers and other nodes.
+//! Tracking of the platform store's era on one node, from the store's responses and from other
+//! nodes.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -15,90 +16,90 @@
 use crate::lock::lock;
 use crate::serve::metrics::Metrics;
 
-/// How often the log tells of eras that are not believed.
-const LOG_PERIOD: Duration = Duration::from_secs(10);
+/// The minimum interval between log lines about eras that are rejected.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Why an answer is not used.
+/// Why a response of the store is rejected.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum EraError {
-    /// It is of an era that is over.
-    #[error("the answer is of era {shown}, which ended when {known} began")]
+    /// It is from an era that has ended.
+    #[error("the response is from era {shown}, which ended when era {known} began")]
     Former {
-        /// The era that it names.
+        /// The era that the response names.
         shown: Era,
-        /// The present one.
+        /// The current era.
         known: Era,
     },
-    /// Its era is not believed yet.
-    #[error("the answer is of era {shown}, more than one after {known}, and is not believed yet")]
+    /// It is more than one era ahead, and that era is not confirmed yet.
+    #[error("the response is from era {shown}, more than one after {known}, and is unconfirmed")]
     Unconfirmed {
-        /// The era that it names.
+        /// The era that the response names.
         shown: Era,
-        /// The present one.
+        /// The current era.
         known: Era,
     },
 }
 
-/// What is known of the store's era.
+/// The store's era as this node knows it.
 pub struct Tracker {
     clock: Arc<dyn Clock>,
     metrics: Metrics,
-    present: Mutex<Present>,
-    /// Whether an answer of the store has ever named an era.
+    current: Mutex<Present>,
+    /// Whether any response of the store has named an era.
     is_named: AtomicBool,
-    logged: Mutex<Option<Instant>>,
+    last_logged: Mutex<Option<Instant>>,
     changed: watch::Sender<Era>,
 }
 
 impl Tracker {
-    /// A tracker to which no era has been shown.
+    /// Creates a tracker that knows no era.
     pub fn new(clock: Arc<dyn Clock>, metrics: Metrics) -> Self {
         let changed = watch::Sender::new(Era::default());
         Self {
             clock,
             metrics,
-            present: Mutex::default(),
+            current: Mutex::default(),
             is_named: AtomicBool::new(false),
-            logged: Mutex::default(),
+            last_logged: Mutex::default(),
             changed,
         }
     }
 
-    fn present(&self) -> MutexGuard<'_, Present> {
-        lock(&self.present)
+    fn current(&self) -> MutexGuard<'_, Present> {
+        lock(&self.current)
     }
 
-    /// The present era.
+    /// The current era.
     pub fn era(&self) -> Era {
-        self.present().era()
+        self.current().era()
     }
 
-    /// Since when the present era has been known; none if none is.
+    /// When the current era became known; `None` if none is known.
     pub fn since(&self) -> Option<Instant> {
-        self.present().since()
+        self.current().since()
     }
 
-    /// Until when an entry that is missing now is doubted, as who wrote it writes it again after the
-    /// store has come back from a copy.
+    /// Until when a missing entry may still reappear: after the store has been restored from a
+    /// copy, the writer of an entry writes it again.
     pub fn doubt(&self, now: Instant) -> Option<Instant> {
-        self.present().doubt(now, DOUBT)
+        self.current().doubt(now, DOUBT)
     }
 
-    /// Whether the store has come back from a copy in this process's life.
+    /// Whether the store has been restored from a copy since this process started.
     pub fn has_come_back(&self) -> bool {
-        self.present().has_come_back()
+        self.current().has_come_back()
     }
 
-    /// Tells of each change of the era.
+    /// A channel that receives each change of the era.
     pub fn changes(&self) -> watch::Receiver<Era> {
         self.changed.subscribe()
     }
 
-    /// Takes in the headers of an answer, and gives the era of what it says. An answer that names none,
-    /// or names it so that it cannot be read, is taken to be of the present one.
+    /// Reads the era from the headers of a response. A response that names no era, or an unreadable
+    /// one, counts as being from the current era.
     ///
     /// # Errors
-    /// The answer must not be used.
+    /// The response must not be used.
     pub fn note_answer(&self, headers: &HeaderMap) -> Result<Era, EraError> {
         match read_era(headers) {
             Ok(Some(shown)) => {
@@ -106,7 +107,7 @@
                 self.note(shown, "store")
             }
             Ok(None) => {
-                self.begin_unnamed();
+                self.ensure_initial_era();
                 Ok(self.era())
             }
             Err(fault) => {
@@ -119,17 +120,17 @@
         }
     }
 
-    /// Takes in the era that another node knows.
+    /// Handles the era that another node knows.
     pub fn note_told(&self, shown: Era, node: &str) {
-        // What another node says late is no fault of the store.
+        // A node that lags behind is not a fault of the store.
         if shown > self.era() {
             let _ = self.note(shown, node);
         }
     }
 
-    /// Takes in that a list is as of an earlier revision than an answer before it, in one era. A store
-    /// that names no eras has come back from a copy then; all nodes that see it take the next era for
-    /// the present one.
+    /// Handles a list response whose revision is lower than that of an earlier response in the same
+    /// era. A store that names no eras has then been restored from a copy; all nodes that observe
+    /// this advance to the next era.
     pub fn note_fall(&self, was: Point, as_of: Point) {
         self.count("revision_fell");
         let is_named = self.is_named.load(Ordering::Relaxed);
@@ -137,25 +138,25 @@
             log::warn!(was:% = was, as_of:% = as_of, named = is_named; "store's revision fell");
         }
         if !is_named {
-            self.begin_unnamed();
-            // Another part of this node may have seen it first.
+            self.ensure_initial_era();
+            // Another task of this node may have observed it first.
             let _ = self.note(Era(was.era.0 + 1), "revisions");
         }
     }
 
-    /// Has the era of a store that names none be the present one, if none is known.
-    fn begin_unnamed(&self) {
-        let mut present = self.present();
-        if present.since().is_none() {
-            present.note(Era::default(), self.clock.now());
+    /// Sets the initial era of a store that names none, if no era is known.
+    fn ensure_initial_era(&self) {
+        let mut current = self.current();
+        if current.since().is_none() {
+            current.note(Era::default(), self.clock.now());
         }
     }
 
     fn note(&self, shown: Era, source: &str) -> Result<Era, EraError> {
         let (known, sight) = {
-            let mut present = self.present();
-            let known = present.era();
-            (known, present.note(shown, self.clock.now()))
+            let mut current = self.current();
+            let known = current.era();
+            (known, current.note(shown, self.clock.now()))
         };
         match sight {
             Sight::Same => return Ok(shown),
@@ -186,7 +187,7 @@
             }
         }
         self.metrics.era.set(i64::from(shown.0));
-        // Two changes close together may come here in the other order.
+        // Two changes in quick succession may arrive here out of order.
         self.changed.send_if_modified(|known| {
             let is_later = shown > *known;
             *known = shown.max(*known);
@@ -201,10 +202,10 @@
 
     fn is_log_due(&self) -> bool {
         let now = self.clock.now();
-        let mut logged = lock(&self.logged);
-        let due = logged.is_none_or(|at| now >= at + LOG_PERIOD);
+        let mut last_logged = lock(&self.last_logged);
+        let due = last_logged.is_none_or(|at| now >= at + LOG_INTERVAL);
         if due {
-            *logged = Some(now);
+            *last_logged = Some(now);
         }
         due
     }
--- a/node/src/serve/quarantine/count.rs
+++ b/node/src/serve/quarantine/count.rs
@@ -91,8 +91,8 @@
     request: Fingerprint,
     end: End,
 ) {
-    let crashes = u32::try_from(count(shared, request, end)).unwrap_or(u32::MAX);
-    transmit(shared, from, &Schedule::Counted { number, ends: crashes }).await;
+    let ends = u32::try_from(count(shared, request, end)).unwrap_or(u32::MAX);
+    transmit(shared, from, &Schedule::Counted { number, ends }).await;
 }
 
 /// Handles the reply to a crash report.
--- a/node/src/serve/quarantine/mod.rs
+++ b/node/src/serve/quarantine/mod.rs
@@ -220,7 +220,7 @@
     }
 }
 
-/// Expires old entries, and returns the requests that are no longer refused.
+/// Expires old entries, and returns the requests that were in quarantine until now.
 fn expire(shared: &Shared) -> Vec<Fingerprint> {
     let now = shared.clock.now();
     let mut state = shared.keeper.state();
