--- a/node/src/back_off/mod.rs
+++ b/node/src/back_off/mod.rs
@@ -1,4 +1,4 @@
-//! Back-off from runners that reject requests with a time to retry after.
+//! Back-off from runners that reject requests with `Retry-After`.
 //!
 //! A runner addresses it to the node whose request it rejects; other nodes do not back off.
 
@@ -13,7 +13,7 @@
 use crate::lock::lock;
 use crate::serve::metrics::Metrics;
 
-/// The back-off of one node from runners.
+/// The back-off state of one node.
 pub struct BackOffs {
     register: Arc<Mutex<Register>>,
     clock: Arc<dyn Clock>,
@@ -21,12 +21,12 @@
 }
 
 impl BackOffs {
-    /// A node whose requests no runner has rejected.
+    /// Creates a state without back-off.
     pub fn new(register: Arc<Mutex<Register>>, clock: Arc<dyn Clock>, metrics: Metrics) -> Self {
         Self { register, clock, metrics }
     }
 
-    /// Notes that a runner has rejected `request`, and how long it is to be left out.
+    /// Records that a runner rejected `request`, and for how long the runner is to be avoided.
     pub fn note_refused(&self, stay: &Stay, request: &str, after: Result<Duration, DecimalError>) {
         let now = self.clock.now();
         let mut register = lock(&self.register);
--- a/node/src/dispatch/mod.rs
+++ b/node/src/dispatch/mod.rs
@@ -1,5 +1,5 @@
-//! Dispatch of requests to runners: within their rate limits, and reading from the head of each answer
-//! what the runner announces of itself.
+//! Dispatch of requests to runners within their rate limits, and evaluation of the signals in the
+//! head of each response: rate limits, drains and back-off.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 pub struct Dispatcher {
     /// Connections to runners.
     pub connections: Arc<Connections>,
-    /// Rate limits.
+    /// Rate limits of runners.
     pub limiter: Arc<Limiter>,
     /// Drains that runners announce.
     pub drains: Arc<Drains>,
@@ -31,22 +31,23 @@
     pub clock: Arc<dyn Clock>,
 }
 
-/// Where a request is sent.
+/// The destination of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Target<'a> {
     /// The runner.
     pub runner: &'a RunnerId,
-    /// The life of it in which the request is counted; none if the runner is not known any more.
+    /// The runner instance that the request is counted against; `None` if the runner is no longer
+    /// known.
     pub stay: Option<&'a Stay>,
     /// Its address.
     pub address: SocketAddr,
 }
 
 impl Dispatcher {
-    /// Sends a caller's request `id` to a runner, and waits for the head of the answer.
+    /// Sends a caller's request `id` to a runner, and waits for the head of the response.
     ///
     /// # Errors
-    /// There is no answer, or the runner's rate limit leaves no room.
+    /// There is no response, or the runner's rate limit is exhausted.
     pub async fn send(
         &self,
         target: Target<'_>,
--- a/node/src/drain/mod.rs
+++ b/node/src/drain/mod.rs
@@ -1,7 +1,7 @@
-//! Drains that runners announce in their answers, and gossip of them.
+//! Drains that runners announce in their responses, and gossip of them.
 //!
-//! The register announces drains too, but not while the store is unavailable. A drain lasts until the
-//! runner's process ends.
+//! The register announces drains too, but not while the store is unavailable. A drain lasts until
+//! the runner's process ends.
 
 use std::sync::{Arc, Mutex};
 
@@ -14,18 +14,18 @@
 use crate::lock::lock;
 use crate::serve::metrics::Metrics;
 
-/// The drains that runners have announced, at one node.
+/// The drains that runners have announced, as known to one node.
 pub struct Drains {
     register: Arc<Mutex<Register>>,
     outbox: Mutex<Outbox>,
-    /// Has gossip sent at once.
+    /// Triggers gossip without delay.
     wake: Arc<Notify>,
     clock: Arc<dyn Clock>,
     metrics: Metrics,
 }
 
 impl Drains {
-    /// A node that knows of none.
+    /// Creates an empty set of drains.
     pub fn new(
         register: Arc<Mutex<Register>>,
         wake: Arc<Notify>,
@@ -35,7 +35,7 @@
         Self { register, outbox: Mutex::default(), wake, clock, metrics }
     }
 
-    /// Notes that a runner has said in its answer to `request` that it leaves.
+    /// Records that a runner announced its drain in its response to `request`.
     pub fn note_answer(&self, stay: &Stay, request: &str) {
         let is_new = lock(&self.register).in_stay_mut(stay).is_some_and(Runner::note_leaving);
         if is_new {
@@ -43,13 +43,13 @@
                 runner:% = stay.id, request = request, source = "answer";
                 "runner leaves by its own word"
             );
-            self.note_news(Tag::of(&stay.id, stay.born), "answer");
+            self.queue_gossip(Tag::of(&stay.id, stay.born), "answer");
         }
     }
 
-    /// Takes in what another node tells.
-    pub fn take(&self, told: &[Tag], from: &str) {
-        for tag in told {
+    /// Applies gossip of another node.
+    pub fn take(&self, tags: &[Tag], from: &str) {
+        for tag in tags {
             let id = {
                 let mut register = lock(&self.register);
                 let runner = register.by_tag_mut(*tag);
@@ -58,38 +58,39 @@
                 runner.entry.id.clone()
             };
             log::info!(runner:% = id, request = "", source = from; "runner leaves by its own word");
-            self.note_news(*tag, "node");
+            self.queue_gossip(*tag, "node");
         }
     }
 
-    fn note_news(&self, tag: Tag, source: &str) {
+    fn queue_gossip(&self, tag: Tag, source: &str) {
         self.metrics.drains.with_label_values(&[source]).inc();
         lock(&self.outbox).push(tag, self.clock.now());
         self.wake.notify_one();
     }
 
-    /// What the next beat tells; with `again` also what beats before it have told.
+    /// The drains to send with the next heartbeat; with `again` also those that earlier heartbeats
+    /// have sent.
     pub fn next(&self, again: bool) -> Vec<Tag> {
         let mut outbox = lock(&self.outbox);
         let register = lock(&self.register);
-        let mut told = Vec::new();
+        let mut tags = Vec::new();
         for (tag, _) in outbox.take(again, self.clock.now()) {
             match register.by_tag(tag) {
-                Some(_) => told.push(tag),
+                Some(_) => tags.push(tag),
                 None => outbox.forget(tag),
             }
         }
-        told
+        tags
     }
 
-    /// The runners that leave by their own word.
+    /// All runners that have announced a drain.
     pub fn all(&self) -> Vec<Tag> {
         let register = lock(&self.register);
         let leaving = register.runners().filter(|runner| runner.has_said_leaving());
         leaving.map(|runner| runner.entry.tag()).collect()
     }
 
-    /// Whether there is something that no beat has told yet.
+    /// Whether there are drains that no heartbeat has sent yet.
     pub fn has_news(&self) -> bool {
         lock(&self.outbox).has_new()
     }
--- a/node/src/limit/mod.rs
+++ b/node/src/limit/mod.rs
@@ -1,10 +1,10 @@
-//! Distributed rate limiting: permits to send requests to runners with a rate limit, and gossip of the
-//! limits.
+//! Distributed rate limiting: permits to send requests to runners with a rate limit, and gossip of
+//! the limits.
 //!
-//! The node that schedules a runner's pool has the token bucket for the runner and grants permits from
-//! it; other nodes acquire one before each request. A node grants only if by its own view it schedules
-//! the pool, so that two nodes grant only while their views differ. In a partition each side grants its
-//! part of the rate.
+//! The node that schedules a runner's pool holds the runner's token bucket and grants permits from
+//! it; other nodes acquire a permit before each request. A node grants only if by its own view it
+//! schedules the pool, so that two nodes grant only while their views differ. In a partition each
+//! side grants its share of the rate.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -32,44 +32,44 @@
 
 pub mod news;
 
-/// The timeout of a request for a permit; that of a request to a scheduler.
-const PATIENCE: Duration = scheduler::PATIENCE;
-/// How long no permit is requested after a timeout, or from a node that does not grant by its own view.
-/// The nodes' views agree within a second.
+/// The timeout of a permit request, the same as that of a scheduling request.
+const PERMIT_TIMEOUT: Duration = scheduler::PATIENCE;
+/// How long no permit is requested after a timeout, or from a node that by its own view is not the
+/// grantor. The nodes' views converge within a second.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Who grants permits for the runners of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Grantor {
-    /// This node, out of this part of the rate.
-    Me(f64),
-    /// Another, reached here.
-    Other(SocketAddr),
+    /// This node, from this share of the rate.
+    Local(f64),
+    /// The node at this address.
+    Remote(SocketAddr),
 }
 
-/// No permit to send a request to a runner.
+/// A permit was denied.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 #[error("no permit within the rate limit for {wait:?}")]
 pub struct Denied {
-    /// When to ask again.
+    /// How long to wait before the next request for a permit.
     pub wait: Duration,
 }
 
-/// The rate limits of runners at one node.
+/// The rate limits of runners, as known to one node.
 pub struct Limiter {
     register: Arc<Mutex<Register>>,
     roster: Arc<Mutex<Roster>>,
     socket: OnceLock<Arc<UdpSocket>>,
-    asked: Mutex<Pending<Result<(), Duration>>>,
+    requests: Mutex<Pending<Result<(), Duration>>>,
     outbox: Mutex<Outbox>,
-    /// Has gossip sent at once.
+    /// Triggers gossip without delay.
     wake: Arc<Notify>,
     clock: Arc<dyn Clock>,
     metrics: Metrics,
 }
 
 impl Limiter {
-    /// A node that knows of no limits.
+    /// Creates a limiter that knows no limits.
     pub fn new(
         register: Arc<Mutex<Register>>,
         roster: Arc<Mutex<Roster>>,
@@ -77,13 +77,13 @@
         clock: Arc<dyn Clock>,
         metrics: Metrics,
     ) -> Self {
-        let (socket, asked, outbox) = (OnceLock::new(), Mutex::default(), Mutex::default());
-        Self { register, roster, socket, asked, outbox, wake, clock, metrics }
+        let (socket, requests, outbox) = (OnceLock::new(), Mutex::default(), Mutex::default());
+        Self { register, roster, socket, requests, outbox, wake, clock, metrics }
     }
 
-    /// Sets the socket by which other nodes are asked; until then they cannot be.
+    /// Sets the socket for permit requests to other nodes; until then none can be sent.
     pub fn set_socket(&self, socket: Arc<UdpSocket>) {
-        // Set once, by the start of the node.
+        // Set only once, when the node starts.
         let _ = self.socket.set(socket);
     }
 
@@ -94,23 +94,24 @@
         let ids = others.iter().map(|contact| &contact.id).chain(mine);
         let first = scheduler::holder(service, pool, ids);
         match others.iter().find(|contact| Some(&contact.id) == first) {
-            Some(contact) => Grantor::Other(contact.peer),
-            None => Grantor::Me(roster.part()),
+            Some(contact) => Grantor::Remote(contact.peer),
+            None => Grantor::Local(roster.part()),
         }
     }
 
-    /// Acquires a permit to send one request to a runner; granted at once where there is no limit.
+    /// Acquires a permit to send one request to a runner; granted at once if the runner has no
+    /// limit.
     ///
     /// # Errors
-    /// The rate is used up, or the grantor does not answer.
+    /// The rate is exhausted, or the grantor does not reply.
     pub async fn permit(&self, id: &RunnerId) -> Result<(), Denied> {
-        let Some((tag, service, pool, notice)) = lock(&self.register).get(id).and_then(limited)
+        let Some((tag, service, pool, notice)) = lock(&self.register).get(id).and_then(limit_of)
         else {
             return Ok(());
         };
         let (granted, by) = match self.grantor(&service, pool) {
-            Grantor::Me(part) => (self.grant(tag, part), "here"),
-            Grantor::Other(peer) => match self.ask(peer, tag, notice).await {
+            Grantor::Local(part) => (self.grant(tag, part), "here"),
+            Grantor::Remote(peer) => match self.request_permit(peer, tag, notice).await {
                 Some(granted) => (granted, "grantor"),
                 None => (Err(RETRY_PAUSE), "nobody"),
             },
@@ -128,12 +129,12 @@
         })
     }
 
-    /// Sets tokens aside at runners where work has been placed, if this node grants for them.
+    /// Reserves tokens of runners where work has been placed, if this node is their grantor.
     pub fn reserve(&self, runners: &[&RunnerId]) {
         for id in runners {
-            let limited = lock(&self.register).get(id).and_then(limited);
+            let limited = lock(&self.register).get(id).and_then(limit_of);
             let Some((tag, service, pool, _)) = limited else { continue };
-            if let Grantor::Me(part) = self.grantor(&service, pool) {
+            if let Grantor::Local(part) = self.grantor(&service, pool) {
                 let now = self.clock.now();
                 self.with_limit(tag, |limit| limit.reserve(part, now));
             }
@@ -142,7 +143,7 @@
 
     fn grant(&self, tag: Tag, part: f64) -> Result<(), Duration> {
         let now = self.clock.now();
-        // A runner that is not known any more gets nothing.
+        // No permits for a runner that is no longer known.
         self.with_limit(tag, |limit| limit.grant(part, now)).unwrap_or(Err(RETRY_PAUSE))
     }
 
@@ -150,18 +151,18 @@
         lock(&self.register).by_tag_mut(tag).map(|runner| change(&mut runner.limit))
     }
 
-    async fn ask(
+    async fn request_permit(
         &self,
         peer: SocketAddr,
         runner: Tag,
         notice: Notice,
     ) -> Option<Result<(), Duration>> {
-        let (number, answer) = lock(&self.asked).register();
+        let (number, answer) = lock(&self.requests).register();
         let age = self.clock.now().saturating_duration_since(notice.at);
         let limit = Announced { runner, rate: notice.rate, age };
         self.transmit(peer, &Schedule::Acquire { number, limit }).await;
-        let answer = timeout(PATIENCE, answer).await;
-        lock(&self.asked).cancel(number);
+        let answer = timeout(PERMIT_TIMEOUT, answer).await;
+        lock(&self.requests).cancel(number);
         answer.ok()?.ok()
     }
 
@@ -170,42 +171,43 @@
         let bytes = message.encode();
         self.metrics.schedule_bytes.with_label_values(&["sent"]).inc_by(bytes.len() as u64);
         if let Err(error) = socket.send_to(&bytes, peer).await {
-            log::debug!(peer:% = peer, error:% = error; "sending of a permit");
+            log::debug!(peer:% = peer, error:% = error; "failed to send a permit message");
         }
     }
 
-    /// Answers the request of another node for a permit.
+    /// Answers another node's permit request.
     pub async fn answer(&self, from: SocketAddr, number: u64, limit: Announced) {
-        let entry = lock(&self.register).by_tag(limit.runner).map(place);
+        let entry = lock(&self.register).by_tag(limit.runner).map(service_and_pool);
         let wait = match entry.map(|(service, pool)| self.grantor(&service, pool)) {
-            Some(Grantor::Me(part)) => {
-                self.take(&[limit], "a node that asks");
+            Some(Grantor::Local(part)) => {
+                self.take(&[limit], "permit request");
                 self.grant(limit.runner, part).err()
             }
-            Some(Grantor::Other(_)) | None => Some(RETRY_PAUSE),
+            Some(Grantor::Remote(_)) | None => Some(RETRY_PAUSE),
         };
         self.transmit(from, &Schedule::Acquired { number, wait }).await;
     }
 
-    /// Takes the answer to a request for a permit.
+    /// Handles the reply to a permit request.
     pub fn take_answer(&self, number: u64, wait: Option<Duration>) {
-        lock(&self.asked).resolve(number, wait.map_or(Ok(()), Err));
+        lock(&self.requests).resolve(number, wait.map_or(Ok(()), Err));
     }
 
-    /// Takes in what an answer of a runner announces, to the request `request` that was sent at `sent`.
+    /// Applies the limit that a runner announces in its response to `request`, which was sent at
+    /// `sent`.
     pub fn note_answer(
         &self,
         stay: &Stay,
         request: &str,
         sent: Instant,
-        named: Result<Option<Rate>, DecimalError>,
+        announced: Result<Option<Rate>, DecimalError>,
     ) {
         let now = self.clock.now();
         let tag = Tag::of(&stay.id, stay.born);
         let mut register = lock(&self.register);
         let Some(runner) = register.in_stay_mut(stay) else { return };
-        let named = match named {
-            Ok(named) => named,
+        let announced = match announced {
+            Ok(announced) => announced,
             Err(error) => {
                 if runner.limit.note_malformed() {
                     self.metrics.limits.with_label_values(&["malformed"]).inc();
@@ -217,7 +219,7 @@
                 return;
             }
         };
-        let change = runner.limit.note_answer(named, sent, now);
+        let change = runner.limit.note_answer(announced, sent, now);
         drop(register);
         if let Some(change) = change {
             log_change(&stay.id, change, request, "answer");
@@ -236,14 +238,14 @@
     }
 }
 
-fn place(runner: &Runner) -> (ServiceId, Pool) {
+fn service_and_pool(runner: &Runner) -> (ServiceId, Pool) {
     (runner.entry.service.clone(), runner.pool)
 }
 
-/// What identifies a runner with a rate limit and its grantor; none where there is no limit.
-fn limited(runner: &Runner) -> Option<(Tag, ServiceId, Pool, Notice)> {
+/// The identity, the pool and the limit of a rate-limited runner; `None` if it has no limit.
+fn limit_of(runner: &Runner) -> Option<(Tag, ServiceId, Pool, Notice)> {
     let notice = runner.limit.notice().filter(|notice| notice.rate.is_some())?;
-    let (service, pool) = place(runner);
+    let (service, pool) = service_and_pool(runner);
     Some((runner.entry.tag(), service, pool, notice))
 }
 
--- a/node/src/limit/news.rs
+++ b/node/src/limit/news.rs
@@ -1,4 +1,4 @@
-//! Gossip of rate limits, which goes with heartbeats. Nothing is sent while there are no limits.
+//! Gossip of rate limits, carried by heartbeats. Nothing is sent while there are no limits.
 
 use std::time::{Duration, Instant};
 
@@ -8,11 +8,12 @@
 use super::{Limiter, log_change};
 use crate::lock::lock;
 
-/// For how long the end of a limit is sent again. A limit in force is sent again as long as it is.
-const ENDED: Duration = Duration::from_secs(30);
+/// How long a lifted limit is gossiped. A limit in force is gossiped for as long as it exists.
+const LIFTED_TTL: Duration = Duration::from_secs(30);
 
 impl Limiter {
-    /// What the next beat tells; with `again` also what beats before it have told.
+    /// The limits to send with the next heartbeat; with `again` also those that earlier heartbeats
+    /// have sent.
     pub fn next(&self, again: bool) -> Vec<Announced> {
         let now = self.clock.now();
         let mut outbox = lock(&self.outbox);
@@ -20,7 +21,7 @@
         let mut told = Vec::new();
         for (tag, since) in outbox.take(again, now) {
             let notice = register.by_tag(tag).and_then(|runner| runner.limit.notice());
-            match notice.filter(|notice| notice.rate.is_some() || since <= ENDED) {
+            match notice.filter(|notice| notice.rate.is_some() || since <= LIFTED_TTL) {
                 Some(notice) => told.push(announced(tag, &notice, now)),
                 None => outbox.forget(tag),
             }
@@ -28,7 +29,7 @@
         told
     }
 
-    /// The limits that are there.
+    /// All limits in force.
     pub fn all(&self) -> Vec<Announced> {
         let now = self.clock.now();
         let register = lock(&self.register);
@@ -39,12 +40,12 @@
         limited.collect()
     }
 
-    /// Whether there is a change that no beat has told yet.
+    /// Whether there are changes that no heartbeat has sent yet.
     pub fn has_news(&self) -> bool {
         lock(&self.outbox).has_new()
     }
 
-    /// Takes in what another node tells.
+    /// Applies gossip of another node.
     pub fn take(&self, told: &[Announced], from: &str) {
         let now = self.clock.now();
         for Announced { runner: tag, rate, age } in told {
@@ -60,7 +61,7 @@
                 log_change(&id, change, "", from);
                 self.note_change(*tag, change);
             } else if differs && is_outdated {
-                // The other node does not know what this one has heard since.
+                // The other node's information is older, so this node sends its own again.
                 lock(&self.outbox).push(*tag, now);
                 self.wake.notify_one();
             }
--- a/node/src/scale/mod.rs
+++ b/node/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! Ordering runners while this node holds the duties.
+//! Ordering runners from the platform while this node holds the duties.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,28 +15,29 @@
 use crate::duty::tenure::Tenure;
 use crate::serve::metrics::Metrics;
 
-/// How often the need is looked at.
+/// How often the required number of runners is evaluated.
 const PERIOD: Duration = Duration::from_millis(400);
-/// By what the number of runners is chosen.
+/// The policy that determines the number of runners.
 const POLICY: Policy = Policy::AsFound;
 
-/// A service whose runners are ordered, as this node knows it.
+/// A service whose runners are scaled, as this node knows it.
 #[derive(Clone, Debug)]
 pub struct Service {
     /// Its name.
     pub name: ServiceId,
-    /// Bounds and prices.
+    /// Scaling bounds and prices.
     pub scaling: Scaling,
-    /// Its runners, by the places of the prices.
+    /// Its runners, in the order of the prices.
     pub supply: Vec<Supply>,
-    /// Its load, in runners that would be busy all the time.
+    /// Its load, as a number of fully busy runners.
     pub busy: f64,
 }
 
-/// Gives the services whose runners are ordered; none while what this node knows may be out of date.
+/// Returns the services whose runners are scaled; `None` while this node's information may be
+/// stale.
 pub type Services = Arc<dyn Fn() -> Option<Vec<Service>> + Send + Sync>;
 
-/// The numbers of runners that are ordered.
+/// Keeps the number of runners in line with demand.
 pub struct Scaler {
     /// The services.
     pub services: Services,
@@ -50,7 +51,7 @@
     pub metrics: Metrics,
 }
 
-struct Scaled {
+struct ServiceState {
     need: Need,
     planner: Planner,
 }
@@ -58,38 +59,38 @@
 impl Scaler {
     /// Orders runners until the process ends.
     pub async fn run(self) {
-        let mut scaled: HashMap<ServiceId, Scaled> = HashMap::new();
+        let mut states: HashMap<ServiceId, ServiceState> = HashMap::new();
         loop {
             sleep(PERIOD).await;
             let Some(services) = (self.services)() else { continue };
-            scaled.retain(|name, _| services.iter().any(|service| service.name == *name));
+            states.retain(|name, _| services.iter().any(|service| service.name == *name));
             for service in services {
-                let one = scaled.entry(service.name.clone()).or_insert_with(|| Scaled {
+                let state = states.entry(service.name.clone()).or_insert_with(|| ServiceState {
                     need: Need::new(POLICY),
                     planner: Planner::default(),
                 });
-                self.turn(&service, one).await;
+                self.evaluate(&service, state).await;
             }
         }
     }
 
-    async fn turn(&self, service: &Service, one: &mut Scaled) {
+    async fn evaluate(&self, service: &Service, state: &mut ServiceState) {
         self.tenure.want();
         let now = self.clock.now();
         let serving = service.supply.iter().flat_map(|s| s.serving).sum();
-        let need = one.need.note(now, service.busy, serving);
-        self.show(service, need.count);
+        let need = state.need.note(now, service.busy, serving);
+        self.export_metrics(service, need.count);
         if !self.caller.may_call() {
-            // Whoever holds the duties meanwhile orders other numbers.
-            one.planner = Planner::default();
+            // Another holder may order other numbers meanwhile.
+            state.planner = Planner::default();
             return;
         }
-        for order in one.planner.plan(now, &service.scaling, &service.supply, need) {
-            self.give(service, need.count, &order, &mut one.planner, now).await;
+        for order in state.planner.plan(now, &service.scaling, &service.supply, need) {
+            self.send_order(service, need.count, &order, &mut state.planner, now).await;
         }
     }
 
-    fn show(&self, service: &Service, need: u32) {
+    fn export_metrics(&self, service: &Service, need: u32) {
         let ready = |kind: usize| service.supply.iter().map(|s| s.ready[kind]).sum();
         for (what, count) in [("needed", need), ("regular", ready(0)), ("reclaimable", ready(1))] {
             let gauge = self.metrics.scaled.with_label_values(&[service.name.as_str(), what]);
@@ -97,7 +98,7 @@
         }
     }
 
-    async fn give(
+    async fn send_order(
         &self,
         service: &Service,
         need: u32,
