--- a/node/src/duty/caller.rs
+++ b/node/src/duty/caller.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform that the holder of the duties makes.
+//! Calls to the platform by the holder of the duties.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,26 +14,26 @@
 use crate::serve::connection::Connections;
 use crate::serve::metrics::Metrics;
 
-/// How long a call may take. A call that is given up is taken back from the network, so it does not
+/// The timeout of a call. A call that times out is also cancelled on the network, so it does not
 /// arrive later than this.
-pub const CALL_LIMIT: Duration = Duration::from_millis(600);
-/// How long a connection to the platform may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// The largest answer that is read.
-const LARGEST: usize = 64 << 10;
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// The timeout of connecting to the platform.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// The size limit of a response, in bytes.
+const MAX_REPLY_BYTES: usize = 64 << 10;
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The platform has answered.
+    /// The platform replied.
     Replied(Reply),
-    /// There is no answer; it may have been taken.
+    /// There was no reply; the platform may have processed the call.
     NoAnswer,
-    /// This node is not the holder any more; nothing was sent.
+    /// This node no longer holds the lease; nothing was sent.
     NotHolder,
 }
 
-/// Makes the calls of one node.
+/// Makes one node's calls to the platform.
 pub struct Caller {
     node: NodeId,
     address: SocketAddr,
@@ -43,7 +43,7 @@
 }
 
 impl Caller {
-    /// Makes calls to the platform at `address`.
+    /// Creates a caller for the platform at `address`.
     pub fn new(
         node: NodeId,
         address: SocketAddr,
@@ -56,32 +56,32 @@
 
     /// Whether this node may make calls.
     pub fn may_call(&self) -> bool {
-        self.tenure.authority_for(CALL_LIMIT).is_some()
+        self.tenure.authority_for(CALL_TIMEOUT).is_some()
     }
 
-    /// Makes a call, if this node is the holder. `what` names it for the log and the metrics.
+    /// Makes a call, if this node is the holder. `what` names the call in the log and the metrics.
     pub async fn call(
         &self,
         what: &'static str,
         request: impl FnOnce(SocketAddr, Authority<'_>) -> Request<Bytes>,
     ) -> Outcome {
-        let Some(epoch) = self.tenure.authority_for(CALL_LIMIT) else {
+        let Some(epoch) = self.tenure.authority_for(CALL_TIMEOUT) else {
             return Outcome::NotHolder;
         };
         let request = request(self.address, Authority { holder: &self.node, epoch });
-        let sent = self.connections.send(self.address, request, CONNECT_LIMIT);
-        let outcome = match timeout(CALL_LIMIT, sent).await {
+        let sent = self.connections.send(self.address, request, CONNECT_TIMEOUT);
+        let outcome = match timeout(CALL_TIMEOUT, sent).await {
             Ok(Ok(answer)) => {
                 let reply = reply(answer.head.status);
-                answer.discard(LARGEST).await;
+                answer.discard(MAX_REPLY_BYTES).await;
                 Outcome::Replied(reply)
             }
             Ok(Err(error)) => {
-                log::info!(call = what, error:% = error; "call to the platform without an answer");
+                log::info!(call = what, error:% = error; "no reply to a call to the platform");
                 Outcome::NoAnswer
             }
             Err(_) => {
-                log::info!(call = what, limit:? = CALL_LIMIT; "call to the platform without an answer");
+                log::info!(call = what, limit:? = CALL_TIMEOUT; "no reply to a call to the platform");
                 Outcome::NoAnswer
             }
         };
--- a/node/src/duty/mod.rs
+++ b/node/src/duty/mod.rs
@@ -1,8 +1,8 @@
-//! Duties that one node at a time has: orders to runners, and calls to the platform.
+//! Duties that one node at a time carries out: orders to runners, and calls to the platform.
 //!
-//! One lease in the platform's store stands for all of them. The node that comes first among those
-//! that take callers and that the store serves wants it whenever a duty does; where nodes disagree on
-//! who that is, the lease decides.
+//! A single lease in the platform's store covers all of them. Among the nodes that accept callers
+//! and are served by the store, the first in rank acquires the lease whenever there is a duty to
+//! carry out; where nodes disagree on the rank, the lease decides.
 
 pub mod caller;
 pub mod tenure;
--- a/node/src/duty/tenure.rs
+++ b/node/src/duty/tenure.rs
@@ -1,4 +1,4 @@
-//! Holding the lease on the duties.
+//! Acquiring, renewing and releasing the lease on the duties.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -15,33 +15,33 @@
 use crate::serve::metrics::Metrics;
 use crate::serve::store::{Client, Purpose, StoreError};
 
-/// The name of the lease, which is that of the first of the duties, orders to runners.
+/// The name of the lease object: that of the first duty, orders to runners.
 const LEASE: &str = "runners";
-/// How long the lease holds without renewal. It bounds, with the margin, how long nobody acts after
-/// the holder has fallen silent.
+/// The term of the lease without renewal. Together with the margin it bounds how long the duties
+/// rest after the holder has failed.
 const TTL: Duration = Duration::from_secs(2);
-/// How much longer than the turns of two holders a challenger waits, for clocks that run at different
-/// speeds. Calls end within the term, so none is under way.
+/// How much longer than the required gap between two holders' calls a challenger waits, to allow
+/// for clock drift. Calls end within the term, so none is in flight then.
 const TURN_MARGIN: Duration = Duration::from_millis(200);
-/// How often a node that wants the lease reads it while another holds it.
+/// How often a node that wants the lease reads it while another node holds it.
 const READ_PERIOD: Duration = Duration::from_millis(1_500);
-/// How long the lease is kept after the last wish for it.
-const KEPT: Duration = Duration::from_secs(5);
-/// How many calls in a row may fail before the node counts as not served by the store.
-const FAILURES: u32 = 2;
-/// The holder that a lease object of another writer is taken to have: one that is not known, and whose
-/// term has to run out.
+/// How long the lease is retained after it was last needed.
+const WANTED_TTL: Duration = Duration::from_secs(5);
+/// The number of consecutive failed calls after which the node counts as not served by the store.
+const MAX_FAILURES: u32 = 2;
+/// The holder assumed for a lease object that cannot be decoded: an unknown one, whose term has to
+/// expire.
 const UNKNOWN: &str = "unknown";
 
 #[derive(Debug)]
 struct State {
     lease: Lease,
-    wished: Option<Instant>,
-    read: Option<Instant>,
+    last_wanted: Option<Instant>,
+    last_read: Option<Instant>,
     failures: u32,
 }
 
-/// This node's part in the lease on the duties.
+/// This node's handle on the lease of the duties.
 pub struct Tenure {
     store: Arc<Client>,
     history: Arc<Tracker>,
@@ -51,20 +51,20 @@
     state: Mutex<State>,
 }
 
-/// Who holds the lease, for people.
+/// The state of the lease, for operators.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
-    /// The holder as last seen; empty where there is none.
+    /// The holder as last read; empty if there is none.
     pub holder: SmolStr,
-    /// The number of the holding.
+    /// The epoch of the lease.
     pub epoch: Epoch,
-    /// What is left of this node's own term; nothing where it is not the holder.
+    /// The rest of this node's term; zero if it is not the holder.
     pub left: Duration,
 }
 
 impl Tenure {
-    /// The part of a node, of which no lease is known yet. `turns` is how far apart the calls of two
-    /// holders must be.
+    /// Creates a handle that knows nothing of the lease yet. `turns` is the required gap between
+    /// the calls of two holders.
     pub fn new(
         store: Arc<Client>,
         history: Arc<Tracker>,
@@ -75,7 +75,7 @@
     ) -> Self {
         let term = Term { ttl: TTL, margin: turns + TURN_MARGIN };
         let lease = Lease::new(holder);
-        let state = State { lease, wished: None, read: None, failures: 0 };
+        let state = State { lease, last_wanted: None, last_read: None, failures: 0 };
         Self { store, history, clock, metrics, term, state: Mutex::new(state) }
     }
 
@@ -83,18 +83,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that there is something to do for the holder.
+    /// Records that there is work for the holder.
     pub fn want(&self) {
-        self.state().wished = Some(self.clock.now());
+        self.state().last_wanted = Some(self.clock.now());
     }
 
-    /// The number of this node's holding if a call made now that arrives within `call` lies in its
-    /// term. It has to be looked at as the last thing before the call.
+    /// The epoch of this node's lease, if a call that is made now and arrives within `call` falls
+    /// into its term. Check it immediately before the call.
     pub fn authority_for(&self, call: Duration) -> Option<Epoch> {
         self.state().lease.authority_for(self.clock.now(), call)
     }
 
-    /// Who holds the lease.
+    /// The state of the lease.
     pub fn status(&self) -> Status {
         let now = self.clock.now();
         let state = self.state();
@@ -110,32 +110,32 @@
         }
     }
 
-    /// Takes, renews or gives back the lease, whichever is due. `leads` is whether this node should
-    /// have it, `is_gone` whether a holder's process is known to have ended. False if the store has
-    /// failed it several times in a row.
+    /// Acquires, renews or releases the lease, whichever is due. `leads` tells whether this node
+    /// should hold it, `is_gone` whether a holder's process is known to have ended. Returns false
+    /// if several consecutive calls to the store have failed.
     pub async fn keep(&self, leads: bool, is_gone: impl Fn(&Holder) -> bool) -> bool {
         let now = self.clock.now();
         let within = |at: Option<Instant>, limit: Duration| {
             at.is_some_and(|at| now.saturating_duration_since(at) < limit)
         };
-        let (wanted, settles) = {
+        let (wanted, must_settle) = {
             let mut state = self.state();
             self.note_era(&mut state.lease);
-            let wanted = leads && within(state.wished, KEPT);
+            let wanted = leads && within(state.last_wanted, WANTED_TTL);
             let holds = state.lease.holding(now).is_some();
-            let settles = state.lease.wants_settling();
-            if !wanted && !holds && !settles {
+            let must_settle = state.lease.wants_settling();
+            if !wanted && !holds && !must_settle {
                 return true;
             }
-            if !holds && !within(state.read, READ_PERIOD) {
+            if !holds && !within(state.last_read, READ_PERIOD) {
                 state.lease.want_read();
             }
-            (wanted, settles)
+            (wanted, must_settle)
         };
-        if settles {
+        if must_settle {
             self.read().await;
         }
-        // A read is followed by what it allows.
+        // A read may be followed by a write that it makes possible.
         for _ in 0..2 {
             let action = {
                 let now = self.clock.now();
@@ -149,7 +149,7 @@
                 None => break,
             }
         }
-        self.state().failures < FAILURES
+        self.state().failures < MAX_FAILURES
     }
 
     fn note_era(&self, lease: &mut Lease) {
@@ -163,7 +163,7 @@
         let now = self.clock.now();
         let mut state = self.state();
         self.note_era(&mut state.lease);
-        state.read = Some(now);
+        state.last_read = Some(now);
         match result {
             Ok(found) => {
                 state.failures = 0;
@@ -171,7 +171,7 @@
                 state.lease.take_read(now, self.term, found);
             }
             Err(error) => {
-                log::info!(error:% = error; "lease not read");
+                log::info!(error:% = error; "failed to read the lease");
                 state.failures += 1;
                 state.lease.want_read();
             }
@@ -192,7 +192,7 @@
                 refused: Refused::Conflict(_) | Refused::Missing, ..
             }) => Written::Conflict,
             Err(error) => {
-                log::info!(error:% = error; "lease not known to be written");
+                log::info!(error:% = error; "lease write has an unknown outcome");
                 state.failures += 1;
                 Written::Lost
             }
@@ -212,7 +212,7 @@
     }
 }
 
-/// What became of the lease by a write, in one word.
+/// The effect of a write on the lease, as a label.
 fn change(record: &Record, written: Written) -> &'static str {
     match written {
         Written::Conflict => "lost to another",
@@ -223,8 +223,9 @@
     }
 }
 
-/// Reads the lease. One that cannot be read is held by nobody that is known, for a whole term, and has
-/// a number that none before it can have had: each holding is a change of the store.
+/// Decodes the lease. A lease that cannot be decoded counts as held by an unknown holder for a
+/// whole term, with an epoch that no earlier holder can have had, since each acquisition changes
+/// the store's revision.
 fn decode(object: &Object) -> (Point, Record) {
     let at = object.at;
     let record = serde_json::from_slice(&object.content).unwrap_or_else(|error| {
--- a/node/src/duty/view.rs
+++ b/node/src/duty/view.rs
@@ -1,4 +1,4 @@
-//! The other nodes as far as duties need to know them.
+//! A snapshot of the other nodes, as far as the duties need it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,39 +9,39 @@
 use sardinepick_lib::usage::tally::Collector;
 use smallvec::SmallVec;
 
-/// By what the nodes are chosen that come first for the duties: those that also follow the store, whose
-/// knowledge of it is the newest.
+/// The subject by which nodes are ranked for the duties: the nodes that follow the store, since
+/// their knowledge of it is the most recent.
 pub const SUBJECT: &str = "store";
-/// How many nodes collect what the holder of the duties needs.
+/// How many nodes collect the data that the holder of the duties needs.
 pub const COLLECTORS: usize = 2;
 
-/// The nodes at one moment.
+/// The nodes at one point in time.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Those that come first for the duties, the very first in front, and where they are reached.
+    /// The highest-ranked nodes for the duties with their addresses, the first in rank in front.
     pub first: SmallVec<[(Collector, SocketAddr); COLLECTORS]>,
-    /// All lives that are known, this node's own among them.
+    /// All known process lives, including this node's own.
     pub lives: Vec<Life>,
 }
 
 impl View {
-    /// Whether a node comes first.
+    /// Whether a node is the first in rank.
     pub fn is_first(&self, id: &NodeId) -> bool {
         self.first.first().is_some_and(|(first, _)| first.node == *id)
     }
 
-    /// Whether the process of a holder is known to have ended: its node runs a later one.
+    /// Whether the process of a holder is known to have ended, because its node runs a later one.
     pub fn is_gone(&self, holder: &Holder) -> bool {
         self.lives
             .iter()
             .any(|life| life.node == holder.name && life.incarnation > holder.incarnation)
     }
 
-    /// The collectors alone.
+    /// The collectors, without their addresses.
     pub fn collectors(&self) -> SmallVec<[Collector; COLLECTORS]> {
         self.first.iter().map(|(collector, _)| collector.clone()).collect()
     }
 }
 
-/// Gives the nodes as they are now.
+/// Returns the current view.
 pub type Views = Arc<dyn Fn() -> View + Send + Sync>;
