--- a/node/src/account/mod.rs
+++ b/node/src/account/mod.rs
@@ -1,4 +1,4 @@
-//! Making sure that a key which no known account has is not newer than the configuration.
+//! Checking, for a key that belongs to no known account, that the configuration is up to date.
 
 use std::time::{Duration, Instant};
 
@@ -14,40 +14,41 @@
 
 use crate::serve::store::{Client, Purpose, StoreError};
 
-/// How long a check may take; a request waits for it.
-const LIMIT: Duration = Duration::from_millis(400);
+/// The timeout of a check, for which a request waits.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What a check has shown.
+/// The result of a check.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Checked {
-    /// The configuration is the newest.
+    /// The configuration is up to date.
     Newest,
-    /// There is a newer one.
+    /// The store has a newer configuration.
     Newer(Object),
-    /// The store, back from a copy, has an earlier one: a newer may have been lost with its last changes,
-    /// and is written again.
+    /// The store was restored from a copy and has an earlier configuration. A newer one may have
+    /// been lost with the store's latest changes, and is written again.
     Earlier,
-    /// The store does not say.
+    /// The check failed.
     Unconfirmed,
 }
 
 #[derive(Debug, Default)]
 struct State {
     freshness: Freshness,
-    /// Up to where the store's history of the configuration is known.
+    /// The point in the store's history up to which this node knows the configuration.
     from: Option<Point>,
     /// When the last check failed.
     failed: Option<Instant>,
-    /// Than which configuration the store last showed an earlier one, and when.
+    /// The configuration for which the store last showed an earlier one, and when.
     earlier: Option<(ConfigVersion, Instant)>,
 }
 
-/// The checks of one node. One is under way at a time; requests that come meanwhile share it.
+/// The checks of one node. Only one runs at a time; requests that arrive meanwhile share its
+/// result.
 #[derive(Debug, Default)]
 pub struct Checks(Mutex<State>);
 
 impl Checks {
-    /// Makes sure that `known` is the newest configuration for a request that arrived at `arrived`.
+    /// Checks that `known` is the newest configuration, for a request that arrived at `arrived`.
     pub async fn confirm(
         &self,
         store: &Client,
@@ -67,16 +68,16 @@
         }
         let began = clock.now();
         let from = state.from.unwrap_or(known.at);
-        let checked = timeout(LIMIT, read(store, from)).await;
+        let checked = timeout(CHECK_TIMEOUT, read(store, from)).await;
         let (newest, as_of) = match checked {
             Ok(Ok(read)) => read,
             Ok(Err(error)) => {
-                log::info!(version:% = known.version, error:% = error; "configuration not checked");
+                log::info!(version:% = known.version, error:% = error; "configuration check failed");
                 state.failed = Some(began);
                 return Checked::Unconfirmed;
             }
             Err(_) => {
-                log::info!(version:% = known.version, limit:? = LIMIT; "configuration not checked");
+                log::info!(version:% = known.version, limit:? = CHECK_TIMEOUT; "configuration check failed");
                 state.failed = Some(began);
                 return Checked::Unconfirmed;
             }
@@ -105,18 +106,18 @@
     }
 }
 
-/// The version of a configuration; none where it cannot be read, and so cannot be put in force.
+/// The version of a configuration; `None` if it cannot be decoded and so cannot be applied.
 fn version(object: &Object) -> Option<ConfigVersion> {
     match config::decode(&object.content) {
         Ok(configuration) => Some(configuration.version),
         Err(error) => {
-            log::error!(revision:% = object.at, error:% = error; "configuration is not checked against");
+            log::error!(revision:% = object.at, error:% = error; "configuration in the store cannot be decoded");
             None
         }
     }
 }
 
-/// Reads what has changed since `from`. Mostly nothing has, and the answer is a few bytes.
+/// Reads the changes since `from`. Usually there are none, and the response is a few bytes.
 async fn read(store: &Client, from: Point) -> Result<(Option<Object>, Point), StoreError> {
     let purpose = Purpose::ConfigurationCheck;
     let (objects, as_of) = match store.watch(purpose, config::KIND, from, Duration::ZERO).await {
--- a/node/src/usage/exchange.rs
+++ b/node/src/usage/exchange.rs
@@ -1,4 +1,4 @@
-//! Sending a node's counts to those that collect them.
+//! Sending a node's request counts to the collectors.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use crate::duty::view::Views;
 use crate::serve::metrics::Metrics;
 
-/// How often counts are sent. What a node has counted since is lost with it: on average half of this
-/// of a window of some seconds.
-const PERIOD: Duration = Duration::from_millis(250);
+/// How often counts are sent. If a node fails, its counts since the last message are lost: on
+/// average half of this period, out of a window of several seconds.
+const SEND_PERIOD: Duration = Duration::from_millis(250);
 
-/// What is needed to send counts.
+/// Sends the counts of one node.
 #[derive(Clone)]
 pub struct Exchange {
     /// The counts.
@@ -33,16 +33,16 @@
     /// Sends counts until the process ends.
     pub async fn run(self) {
         loop {
-            sleep(PERIOD).await;
+            sleep(SEND_PERIOD).await;
             self.round().await;
         }
     }
 
-    /// Sends what the collectors are not known to have.
+    /// Sends the counts that the collectors have not acknowledged.
     pub async fn round(&self) {
         let Some(windows) = self.usage.windows else { return };
         let view = (self.views)();
-        let messages = self.usage.round(windows, &view.collectors(), &view.lives);
+        let messages = self.usage.pending_messages(windows, &view.collectors(), &view.lives);
         for ((_, address), messages) in view.first.iter().zip(messages) {
             for message in messages {
                 let body = Body::Counts(message);
@@ -63,6 +63,6 @@
     let bytes = datagram.encode();
     metrics.usage_bytes.with_label_values(&["sent"]).inc_by(bytes.len() as u64);
     if let Err(error) = socket.send_to(&bytes, peer).await {
-        log::debug!(peer:% = peer, error:% = error; "sending usage");
+        log::debug!(peer:% = peer, error:% = error; "failed to send usage");
     }
 }
--- a/node/src/usage/mod.rs
+++ b/node/src/usage/mod.rs
@@ -19,19 +19,19 @@
 
 use crate::serve::metrics::Metrics;
 
-/// How many of the last windows are kept for people to see.
-const SHOWN: usize = 8;
+/// How many recent windows are shown to operators.
+const MAX_RECENT_WINDOWS: usize = 8;
 
 #[derive(Debug)]
 struct State {
-    /// The last windows that this node has brought to an end, oldest first, and what became of them.
-    shown: VecDeque<(Window, &'static str)>,
+    /// The windows that this node has closed most recently, oldest first, with their outcomes.
+    recent_windows: VecDeque<(Window, &'static str)>,
     tally: Tally,
     collection: Collection,
     time: Estimate,
 }
 
-/// What one node has counted and collected.
+/// The counts of one node, and those that it has collected from others.
 pub struct Usage {
     me: Collector,
     windows: Option<Windows>,
@@ -40,11 +40,12 @@
 }
 
 impl Usage {
-    /// Nothing yet. `window` is the length of the windows, none where usage is not counted.
+    /// Creates empty counts. `window` is the length of a window; `None` if usage is not counted.
     pub fn new(me: Collector, window: Option<Duration>, clock: Arc<dyn Clock>) -> Self {
         let time = Estimate::new(clock.now(), clock.wall());
         let collection = Collection::new(me.clone(), time.at(clock.now()));
-        let state = State { shown: VecDeque::new(), tally: Tally::default(), collection, time };
+        let state =
+            State { recent_windows: VecDeque::new(), tally: Tally::default(), collection, time };
         Self { me, windows: window.map(Windows::new), clock, state: Mutex::new(state) }
     }
 
@@ -52,17 +53,17 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The windows, where usage is counted.
+    /// The windows; `None` if usage is not counted.
     pub fn windows(&self) -> Option<Windows> {
         self.windows
     }
 
-    /// What is taken for the true time at `now`, since the start of 1970.
+    /// The estimate of the true time at `now`, since the Unix epoch.
     pub fn time_at(&self, now: Instant) -> Duration {
         self.state().time.at(now)
     }
 
-    /// Takes what another node takes for the true time.
+    /// Takes another node's estimate of the true time into account.
     pub fn note_time(&self, node: &NodeId, time: Duration, now: Instant) {
         let moved = self.state().time.note_other(now, node, time);
         if let Some(seconds) = moved {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Counts a request of an account that begins to run.
+    /// Counts a request that starts to run, if it belongs to an account.
     pub fn note(&self, account: Option<&AccountId>) {
         let (Some(windows), Some(account)) = (self.windows, account) else { return };
         let now = self.clock.now();
@@ -79,8 +80,8 @@
         state.tally.note(window, account);
     }
 
-    /// The window of now, and the messages for each of these collectors.
-    fn round(
+    /// Advances to the current window, and returns the messages to send to each collector.
+    fn pending_messages(
         &self,
         windows: Windows,
         collectors: &[Collector],
@@ -98,7 +99,7 @@
         collectors.iter().map(messages).collect()
     }
 
-    /// A window as far as this node knows it.
+    /// The total of a window, as far as this node knows it.
     fn total(&self, windows: Windows, window: Window, lives: &[Life]) -> Total {
         let now = self.clock.now();
         let state = self.state();
@@ -108,18 +109,18 @@
 
     fn note_window(&self, window: Window, outcome: &'static str) {
         let mut state = self.state();
-        if state.shown.len() == SHOWN {
-            state.shown.pop_front();
+        if state.recent_windows.len() == MAX_RECENT_WINDOWS {
+            state.recent_windows.pop_front();
         }
-        state.shown.push_back((window, outcome));
+        state.recent_windows.push_back((window, outcome));
     }
 
-    /// The last windows that this node has brought to an end, and what became of them.
+    /// The windows that this node has closed most recently, oldest first, with their outcomes.
     pub fn last_windows(&self) -> Vec<(Window, &'static str)> {
-        self.state().shown.iter().copied().collect()
+        self.state().recent_windows.iter().copied().collect()
     }
 
-    /// Takes a datagram of another node.
+    /// Handles a datagram of another node.
     pub async fn take(
         &self,
         socket: &UdpSocket,
@@ -131,7 +132,7 @@
         let datagram = match Datagram::decode(bytes) {
             Ok(datagram) => datagram,
             Err(error) => {
-                log::warn!(peer:% = from, error:% = error; "usage of a node is not taken");
+                log::warn!(peer:% = from, error:% = error; "malformed usage datagram dropped");
                 return;
             }
         };
--- a/node/src/usage/report.rs
+++ b/node/src/usage/report.rs
@@ -1,4 +1,4 @@
-//! Settling finished windows in the store, and reporting them to the platform.
+//! Settling finished windows in the store's ledger, and reporting them to the platform.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,37 +22,37 @@
 use crate::serve::metrics::Metrics;
 use crate::serve::store::{Client, Purpose, StoreError};
 
-/// How often it is looked whether a window is due.
+/// How often due windows are checked for.
 const PERIOD: Duration = Duration::from_millis(200);
-/// How long after the end of a window it is settled: the counts of all nodes have come by then, and
-/// clocks that are a little apart do no harm.
-const SETTLING: Duration = Duration::from_millis(750);
-/// The pause after a report that was not taken.
-const PAUSE: Duration = Duration::from_millis(500);
-/// The name of the ledger.
+/// How long after its end a window is settled, so that the counts of all nodes have arrived and
+/// small clock differences do no harm.
+const SETTLE_DELAY: Duration = Duration::from_millis(750);
+/// The delay before a failed report is sent again.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// The name of the ledger object.
 const LEDGER: &str = "ledger";
-/// The most windows that are settled in one write, as after an outage of the store: some fewer than
-/// nodes keep, since they drop the oldest.
-const MOST_AT_ONCE: u64 = KEPT - 4;
+/// The maximum number of windows settled in one write, for instance after an outage of the store:
+/// slightly fewer than nodes retain, since they drop the oldest.
+const MAX_SETTLED_AT_ONCE: u64 = KEPT - 4;
 
-/// The ledger as the store has it.
+/// The ledger as last read from or written to the store.
 #[derive(Debug)]
-struct Known {
-    /// The era in which it was read or written.
+struct LoadedLedger {
+    /// The store's era at that time.
     era: Era,
     at: Option<Point>,
     ledger: Ledger,
 }
 
-/// What became of looking after the ledger.
+/// The state of the loaded ledger after an operation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Kept {
-    /// It is as it is known.
-    Known,
-    /// It has to be read anew.
-    Unknown,
-    /// The store came back from a copy; what this node knows is newer than what that shows.
-    Crossed,
+enum LedgerState {
+    /// It is current.
+    Current,
+    /// It has to be read again.
+    Stale,
+    /// The store was restored from a copy, and this node's ledger is newer than the copy's.
+    EraChanged,
 }
 
 /// Reports usage while this node holds the duties.
@@ -79,66 +79,67 @@
     /// Reports until the process ends.
     pub async fn run(self) {
         let Some(windows) = self.usage.windows else { return };
-        let mut known = None;
-        let mut paused: Option<Instant> = None;
+        let mut loaded = None;
+        let mut retry_at: Option<Instant> = None;
         loop {
             sleep(PERIOD).await;
             self.tenure.want();
             if !self.caller.may_call() {
-                // Whoever holds the duties meanwhile may change the ledger.
-                known = None;
+                // Another holder may change the ledger meanwhile.
+                loaded = None;
                 continue;
             }
-            if known.is_none() {
-                known = self.read(windows).await;
+            if loaded.is_none() {
+                loaded = self.read(windows).await;
             }
-            let Some(ledger) = &mut known else { continue };
-            if ledger.era != self.history.era() && self.rebase(ledger).await != Kept::Known {
+            let Some(ledger) = &mut loaded else { continue };
+            if ledger.era != self.history.era() && self.rebase(ledger).await != LedgerState::Current
+            {
                 continue;
             }
             match self.settle(windows, ledger).await {
-                Kept::Known => {}
-                Kept::Unknown => {
-                    known = None;
+                LedgerState::Current => {}
+                LedgerState::Stale => {
+                    loaded = None;
                     continue;
                 }
-                Kept::Crossed => continue,
+                LedgerState::EraChanged => continue,
             }
-            if paused.is_some_and(|until| self.clock.now() < until) {
+            if retry_at.is_some_and(|until| self.clock.now() < until) {
                 continue;
             }
-            paused = self.report(windows, &mut ledger.ledger).await;
+            retry_at = self.report(windows, &mut ledger.ledger).await;
         }
     }
 
-    fn time(&self) -> Duration {
+    fn estimated_time(&self) -> Duration {
         self.usage.time_at(self.clock.now())
     }
 
-    /// Reads the ledger; none if the store does not give it. One of another writer says nothing of what
-    /// has been reported, so nothing that ended before is.
-    async fn read(&self, windows: Windows) -> Option<Known> {
+    /// Reads the ledger; `None` if the store fails. A ledger that cannot be decoded does not tell
+    /// which windows were reported, so windows that ended before are not reported.
+    async fn read(&self, windows: Windows) -> Option<LoadedLedger> {
         let object = match self.store.get(Purpose::Usage, USAGE, LEDGER).await {
             Ok(object) => object,
             Err(error) => {
-                log::info!(error:% = error; "settled usage not read");
+                log::info!(error:% = error; "failed to read settled usage");
                 return None;
             }
         };
-        let current = windows.at(self.time());
+        let current = windows.at(self.estimated_time());
         let (era, has_come_back) = (self.history.era(), self.history.has_come_back());
         let Some(object) = object else {
-            // The first holder settles what has ended while it came to hold the duties.
-            let before = windows.at(self.time().saturating_sub(windows.length() * 2));
+            // The first holder also settles the windows that ended while it acquired the duties.
+            let before = windows.at(self.estimated_time().saturating_sub(windows.length() * 2));
             let next = if has_come_back { current } else { before };
-            return Some(Known { era, at: None, ledger: Ledger::starting_at(next) });
+            return Some(LoadedLedger { era, at: None, ledger: Ledger::starting_at(next) });
         };
         let era = object.at.era;
         let at = Some(object.at);
         let mut ledger: Ledger = serde_json::from_slice(&object.content).unwrap_or_else(|error| {
             log::error!(
                 revision:% = object.at, error:% = error;
-                "settled usage cannot be read; it begins anew"
+                "settled usage cannot be decoded; starting a new ledger"
             );
             Ledger::starting_at(current.next())
         });
@@ -151,40 +152,40 @@
                 from:% = ledger.next, to:% = current, era:% = era;
                 "windows of usage are passed over: the store's copy may lack some that were reported"
             );
-            self.note(ledger.next, "in_doubt");
+            self.record_outcome(ledger.next, "in_doubt");
             ledger.next = current;
         }
-        Some(Known { era, at, ledger })
+        Some(LoadedLedger { era, at, ledger })
     }
 
-    /// Has what this node knows of the ledger go on in another era of the store, in which a copy shows
-    /// less of it. This node has held the duties all the while.
-    async fn rebase(&self, known: &mut Known) -> Kept {
+    /// Carries this node's ledger over to a new era of the store, whose copy of the ledger is
+    /// older. This node has held the duties throughout.
+    async fn rebase(&self, loaded: &mut LoadedLedger) -> LedgerState {
         let object = match self.store.get(Purpose::Usage, USAGE, LEDGER).await {
             Ok(object) => object,
             Err(error) => {
-                log::info!(error:% = error; "settled usage not read");
-                return Kept::Crossed;
+                log::info!(error:% = error; "failed to read settled usage");
+                return LedgerState::EraChanged;
             }
         };
         let era = object.as_ref().map_or(self.history.era(), |object| object.at.era);
         log::warn!(
-            next:% = known.ledger.next, was:% = known.era, era:% = era;
+            next:% = loaded.ledger.next, was:% = loaded.era, era:% = era;
             "settled usage goes on in another era"
         );
-        (known.era, known.at) = (era, object.map(|object| object.at));
-        Kept::Known
+        (loaded.era, loaded.at) = (era, object.map(|object| object.at));
+        LedgerState::Current
     }
 
-    /// Settles windows that have ended.
-    async fn settle(&self, windows: Windows, known: &mut Known) -> Kept {
-        let ended = windows.at(self.time().saturating_sub(SETTLING));
-        if known.ledger.next >= ended {
-            return Kept::Known;
+    /// Settles the windows that have ended, and writes the ledger.
+    async fn settle(&self, windows: Windows, loaded: &mut LoadedLedger) -> LedgerState {
+        let ended = windows.at(self.estimated_time().saturating_sub(SETTLE_DELAY));
+        if loaded.ledger.next >= ended {
+            return LedgerState::Current;
         }
-        let mut next = known.ledger.clone();
-        // Counts are kept for some windows only.
-        let first = Window(ended.0.saturating_sub(MOST_AT_ONCE)).max(next.next);
+        let mut next = loaded.ledger.clone();
+        // Nodes retain counts for a limited number of windows.
+        let first = Window(ended.0.saturating_sub(MAX_SETTLED_AT_ONCE)).max(next.next);
         if first > next.next {
             log::error!(from:% = next.next, to:% = first; "windows of usage are too old to report");
             next.next = first;
@@ -194,7 +195,7 @@
         while next.next < ended {
             let window = next.next;
             let total = self.usage.total(windows, window, &lives);
-            let after = self.time().saturating_sub(windows.end(window));
+            let after = self.estimated_time().saturating_sub(windows.end(window));
             match total.verdict(after) {
                 Verdict::Settle => {}
                 Verdict::Wait => break,
@@ -204,7 +205,7 @@
                         after_ms = after.as_millis() as u64;
                         "window of usage is not reported: counts are missing"
                     );
-                    self.note(window, "incomplete");
+                    self.record_outcome(window, "incomplete");
                     next.pass_over(window);
                     continue;
                 }
@@ -214,7 +215,7 @@
             let Some((settled, given_up)) = next.settle(window, total.counts) else { continue };
             if let Some(given_up) = given_up {
                 log::error!(window:% = given_up.window; "window of usage is given up");
-                self.note(given_up.window, "given_up");
+                self.record_outcome(given_up.window, "given_up");
             }
             next = settled;
             changed = true;
@@ -224,42 +225,43 @@
             );
         }
         if !changed {
-            known.ledger = next;
-            return Kept::Known;
+            loaded.ledger = next;
+            return LedgerState::Current;
         }
-        next.era = Some(known.era);
+        next.era = Some(loaded.era);
         let content = serde_json::json!(next);
-        let written = match known.at {
+        let written = match loaded.at {
             None => self.store.create(Purpose::Usage, USAGE, LEDGER, &content).await,
             Some(was) => self.store.replace(Purpose::Usage, USAGE, LEDGER, was, &content).await,
         };
         match written {
             Ok(object) => {
-                *known = Known { era: object.at.era, at: Some(object.at), ledger: next };
-                Kept::Known
+                *loaded = LoadedLedger { era: object.at.era, at: Some(object.at), ledger: next };
+                LedgerState::Current
             }
-            Err(error) if self.history.era() != known.era => {
-                log::info!(error:% = error; "usage not settled in the era that it was read in");
-                Kept::Crossed
+            Err(error) if self.history.era() != loaded.era => {
+                log::info!(error:% = error; "usage not settled: the store's era changed");
+                LedgerState::EraChanged
             }
             Err(StoreError::Refused {
                 refused: Refused::Conflict(_) | Refused::Missing, ..
             }) => {
                 log::info!(next:% = next.next; "another node has settled usage");
-                Kept::Unknown
+                LedgerState::Stale
             }
             Err(error) => {
-                // It may have been written, or be written later; what is there decides.
-                log::info!(error:% = error; "usage not known to be settled");
-                Kept::Unknown
+                // The write may have succeeded, or may still do so; reading the ledger again shows
+                // which.
+                log::info!(error:% = error; "outcome of settling usage is unknown");
+                LedgerState::Stale
             }
         }
     }
 
-    /// Reports the oldest settled window. Gives until when to wait if it was not taken.
+    /// Reports the oldest settled window. Returns when to retry if the report failed.
     async fn report(&self, windows: Windows, ledger: &mut Ledger) -> Option<Instant> {
         let Settled { window, counts } = ledger.due()?.clone();
-        let late = self.time().saturating_sub(windows.end(window));
+        let late = self.estimated_time().saturating_sub(windows.end(window));
         let outcome = self
             .caller
             .call("usage", |address, authority| report_usage(address, authority, window, &counts))
@@ -271,13 +273,13 @@
                     window:% = window, accounts = accounts, after_ms = late.as_millis() as u64;
                     "usage reported"
                 );
-                self.note(window, "reported");
+                self.record_outcome(window, "reported");
                 ledger.note_reported(window);
                 None
             }
             Outcome::Replied(Reply::Refused) => {
-                log::error!(window:% = window, accounts = accounts; "usage refused for good");
-                self.note(window, "refused");
+                log::error!(window:% = window, accounts = accounts; "usage report rejected by the platform");
+                self.record_outcome(window, "refused");
                 ledger.note_reported(window);
                 None
             }
@@ -288,12 +290,12 @@
                     window:% = window, outcome:? = outcome, after_ms = late.as_millis() as u64;
                     "usage not reported yet"
                 );
-                Some(self.clock.now() + PAUSE)
+                Some(self.clock.now() + RETRY_DELAY)
             }
         }
     }
 
-    fn note(&self, window: Window, outcome: &'static str) {
+    fn record_outcome(&self, window: Window, outcome: &'static str) {
         self.metrics.windows.with_label_values(&[outcome]).inc();
         self.usage.note_window(window, outcome);
     }
