--- a/node/src/peer/client.rs
+++ b/node/src/peer/client.rs
@@ -21,19 +21,19 @@
 
 use crate::metrics::Metrics;
 
-/// How long a call to another node may take.
+/// The timeout of a call to another node.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The largest message that is taken, in bytes: a handful of chunks.
+/// The size limit of a received message, in bytes: a handful of chunks.
 pub const MAX_MESSAGE: usize = 8 << 20;
 
-/// A step of the work with another node.
+/// A kind of call, as named in errors and metrics.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Step {
     /// Claiming a key.
     Claim,
-    /// Telling what came of a claim.
+    /// Reporting the outcome of a claim.
     End,
     /// Fetching the head.
     Head,
@@ -43,9 +43,9 @@
     Members,
     /// Fetching live rows.
     Rows,
-    /// Fetching newer versions of the table of owners.
+    /// Fetching newer versions of the owner table.
     Table,
-    /// Asking for the generation.
+    /// Fetching the configuration generation.
     Status,
 }
 
@@ -59,22 +59,22 @@
         step: Step,
         /// The other node.
         peer: SocketAddr,
-        /// What the transport says.
+        /// The transport's error.
         status: Box<tonic::Status>,
     },
-    /// The answer does not say what it should.
+    /// The response is malformed.
     #[error("{step} at {peer}: {source}")]
     Answer {
         /// The step.
         step: Step,
         /// The other node.
         peer: SocketAddr,
-        /// What is wrong with it.
+        /// The decoding error.
         source: WireError,
     },
 }
 
-/// Connections to other nodes, made when they are first used.
+/// Connections to other nodes, opened on first use.
 #[derive(Debug)]
 pub struct Peers {
     channels: Mutex<HashMap<SocketAddr, Channel>>,
@@ -82,7 +82,7 @@
 }
 
 impl Peers {
-    /// No connections yet.
+    /// Creates an empty set of connections.
     pub fn new(metrics: Metrics) -> Self {
         Self { channels: Mutex::new(HashMap::new()), metrics }
     }
@@ -100,7 +100,7 @@
         PeersClient::new(channel.clone()).max_decoding_message_size(MAX_MESSAGE)
     }
 
-    /// Forgets connections to nodes that are not among `known`.
+    /// Drops connections to nodes that are not among `known`.
     pub fn keep_only(&self, known: &[SocketAddr]) {
         let mut channels = self.channels.lock().expect("no holder of the channels' lock panics");
         channels.retain(|address, _| known.contains(address));
@@ -113,7 +113,7 @@
         bytes.with_label_values(&[kind, "in"]).inc_by(received as u64);
     }
 
-    fn settle<T: prost::Message>(
+    fn finish_call<T: prost::Message>(
         &self,
         step: Step,
         peer: SocketAddr,
@@ -136,32 +136,32 @@
     /// Claims a key at its owner.
     ///
     /// # Errors
-    /// The owner may have granted the claim without our knowing.
+    /// The call failed. The owner may have granted the claim nevertheless.
     pub async fn claim(&self, peer: SocketAddr, claim: &Claim) -> Result<Verdict, PeerError> {
         let request = pb::ClaimRequest::from(claim);
         let sent = request.encoded_len();
         let result = self.client(peer).claim(request).await;
-        let reply = self.settle(Step::Claim, peer, sent, result)?;
+        let reply = self.finish_call(Step::Claim, peer, sent, result)?;
         reply.try_into().map_err(|source| PeerError::Answer { step: Step::Claim, peer, source })
     }
 
-    /// Tells a key's owner what came of a claim.
+    /// Reports the outcome of a claim to the key's owner.
     ///
     /// # Errors
-    /// The owner may not know.
+    /// The call failed. The owner may not know the outcome.
     pub async fn end(&self, peer: SocketAddr, request: pb::EndRequest) -> Result<(), PeerError> {
         let sent = request.encoded_len();
         let result = self.client(peer).end(request).await;
-        self.settle(Step::End, peer, sent, result).map(|_| ())
+        self.finish_call(Step::End, peer, sent, result).map(|_| ())
     }
 
-    /// Fetches the head that is in force at another node.
+    /// Fetches the configuration head that is in force on another node.
     ///
     /// # Errors
-    /// The node does not answer, or not with a head.
+    /// The call failed, or the response is not a head.
     pub async fn head(&self, peer: SocketAddr) -> Result<Head, PeerError> {
         let result = self.client(peer).head(pb::Empty {}).await;
-        let reply = self.settle(Step::Head, peer, 0, result)?;
+        let reply = self.finish_call(Step::Head, peer, 0, result)?;
         serde_json::from_slice(&reply.head).map_err(|error| PeerError::Answer {
             step: Step::Head,
             peer,
@@ -169,10 +169,10 @@
         })
     }
 
-    /// Fetches chunks; those that the node does not have are left out.
+    /// Fetches chunks; chunks that the node does not have are left out.
     ///
     /// # Errors
-    /// The node does not answer, or with other bytes than were asked for.
+    /// The call failed.
     pub async fn chunks(
         &self,
         peer: SocketAddr,
@@ -182,14 +182,14 @@
         let request = pb::ChunksRequest { digests };
         let sent = request.encoded_len();
         let result = self.client(peer).chunks(request).await;
-        let reply = self.settle(Step::Chunks, peer, sent, result)?;
+        let reply = self.finish_call(Step::Chunks, peer, sent, result)?;
         Ok(reply.chunks.into_iter().map(Chunk::new).collect())
     }
 
-    /// Exchanges whole lists of the membership with another node.
+    /// Exchanges full membership lists with another node.
     ///
     /// # Errors
-    /// The node does not answer, or with news that are not.
+    /// The call failed, or the response contains an invalid update.
     pub async fn members(
         &self,
         peer: SocketAddr,
@@ -198,7 +198,7 @@
         let request = pb::MembersReply { members: all.iter().map(pb::Update::from).collect() };
         let sent = request.encoded_len();
         let result = self.client(peer).members(request).await;
-        let reply = self.settle(Step::Members, peer, sent, result)?;
+        let reply = self.finish_call(Step::Members, peer, sent, result)?;
         let members = reply.members.into_iter().map(TryInto::try_into);
         members.collect::<Result<_, _>>().map_err(|source| PeerError::Answer {
             step: Step::Members,
@@ -210,23 +210,23 @@
     /// Fetches live rows of a subject.
     ///
     /// # Errors
-    /// The node does not answer.
+    /// The call failed.
     pub async fn rows(&self, peer: SocketAddr, subject: &str) -> Result<Vec<pb::Row>, PeerError> {
         let request = pb::RowsRequest { subject: subject.to_owned() };
         let sent = request.encoded_len();
         let result = self.client(peer).rows(request).await;
-        self.settle(Step::Rows, peer, sent, result).map(|reply| reply.rows)
+        self.finish_call(Step::Rows, peer, sent, result).map(|reply| reply.rows)
     }
 
-    /// Fetches the versions of the table of owners after `since`.
+    /// Fetches the versions of the owner table after `since`.
     ///
     /// # Errors
-    /// The node does not answer, or not with a table.
+    /// The call failed, or the response is not a table.
     pub async fn table(&self, peer: SocketAddr, since: Version) -> Result<Table, PeerError> {
         let request = pb::TableRequest { since: since.0 };
         let sent = request.encoded_len();
         let result = self.client(peer).table(request).await;
-        let reply = self.settle(Step::Table, peer, sent, result)?;
+        let reply = self.finish_call(Step::Table, peer, sent, result)?;
         serde_json::from_slice(&reply.table).map_err(|error| PeerError::Answer {
             step: Step::Table,
             peer,
@@ -234,12 +234,12 @@
         })
     }
 
-    /// Asks for the generation in force at another node.
+    /// Fetches the configuration generation in force on another node.
     ///
     /// # Errors
-    /// The node does not answer.
+    /// The call failed.
     pub async fn generation(&self, peer: SocketAddr) -> Result<Generation, PeerError> {
         let result = self.client(peer).status(pb::Empty {}).await;
-        self.settle(Step::Status, peer, 0, result).map(|reply| Generation(reply.generation))
+        self.finish_call(Step::Status, peer, 0, result).map(|reply| Generation(reply.generation))
     }
 }
--- a/node/src/peer/gossip.rs
+++ b/node/src/peer/gossip.rs
@@ -1,4 +1,5 @@
-//! The datagram socket: membership, and loads of runners that one node observes for others.
+//! The datagram socket: membership gossip, and runner loads that one node observes on behalf of
+//! others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,30 +19,30 @@
 use crate::pool::Shared;
 use crate::upstream::Peer;
 
-/// How often the membership is looked after.
+/// How often the membership protocol runs.
 const TICK: Duration = Duration::from_millis(100);
 
-/// The longest datagram.
-const MAX_DATAGRAM: usize = 2048;
+/// The size limit of a received datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// To how many nodes a new generation is told at once.
-const TELL: usize = 6;
+/// The number of nodes to which a new generation is announced immediately.
+const ANNOUNCE_FANOUT: usize = 6;
 
-/// What a datagram costs beyond its content: the heads of UDP and IP.
-const HEADS: usize = 28;
+/// The overhead of a datagram in bytes: the IP and UDP headers.
+const HEADER_BYTES: usize = 28;
 
-/// Runs the membership until the node stops.
+/// Runs the membership protocol until the node stops.
 pub async fn run(node: Arc<Node>, socket: Arc<UdpSocket>) {
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut buffer = vec![0; MAX_DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         tokio::select! {
             () = node.stopped() => return,
             _ = ticks.tick() => tick(&node, &socket).await,
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((len, source)) => receive(&node, &socket, source, &buffer[..len]).await,
-                Err(error) => log::warn!(error:% = error; "receiving a datagram"),
+                Err(error) => log::warn!(error:% = error; "failed to receive a datagram"),
             },
         }
     }
@@ -71,7 +72,7 @@
     send_all(node, socket, out).await;
 }
 
-/// Exchanges whole lists of the membership with another node.
+/// Exchanges full membership lists with another node.
 async fn exchange(node: Arc<Node>, with: SocketAddr) {
     let all = node.members().all();
     match node.peers.members(with, &all).await {
@@ -79,18 +80,18 @@
             let now = node.clock.now();
             node.members().take_all(now, updates);
         }
-        Err(error) => log::debug!(error:% = error; "exchanging the membership"),
+        Err(error) => log::debug!(error:% = error; "membership exchange failed"),
     }
 }
 
-/// Tells a few nodes at once that this node has a new generation.
+/// Announces this node's new generation to a few nodes immediately.
 pub async fn tell(node: &Node, socket: &UdpSocket) {
     let out = {
         let status = status(node);
         let mut rng = node.rng();
         let mut members = node.members();
         members.set_status(status);
-        members.tell(TELL, &mut *rng)
+        members.tell(ANNOUNCE_FANOUT, &mut *rng)
     };
     send_all(node, socket, out).await;
 }
@@ -99,7 +100,7 @@
     let datagram = match Datagram::decode(bytes) {
         Ok(datagram) => datagram,
         Err(error) => {
-            log::debug!(peer:% = source, error:% = error; "dropping a datagram");
+            log::debug!(peer:% = source, error:% = error; "malformed datagram dropped");
             return;
         }
     };
@@ -136,7 +137,7 @@
 }
 
 fn take_reserve(node: &Node, reserve: &Reserve) {
-    let span = reserve.span.min(LONGEST_RESERVE);
+    let span = reserve.span.min(MAX_RESERVE);
     for pool in node.pools() {
         for (runner, _) in pool.runners() {
             if reserve.runners.contains(&RunnerHash::from(&runner)) {
@@ -146,10 +147,10 @@
     }
 }
 
-/// The longest time for which one message reserves a runner: whoever reserves must go on saying so.
-const LONGEST_RESERVE: Duration = Duration::from_secs(10);
+/// The limit on how long one message reserves a runner; a longer reservation has to be repeated.
+const MAX_RESERVE: Duration = Duration::from_secs(10);
 
-/// Has all nodes that use a runner give it no new work for `span`.
+/// Asks all nodes that use a runner to send it no new work for `span`.
 pub async fn reserve(node: &Node, runner: &Name, span: Duration) {
     let nodes: Vec<Name> = node.members().active().cloned().collect();
     let mut sharing = Vec::new();
@@ -174,7 +175,7 @@
 
 fn count(node: &Node, kind: &str, direction: &str, len: usize) {
     let bytes = node.metrics.peer_bytes.with_label_values(&[kind, direction]);
-    bytes.inc_by((len + HEADS) as u64);
+    bytes.inc_by((len + HEADER_BYTES) as u64);
 }
 
 async fn send_all(node: &Node, socket: &UdpSocket, out: Vec<Outgoing>) {
@@ -187,16 +188,16 @@
     let bytes = datagram.encode();
     count(node, kind(datagram), "out", bytes.len());
     if let Err(error) = socket.send_to(&bytes, to).await {
-        log::debug!(peer:% = to, error:% = error; "sending a datagram");
+        log::debug!(peer:% = to, error:% = error; "failed to send a datagram");
     }
 }
 
-/// Observes the runners for which this node is the first sharer, and passes their loads on to the
-/// other sharers, until the node stops.
+/// Observes the runners for which this node is the first sharer, and sends their loads to the other
+/// sharers, until the node stops.
 pub async fn observe(node: Arc<Node>, socket: Arc<UdpSocket>) {
     let mut samples = interval(role::SAMPLE_PERIOD);
     samples.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut asked: Option<Instant> = None;
+    let mut last_asked: Option<Instant> = None;
     let mut ticks = interval(node.settings.load_period);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -211,9 +212,9 @@
                 let nodes = node.members().active().count();
                 let period = supply::load_period(nodes, node.settings.load_period);
                 let now = node.clock.now();
-                // A tick may come a little early, so three quarters of the period must have passed.
-                if asked.is_none_or(|at| now >= at + period * 3 / 4) {
-                    asked = Some(now);
+                // A tick may come slightly early, so three quarters of the period are enough.
+                if last_asked.is_none_or(|at| now >= at + period * 3 / 4) {
+                    last_asked = Some(now);
                     observe_once(&node, &socket).await;
                 }
             }
@@ -250,11 +251,11 @@
     found
 }
 
-/// Asks each observed runner at once, and sends each other sharer what it needs in as few
-/// datagrams as will do: the heads of a datagram are as long as a load.
+/// Queries all observed runners concurrently, and sends each other sharer the loads it needs in as
+/// few datagrams as possible: a datagram's headers are as long as a load.
 async fn observe_once(node: &Arc<Node>, socket: &UdpSocket) {
-    let asked = observed(node).into_iter().map(|observed| ask(node, observed));
-    let loads = futures_util::future::join_all(asked).await;
+    let queries = observed(node).into_iter().map(|observed| fetch_load(node, observed));
+    let loads = futures_util::future::join_all(queries).await;
     let mut by_node: BTreeMap<Name, Vec<Load>> = BTreeMap::new();
     for (others, load) in loads.into_iter().flatten() {
         for other in others {
@@ -269,17 +270,17 @@
     }
 }
 
-async fn ask(node: &Node, observed: Observed) -> Option<(Vec<Name>, Load)> {
+async fn fetch_load(node: &Node, observed: Observed) -> Option<(Vec<Name>, Load)> {
     let Observed { pool, peer, others } = observed;
-    let asked = node.clock.now();
+    let sent = node.clock.now();
     let report = match node.engine.load(&peer).await {
         Ok(report) => report,
         Err(fault) => {
-            log::debug!(runner:% = peer.name, error:% = fault; "asking for the load");
+            log::debug!(runner:% = peer.name, error:% = fault; "failed to query a runner's load");
             return None;
         }
     };
-    let age = node.clock.now().saturating_duration_since(asked) / 2;
+    let age = node.clock.now().saturating_duration_since(sent) / 2;
     pool.take_report(&peer.name, age, report);
     Some((others, Load { runner: RunnerHash::from(&peer.name), age, report }))
 }
--- a/node/src/peer/mod.rs
+++ b/node/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! How nodes talk to each other: datagrams for membership and loads, calls for the rest.
+//! Communication between nodes: datagrams for membership and loads, calls for everything else.
 
 pub mod client;
 pub mod gossip;
--- a/node/src/peer/server.rs
+++ b/node/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Calls from other nodes.
+//! The server for calls from other nodes.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     node: Arc<Node>,
 }
 
-/// Answers calls until the node stops.
+/// Serves calls until the node stops.
 pub async fn run(node: Arc<Node>, listener: TcpListener) {
     let service = PeersServer::new(Service { node: node.clone() })
         .max_decoding_message_size(MAX_MESSAGE)
@@ -28,7 +28,7 @@
         .add_service(service)
         .serve_with_incoming_shutdown(TcpListenerStream::new(listener), node.stopped());
     if let Err(error) = server.await {
-        log::error!(error:% = error; "serving other nodes");
+        log::error!(error:% = error; "server for other nodes failed");
     }
 }
 
@@ -49,7 +49,7 @@
 
     async fn end(&self, request: Request<pb::EndRequest>) -> Result<Response<pb::Empty>, Status> {
         let request = request.into_inner();
-        let claimant = request.claimant.ok_or_else(|| invalid("no claimant"))?;
+        let claimant = request.claimant.ok_or_else(|| invalid("missing claimant"))?;
         let claimant = claimant.try_into().map_err(invalid)?;
         let birth = Version(request.birth);
         let mut register = self.node.register();
@@ -78,7 +78,7 @@
         let mut chunks = Vec::new();
         for digest in request.into_inner().digests {
             let digest: [u8; DIGEST_LEN] =
-                digest.try_into().map_err(|_| invalid("a digest of another length"))?;
+                digest.try_into().map_err(|_| invalid("digest of the wrong length"))?;
             chunks.extend(held.get(&Digest(digest)).map(|chunk| chunk.bytes.clone()));
         }
         Ok(Response::new(pb::ChunksReply { chunks }))
--- a/node/src/upstream/chunk.rs
+++ b/node/src/upstream/chunk.rs
@@ -1,4 +1,5 @@
-//! One event of a streamed completion, read by hand since there is one for each token.
+//! One event of a streamed completion. The deserializer is written by hand for speed, since there
+//! is one event for each token.
 
 use std::fmt;
 
@@ -6,16 +7,16 @@
 use serde::de::{Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use smol_str::SmolStr;
 
-/// What the proxy needs of an event: the first choice. Everything else is passed over.
+/// The fields of an event that the proxy needs, from its first choice. Everything else is skipped.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Chunk {
-    /// The request that the event belongs to, where the engine says it.
+    /// The ID of the request that the event belongs to, if the engine sends it.
     pub id: Option<SmolStr>,
     /// The text.
     pub text: SmolStr,
-    /// The place of the token in the answer, where the engine says it.
+    /// The index of the token in the answer, if the engine sends it.
     pub offset: Option<u64>,
-    /// Why the answer ends.
+    /// The finish reason.
     pub finish_reason: Option<SmolStr>,
 }
 
--- a/node/src/upstream/completions.rs
+++ b/node/src/upstream/completions.rs
@@ -21,29 +21,29 @@
 use super::chunk::Chunk;
 use super::{Completion, Engine, Failure, Frame, Frames, Peer};
 
-/// The header by which a runner proves that it did not start a request.
+/// The header by which a runner states that it did not start a request.
 pub const NOT_RUN: &str = "x-not-run";
-/// The header by which a runner says that it is leaving.
+/// The header by which a runner announces that it is leaving.
 pub const LEAVING: &str = "x-leaving";
 
 /// The data of the closing event.
 const DONE: &str = "[DONE]";
 
-/// The longest answer to a question that is not a stream, in bytes.
-const MAX_ANSWER: usize = 64 << 10;
+/// The size limit of a response that is not a stream, in bytes.
+const MAX_REPLY_BYTES: usize = 64 << 10;
 
-/// How long load, condition and orders may take.
-const QUESTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// The timeout of load and condition queries, and of orders.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Engines that speak the completions protocol.
+/// A client for engines that speak the completions protocol.
 #[derive(Clone, Debug)]
 pub struct Completions {
     client: Client<HttpConnector, Full<Bytes>>,
-    stall: Duration,
+    stall_timeout: Duration,
 }
 
 #[derive(Serialize)]
-struct Wanted<'a> {
+struct CompletionRequest<'a> {
     model: &'a str,
     prompt: &'a str,
     max_tokens: u64,
@@ -54,14 +54,14 @@
 }
 
 impl Completions {
-    /// Engines that may leave a request without a sign of life for `stall`.
-    pub fn new(connect_timeout: Duration, stall: Duration) -> Self {
+    /// Creates a client. A request fails if the engine sends nothing for `stall_timeout`.
+    pub fn new(connect_timeout: Duration, stall_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect_timeout));
         connector.set_nodelay(true);
         let client =
             Client::builder(TokioExecutor::new()).pool_timer(TokioTimer::new()).build(connector);
-        Self { client, stall }
+        Self { client, stall_timeout }
     }
 
     async fn send(
@@ -78,7 +78,7 @@
             .body(Full::new(body))
             .expect("fixed paths and socket addresses make URIs");
         self.client.request(request).await.map_err(|error| {
-            let detail = SmolStr::new(source_text(&error));
+            let detail = SmolStr::new(root_cause(&error));
             let peer = peer.name.clone();
             if error.is_connect() {
                 Fault::Connect { peer, detail }
@@ -88,25 +88,29 @@
         })
     }
 
-    async fn ask<T: for<'de> Deserialize<'de>>(&self, peer: &Peer, path: &str) -> Result<T, Fault> {
+    async fn query<T: for<'de> Deserialize<'de>>(
+        &self,
+        peer: &Peer,
+        path: &str,
+    ) -> Result<T, Fault> {
         let exchange = async {
             let response = self.send(peer, Method::GET, path, Bytes::new()).await?;
-            let body = http_body_util::Limited::new(response.into_body(), MAX_ANSWER);
+            let body = http_body_util::Limited::new(response.into_body(), MAX_REPLY_BYTES);
             let body = body.collect().await.map_err(|error| broken(peer, error.to_string()))?;
             serde_json::from_slice(&body.to_bytes()).map_err(|error| Fault::Wrong {
                 peer: peer.name.clone(),
                 detail: SmolStr::new(error.to_string()),
             })
         };
-        match tokio::time::timeout(QUESTION_TIMEOUT, exchange).await {
+        match tokio::time::timeout(QUERY_TIMEOUT, exchange).await {
             Ok(answer) => answer,
-            Err(_) => Err(broken(peer, format!("no answer within {QUESTION_TIMEOUT:?}"))),
+            Err(_) => Err(broken(peer, format!("no answer within {QUERY_TIMEOUT:?}"))),
         }
     }
 }
 
-/// The innermost cause of an error, which is what says something.
-fn source_text(error: &dyn std::error::Error) -> String {
+/// The root cause of an error, which is the most informative part of its chain.
+fn root_cause(error: &dyn std::error::Error) -> String {
     let mut cause = error;
     while let Some(inner) = cause.source() {
         cause = inner;
@@ -118,26 +122,26 @@
     Fault::Broken { peer: peer.name.clone(), detail: SmolStr::new(detail.into()) }
 }
 
-fn has(headers: &HeaderMap, name: &str) -> bool {
+fn is_true(headers: &HeaderMap, name: &str) -> bool {
     headers.get(name).is_some_and(|v| v == "true")
 }
 
-/// What a status other than success says about a request.
+/// Classifies an error status.
 pub fn failure(peer: &Peer, status: StatusCode, headers: &HeaderMap) -> Failure {
     let detail = format_smolstr!("status {status}");
     let peer = peer.name.clone();
-    let fault = if has(headers, NOT_RUN) {
+    let fault = if is_true(headers, NOT_RUN) {
         Fault::Refused { peer, detail }
     } else {
         Fault::Broken { peer, detail }
     };
-    Failure { fault, leaving: has(headers, LEAVING) }
+    Failure { fault, leaving: is_true(headers, LEAVING) }
 }
 
-/// Turns one event into frames. An event may carry a token and the reason of the end.
+/// Converts one event into frames. An event may carry a token and the finish reason.
 ///
-/// An event that names another request is part of a crossed answer: passing it on would give a
-/// caller what belongs to another.
+/// An event with the ID of another request is an error: forwarding it would leak another caller's
+/// answer.
 fn frames(peer: &Peer, id: &str, data: &str, next: &mut u64) -> Result<Vec<Frame>, Fault> {
     if data == DONE {
         return Ok(vec![Frame::Close]);
@@ -147,7 +151,7 @@
         detail: SmolStr::new(error.to_string()),
     })?;
     if chunk.id.as_ref().is_some_and(|named| named != id) {
-        let detail = SmolStr::new_static("an event of another request");
+        let detail = SmolStr::new_static("event of another request");
         return Err(Fault::Wrong { peer: peer.name.clone(), detail });
     }
     let mut frames = Vec::with_capacity(2);
@@ -180,7 +184,7 @@
 #[async_trait]
 impl Engine for Completions {
     async fn complete(&self, peer: &Peer, completion: &Completion) -> Result<Frames, Failure> {
-        let wanted = Wanted {
+        let wanted = CompletionRequest {
             model: &completion.model,
             prompt: &completion.prompt,
             max_tokens: completion.max_tokens,
@@ -191,8 +195,8 @@
         };
         let body = serde_json::to_vec(&wanted).expect("a completion is JSON");
         let sent = self.send(peer, Method::POST, "/v1/completions", Bytes::from(body));
-        let stalled = || broken(peer, format!("no sign of life within {:?}", self.stall));
-        let response = match tokio::time::timeout(self.stall, sent).await {
+        let stalled = || broken(peer, format!("no sign of life within {:?}", self.stall_timeout));
+        let response = match tokio::time::timeout(self.stall_timeout, sent).await {
             Ok(response) => response.map_err(|fault| Failure { fault, leaving: false })?,
             Err(_) => return Err(Failure { fault: stalled(), leaving: false }),
         };
@@ -209,17 +213,17 @@
     }
 
     async fn load(&self, peer: &Peer) -> Result<Report, Fault> {
-        self.ask(peer, "/v1/load").await
+        self.query(peer, "/v1/load").await
     }
 
     async fn condition(&self, peer: &Peer) -> Result<Condition, Fault> {
-        self.ask(peer, "/v1/condition").await
+        self.query(peer, "/v1/condition").await
     }
 
     async fn order(&self, peer: &Peer, order: &Order) -> Answer {
         let body = serde_json::to_vec(order).expect("an order is JSON");
         let sent = self.send(peer, Method::POST, "/v1/orders", Bytes::from(body));
-        match tokio::time::timeout(QUESTION_TIMEOUT, sent).await {
+        match tokio::time::timeout(QUERY_TIMEOUT, sent).await {
             Ok(Ok(response)) if response.status().is_success() => Answer::Taken,
             Ok(Ok(response)) if response.status() == StatusCode::CONFLICT => Answer::Fenced,
             _ => Answer::Lost,
--- a/node/src/upstream/mod.rs
+++ b/node/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! What runners are asked, behind one interface, so that another protocol of engines costs one
-//! file.
+//! The interface to model engines. Support for another engine protocol takes one implementation of
+//! [`Engine`].
 
 pub mod chunk;
 pub mod completions;
@@ -15,72 +15,72 @@
 use sardinepick_lib::runner::Report;
 use smol_str::SmolStr;
 
-/// A runner as it is reached.
+/// A runner and its address.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Its name.
     pub name: Name,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
 }
 
-/// A completion to be made.
+/// A completion request.
 #[derive(Clone, Debug)]
 pub struct Completion {
-    /// The request's name at the runner.
+    /// The request ID at the runner.
     pub id: SmolStr,
     /// The model.
     pub model: SmolStr,
     /// The prompt.
     pub prompt: SmolStr,
-    /// At most so many tokens.
+    /// The maximum number of tokens.
     pub max_tokens: u64,
-    /// How urgent it is.
+    /// Its priority.
     pub priority: Priority,
-    /// The token to go on from.
+    /// The index of the token to resume from.
     pub resume_from: u64,
 }
 
-/// A part of an answer.
+/// A part of a streamed answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Frame {
     /// A token.
     Token {
-        /// Its place in the answer, from 0.
+        /// Its index in the answer, from 0.
         index: u64,
         /// Its text.
         text: SmolStr,
     },
-    /// The reason for which the answer ends.
+    /// The finish reason.
     Finish(SmolStr),
-    /// The closing frame: the answer is whole.
+    /// The closing frame: the answer is complete.
     Close,
 }
 
-/// An answer as it comes. Dropping it cancels the request at the runner.
+/// A streamed answer. Dropping it cancels the request at the runner.
 pub type Frames = BoxStream<'static, Result<Frame, Fault>>;
 
-/// How a request failed before its answer began, and whether the runner is leaving.
+/// Why a request failed before its answer began, and whether the runner is leaving.
 #[derive(Clone, Debug)]
 pub struct Failure {
     /// The fault.
     pub fault: Fault,
-    /// The runner said that it is leaving.
+    /// Whether the runner announced that it is leaving.
     pub leaving: bool,
 }
 
-/// Model engines, whatever their protocol.
+/// A protocol to talk to model engines.
 #[async_trait]
 pub trait Engine: Send + Sync {
     /// Starts a completion.
     async fn complete(&self, peer: &Peer, completion: &Completion) -> Result<Frames, Failure>;
 
-    /// Asks for the load.
+    /// Queries a runner's load.
     async fn load(&self, peer: &Peer) -> Result<Report, Fault>;
 
-    /// Asks which role and order the engine has.
+    /// Queries which role and order the engine has.
     async fn condition(&self, peer: &Peer) -> Result<Condition, Fault>;
 
-    /// Gives an order.
+    /// Sends an order.
     async fn order(&self, peer: &Peer, order: &Order) -> Answer;
 }
