--- a/node/tests/back_off.rs
+++ b/node/tests/back_off.rs
@@ -1,4 +1,4 @@
-//! Runners that reject requests with a time to retry after.
+//! Runners that reject requests with `Retry-After`.
 
 use std::time::Duration;
 
@@ -12,28 +12,30 @@
 const GENERATION: [(&str, &str); 3] =
     [("model", "m"), ("token-count", "1460,80"), ("prompt-prefix", "5c1e:800,91bd:410,e440:250")];
 
-/// The time to retry after in these tests.
-const PAUSE: Duration = Duration::from_secs(2);
+/// The value of `Retry-After` in these tests.
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 fn ask<'a>(path: &'a str, id: &'a str) -> Ask<'a> {
     let headers: &[_] = if path.starts_with("/count") { &GENERATION } else { &[] };
     Ask { headers, ..Ask::new(path, id) }
 }
 
-fn is_answered(told: &Told) -> bool {
-    told.status == Some(StatusCode::OK) && told.whole
+fn is_complete(response: &Told) -> bool {
+    response.status == Some(StatusCode::OK) && response.whole
 }
 
-/// Has a runner refuse all with `Retry-After`.
-fn refuse(set: &Deployment, at: usize) {
+/// Makes a runner reject all requests with `Retry-After`.
+fn reject_all(set: &Deployment, at: usize) {
     set.runners[at].set_faults(Faults { sheds: true, ..Faults::default() });
-    set.runners[at].set_signals(Signals::none().with("retry-after", PAUSE.as_secs().to_string()));
+    set.runners[at]
+        .set_signals(Signals::none().with("retry-after", RETRY_AFTER.as_secs().to_string()));
 }
 
-/// Sends requests to a node within the time to retry after, and checks that no runner gets more than one.
-async fn check_left_alone(set: &Deployment, path: &str, runners: &[usize]) {
+/// Sends requests to a node within the retry time, and checks that each runner receives at most
+/// one.
+async fn check_backed_off(set: &Deployment, path: &str, runners: &[usize]) {
     for at in runners {
-        refuse(set, *at);
+        reject_all(set, *at);
     }
     for n in 0..40 {
         set.send(0, &ask(path, &format!("r{n}"))).await;
@@ -41,79 +43,92 @@
     }
     for at in runners {
         let runner = &set.runners[*at];
-        assert!(runner.seen().len() <= 1, "{} got {}", runner.id, runner.seen().len());
+        assert!(
+            runner.seen().len() <= 1,
+            "{} received {} requests",
+            runner.id,
+            runner.seen().len()
+        );
     }
 }
 
-/// Guards against plain requests to runners that have refused one with Retry-After.
+/// Guards against plain requests to runners that have rejected one with `Retry-After`.
 #[tokio::test]
-async fn plain_runners_refused_with_time_left_alone() {
+async fn plain_runners_backed_off() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    check_left_alone(&set, "/board/a", &[0, 1]).await;
+    check_backed_off(&set, "/board/a", &[0, 1]).await;
 }
 
-/// Guards against runs and second stages at engines that have refused one with Retry-After.
+/// Guards against whole runs and decode stages at engines that have rejected one with
+/// `Retry-After`.
 #[tokio::test]
-async fn decode_runners_refused_with_time_left_alone() {
+async fn decode_runners_backed_off() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(2).await;
-    check_left_alone(&set, "/count/a", &[1, 2]).await;
+    check_backed_off(&set, "/count/a", &[1, 2]).await;
 }
 
-/// Guards against readings of prompts at engines that have refused one with Retry-After.
+/// Guards against prefill requests to engines that have rejected one with `Retry-After`.
 #[tokio::test]
-async fn prefill_runners_refused_with_time_left_alone() {
+async fn prefill_runners_backed_off() {
     let set = Deployment::new().await.with_engines(2, 1).await.with_nodes(2).await;
-    check_left_alone(&set, "/count/a", &[0, 1]).await;
+    check_backed_off(&set, "/count/a", &[0, 1]).await;
 }
 
-/// Guards against callers that are refused though another runner takes their request.
+/// Guards against callers that are refused although another runner accepts requests.
 #[tokio::test]
-async fn runner_refused_with_time_other_runner_answers() {
+async fn runner_backed_off_other_runner_answers() {
     let set = Deployment::new().await.with_plain(2).await.with_engines(1, 2).await;
     let set = set.with_nodes(2).await;
     for at in [0, 3] {
-        refuse(&set, at);
+        reject_all(&set, at);
     }
     for n in 0..20 {
         for path in ["/board/a", "/count/a"] {
-            assert!(is_answered(&set.send(n % 2, &ask(path, &format!("r{n}{path}"))).await));
+            assert!(is_complete(&set.send(n % 2, &ask(path, &format!("r{n}{path}"))).await));
         }
     }
 }
 
-/// Guards against requests that wait, or go to the runner, where it is the only one.
+/// Guards against requests that wait, or reach the runner, if the only runner has rejected one.
 #[tokio::test]
-async fn only_runner_refused_with_time_refused_at_once() {
+async fn only_runner_backed_off_requests_refused_immediately() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    refuse(&set, 0);
+    reject_all(&set, 0);
     for n in 0..10 {
-        let told = set.send(0, &ask("/board/a", &format!("r{n}"))).await;
-        assert_eq!(told.status, Some(StatusCode::SERVICE_UNAVAILABLE));
-        let after: f64 = told.header("retry-after").expect("a time").parse().expect("seconds");
-        assert!((0.9..=1.0).contains(&after), "a third of the caller's time, not {after} s");
-        assert!(told.took < Duration::from_millis(500));
+        let response = set.send(0, &ask("/board/a", &format!("r{n}"))).await;
+        assert_eq!(response.status, Some(StatusCode::SERVICE_UNAVAILABLE));
+        let after: f64 = response
+            .header("retry-after")
+            .expect("retry-after header")
+            .parse()
+            .expect("number of seconds");
+        assert!(
+            (0.9..=1.0).contains(&after),
+            "retry-after is {after} s instead of a third of the caller's deadline"
+        );
+        assert!(response.took < Duration::from_millis(500));
     }
     assert_eq!(set.runners[0].seen().len(), 1);
 }
 
-/// Guards against a runner that is left alone for longer than it said, or by nodes that it did not
-/// refuse.
+/// Guards against a runner that is avoided for longer than it asked for, or by nodes whose requests
+/// it did not reject.
 #[tokio::test]
-async fn runner_refused_with_time_used_after_it_and_by_others() {
+async fn back_off_ends_on_time_and_is_per_node() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(2).await;
-    refuse(&set, 0);
-    let began = Instant::now();
+    reject_all(&set, 0);
+    let started = Instant::now();
     set.send(0, &ask("/board/a", "first")).await;
     set.runners[0].set_faults(Faults::default());
-    assert!(is_answered(&set.send(1, &ask("/board/a", "other")).await));
-    assert!(!is_answered(&set.send(0, &ask("/board/a", "second")).await));
-    sleep((PAUSE + Duration::from_millis(100)).saturating_sub(began.elapsed())).await;
-    assert!(is_answered(&set.send(0, &ask("/board/a", "third")).await));
+    assert!(is_complete(&set.send(1, &ask("/board/a", "other")).await));
+    assert!(!is_complete(&set.send(0, &ask("/board/a", "second")).await));
+    sleep((RETRY_AFTER + Duration::from_millis(100)).saturating_sub(started.elapsed())).await;
+    assert!(is_complete(&set.send(0, &ask("/board/a", "third")).await));
 }
 
-/// Guards against a runner that is lost by one malformed answer.
+/// Guards against a runner that is no longer used after a malformed `Retry-After`.
 #[tokio::test]
-async fn runner_refused_with_malformed_time_used() {
+async fn malformed_retry_after_is_ignored() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     let long = "9".repeat(4_000);
     let date = "Wed, 21 Oct 2026 07:28:00 GMT";
@@ -122,7 +137,7 @@
         set.runners[0].set_signals(Signals::none().with("retry-after", (*text).to_owned()));
         set.send(0, &ask("/board/a", &format!("s{n}"))).await;
         set.runners[0].set_faults(Faults::default());
-        let told = set.send(0, &ask("/board/a", &format!("r{n}"))).await;
-        assert!(is_answered(&told), "{text}");
+        let response = set.send(0, &ask("/board/a", &format!("r{n}"))).await;
+        assert!(is_complete(&response), "{text}");
     }
 }
--- a/node/tests/drain.rs
+++ b/node/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Runners that say in their answers that they leave, while the register cannot.
+//! Runners that announce a drain in their responses while the store is unavailable.
 
 use std::time::Duration;
 
@@ -18,30 +18,36 @@
     Ask { headers: &GENERATION, ..Ask::new("/count/a", id) }
 }
 
-/// Asks a node until an answer says that a runner leaves; gives how many requests that runner has got.
-async fn hear(set: &Deployment, ask: impl Fn(&str) -> Ask<'_>, leaving: usize) -> usize {
+/// Sends requests to a node until a response announces that the runner is leaving. Returns how many
+/// requests that runner has received.
+async fn send_until_drain_announced(
+    set: &Deployment,
+    ask: impl Fn(&str) -> Ask<'_>,
+    leaving: usize,
+) -> usize {
     set.store.set_fault(Fault::Silent);
     set.runners[leaving].set_signals(Signals::leaving());
     for n in 0..200 {
         let id = format!("h{n}");
-        let told = set.send(0, &ask(&id)).await;
-        assert_eq!(told.status, Some(StatusCode::OK), "{id}");
-        if told.header("server-leaving").is_some() {
+        let response = set.send(0, &ask(&id)).await;
+        assert_eq!(response.status, Some(StatusCode::OK), "{id}");
+        if response.header("server-leaving").is_some() {
             return set.runners[leaving].seen().len();
         }
     }
-    panic!("the runner that leaves is never used");
+    panic!("the leaving runner was never used");
 }
 
-/// Has the engine that runs generations now say that it leaves, until it is heard; gives which it is.
-async fn hear_decode_runner(set: &Deployment) -> usize {
+/// Makes the engine that currently runs generations announce a drain, until a response carries it.
+/// Returns the engine's index.
+async fn drain_decode_runner(set: &Deployment) -> usize {
     for n in 0..200 {
         let id = format!("h{n}");
-        let told = set.send(0, &generation(&id)).await;
-        assert!(is_answered(&told));
+        let response = set.send(0, &generation(&id)).await;
+        assert!(is_complete(&response));
         let at = (1..set.runners.len()).find(|at| set.runners[*at].ran(&id) == 1);
-        let at = at.expect("an engine ran it");
-        if told.header("server-leaving").is_some() {
+        let at = at.expect("an engine ran the request");
+        if response.header("server-leaving").is_some() {
             return at;
         }
         for runner in &set.runners {
@@ -49,45 +55,46 @@
         }
         set.runners[at].set_signals(Signals::leaving());
     }
-    panic!("the runner that leaves is never used");
+    panic!("the leaving runner was never used");
 }
 
-fn is_answered(told: &Told) -> bool {
-    told.status == Some(StatusCode::OK) && told.whole
+fn is_complete(response: &Told) -> bool {
+    response.status == Some(StatusCode::OK) && response.whole
 }
 
-/// Guards against plain requests to a runner that has said in an answer that it leaves.
+/// Guards against plain requests to a runner that has announced a drain in a response.
 #[tokio::test]
-async fn plain_runner_leaving_by_answer_gets_nothing() {
+async fn draining_plain_runner_gets_no_requests() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     let takes = Duration::from_millis(20);
     set.runners[1].set_faults(Faults { takes, ..Faults::default() });
-    let before = hear(&set, |id| Ask::new("/board/a", id), 0).await;
+    let before = send_until_drain_announced(&set, |id| Ask::new("/board/a", id), 0).await;
     for n in 0..30 {
-        assert!(is_answered(&set.ask("/board/a", &format!("r{n}")).await));
+        assert!(is_complete(&set.ask("/board/a", &format!("r{n}")).await));
     }
     assert_eq!(set.runners[0].seen().len(), before);
 }
 
-/// Guards against whole runs and second stages at an engine that has said in an answer that it leaves.
+/// Guards against whole runs and decode stages at an engine that has announced a drain in a
+/// response.
 #[tokio::test]
-async fn decode_runner_leaving_by_answer_gets_nothing() {
+async fn draining_decode_runner_gets_no_runs() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
-    let before = hear(&set, generation, 1).await;
+    let before = send_until_drain_announced(&set, generation, 1).await;
     for n in 0..30 {
-        assert!(is_answered(&set.send(0, &generation(&format!("r{n}"))).await));
+        assert!(is_complete(&set.send(0, &generation(&format!("r{n}"))).await));
     }
     assert_eq!(set.runners[1].seen().len(), before);
 }
 
-/// Guards against a second stage at an engine that says that it leaves while the prompt is read.
+/// Guards against a decode stage at an engine that announces a drain during prefill.
 #[tokio::test]
-async fn second_stage_runner_leaving_meanwhile_goes_elsewhere() {
+async fn decode_runner_drains_during_prefill_other_runner_used() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let takes = Duration::from_millis(400);
     set.runners[0].set_faults(Faults { takes, ..Faults::default() });
     set.store.set_fault(Fault::Silent);
-    let asked: Vec<_> = (0..12)
+    let tasks: Vec<_> = (0..12)
         .map(|n| {
             let front = set.front(0);
             tokio::spawn(async move {
@@ -97,24 +104,24 @@
         })
         .collect();
     sleep(takes / 2).await;
-    // Those that come now are read at once.
+    // From now on prefill is immediate.
     set.runners[0].set_faults(Faults::default());
-    let leaving = hear_decode_runner(&set).await;
+    let leaving = drain_decode_runner(&set).await;
     let before = set.runners[leaving].seen().len();
-    for one in asked {
-        assert!(is_answered(&one.await.expect("it ends")));
+    for task in tasks {
+        assert!(is_complete(&task.await.expect("the task does not panic")));
     }
     assert_eq!(set.runners[leaving].seen().len(), before);
 }
 
-/// Guards against readings of prompts at an engine that has said in an answer that it leaves.
+/// Guards against prefill requests to an engine that has announced a drain in a response.
 #[tokio::test]
-async fn prefill_runner_leaving_by_answer_gets_nothing() {
+async fn draining_prefill_runner_gets_no_prompts() {
     let set = Deployment::new().await.with_engines(2, 1).await.with_nodes(1).await;
     set.store.set_fault(Fault::Silent);
     let used = async || {
         for n in 0..10 {
-            assert!(is_answered(&set.send(0, &generation(&format!("u{n}"))).await));
+            assert!(is_complete(&set.send(0, &generation(&format!("u{n}"))).await));
         }
         [0, 1].map(|at: usize| set.runners[at].seen().len())
     };
@@ -126,43 +133,44 @@
     assert_eq!(after, before);
 }
 
-/// Guards against another node's requests to a runner that one node has heard of as leaving.
+/// Guards against requests of other nodes to a runner that has announced its drain to one node.
 #[tokio::test]
-async fn runner_leaving_by_answer_all_nodes_hear() {
+async fn drain_in_response_known_to_all_nodes() {
     let mut set = Deployment::new().await.with_plain(2).await.with_nodes(3).await;
     let takes = Duration::from_millis(20);
     set.runners[1].set_faults(Faults { takes, ..Faults::default() });
-    let before = hear(&set, |id| Ask::new("/board/a", id), 0).await;
+    let before = send_until_drain_announced(&set, |id| Ask::new("/board/a", id), 0).await;
     sleep(Duration::from_millis(200)).await;
     let seeds = set.nodes.iter().map(|node| node.shared.me.peer).collect();
     set.add_node("edge-late", seeds).await;
     set.wait_ready().await;
     for n in 0..40 {
-        assert!(is_answered(&set.send(n % 4, &Ask::new("/board/a", &format!("r{n}"))).await));
+        assert!(is_complete(&set.send(n % 4, &Ask::new("/board/a", &format!("r{n}"))).await));
     }
     assert_eq!(set.runners[0].seen().len(), before);
 }
 
-/// Guards against requests that wait, or go to the runner that leaves, where it is the only one.
+/// Guards against requests that wait, or reach the leaving runner, if it is the only one.
 #[tokio::test]
-async fn only_runner_leaving_by_answer_refused_at_once() {
+async fn only_runner_draining_requests_refused_immediately() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    let before = hear(&set, |id| Ask::new("/board/a", id), 0).await;
+    let before = send_until_drain_announced(&set, |id| Ask::new("/board/a", id), 0).await;
     for n in 0..5 {
-        let told = set.ask("/board/a", &format!("r{n}")).await;
-        assert_eq!(told.status, Some(StatusCode::SERVICE_UNAVAILABLE));
-        assert!(told.header("retry-after").is_some());
-        assert!(told.took < Duration::from_secs(1));
+        let response = set.ask("/board/a", &format!("r{n}")).await;
+        assert_eq!(response.status, Some(StatusCode::SERVICE_UNAVAILABLE));
+        assert!(response.header("retry-after").is_some());
+        assert!(response.took < Duration::from_secs(1));
     }
     assert_eq!(set.runners[0].seen().len(), before);
 }
 
-/// Guards against a runner that is not used since its former life has left.
+/// Guards against a restarted runner that is not used because its previous process was leaving.
 #[tokio::test]
-async fn runner_started_again_after_leaving_used() {
+async fn restarted_runner_is_used_after_drain() {
     let mut set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    hear(&set, |id| Ask::new("/board/a", id), 0).await;
+    send_until_drain_announced(&set, |id| Ask::new("/board/a", id), 0).await;
     set.store.set_fault(Fault::None);
-    set.runners[0] = set.runners[0].start_again(any_address()).await.expect("a free address");
-    wait_until("its new life is used", async || is_answered(&set.ask("/board/a", "r").await)).await;
+    set.runners[0] = set.runners[0].start_again(any_address()).await.expect("free address");
+    wait_until("the new process is used", async || is_complete(&set.ask("/board/a", "r").await))
+        .await;
 }
