--- a/node/tests/accounts.rs
+++ b/node/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Keys of client accounts on the whole path.
+//! End-to-end tests of client account keys.
 
 use std::time::Duration;
 
@@ -30,21 +30,21 @@
     seen.headers.get("tenant").and_then(|value| value.to_str().ok())
 }
 
-async fn in_force(set: &Deployment, version: u64) {
+async fn wait_in_force(set: &Deployment, version: u64) {
     wait_until("the configuration is in force", async || {
         set.nodes.iter().all(|node| node.shared.status().version.0 >= version)
     })
     .await;
 }
 
-/// Guards against a key that reaches a runner, and against a forged account name.
+/// Guards against keys that are forwarded to runners, and against forged account names.
 #[tokio::test]
-async fn request_key_account_told() {
+async fn runner_receives_account_instead_of_key() {
     let set = deployment(1).await;
     for (path, id) in [("/board/a", "p1"), ("/eggs/a", "p2"), ("/count/a", "g1")] {
         let headers = [("credential", "key-2"), ("tenant", "cellar"), ("token-count", "1460,80")];
-        let told = set.send(0, &Ask { headers: &headers, ..Ask::new(path, id) }).await;
-        assert_eq!(told.status, Some(StatusCode::OK), "{path}");
+        let response = set.send(0, &Ask { headers: &headers, ..Ask::new(path, id) }).await;
+        assert_eq!(response.status, Some(StatusCode::OK), "{path}");
         let seen = seen(&set, id);
         assert!(!seen.is_empty());
         for seen in &seen {
@@ -54,16 +54,19 @@
     }
 }
 
-/// Guards against calls after the first that lack the account, where a stream goes on elsewhere.
+/// Guards against later calls without the account name when a stream is resumed on another runner.
 #[tokio::test]
-async fn stream_resumed_account_told_again() {
+async fn resumed_stream_carries_account() {
     let set = deployment(1).await;
     for runner in &set.runners {
         runner.set_faults(Faults { cut_after: Some(3), ..Faults::default() });
     }
     send(&set, "/count/a", "g1", "key-1").await;
     let seen = seen(&set, "g1");
-    assert!(seen.iter().filter(|s| s.ran).count() > 1, "it went on elsewhere");
+    assert!(
+        seen.iter().filter(|s| s.ran).count() > 1,
+        "the stream was not resumed on another runner"
+    );
     for seen in &seen {
         assert_eq!(account(seen), Some("kitchen"));
         assert!(!seen.headers.contains_key("credential"));
@@ -71,18 +74,18 @@
 }
 
 #[tokio::test]
-async fn request_without_known_key_refused() {
+async fn request_without_valid_key_refused() {
     let set = deployment(1).await;
     assert_eq!(send(&set, "/board/a", "r1", "key-3").await.status, Some(StatusCode::UNAUTHORIZED));
     assert_eq!(set.ask("/board/a", "r2").await.status, Some(StatusCode::UNAUTHORIZED));
     let both = [("credential", "key-1"), ("credential", "key-2")];
-    let told = set.send(0, &Ask { headers: &both, ..Ask::new("/board/a", "r3") }).await;
-    assert_eq!(told.status, Some(StatusCode::UNAUTHORIZED));
+    let response = set.send(0, &Ask { headers: &both, ..Ask::new("/board/a", "r3") }).await;
+    assert_eq!(response.status, Some(StatusCode::UNAUTHORIZED));
     assert_eq!([set.ran("r1"), set.ran("r2"), set.ran("r3")], [0, 0, 0]);
 }
 
 #[tokio::test]
-async fn request_anonymous_route_no_key_needed() {
+async fn anonymous_route_needs_no_key() {
     let set = Deployment::new().await;
     let mut configuration = with_accounts(1, &[KITCHEN]);
     configuration["routes"][0]["anonymous"] = json!(true);
@@ -95,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn generation_account_rank_before_route() {
+async fn account_rank_overrides_route_rank() {
     let set = Deployment::new().await;
     let accounts = [("first", &["key-1"][..], Some(0)), ("last", &["key-2"][..], Some(3))];
     set.store.put("config", "main", &with_accounts(1, &accounts));
@@ -107,9 +110,9 @@
     assert_eq!([urgency("g1"), urgency("g2")], ["1", "5"]);
 }
 
-/// Guards against the refusal of a key that is newer than the node's configuration.
+/// Guards against refusing a key that is newer than the node's configuration.
 #[tokio::test]
-async fn key_new_found_by_check() {
+async fn new_key_found_by_configuration_check() {
     let set = deployment(1).await;
     for version in 2..12 {
         let key = format!("key-of-{version}");
@@ -120,49 +123,50 @@
     }
 }
 
-/// Guards against a call to the store for each made-up key.
+/// Guards against a call to the store for every invalid key.
 #[tokio::test]
-async fn keys_made_up_few_checks() {
+async fn invalid_keys_cause_few_checks() {
     let set = deployment(1).await;
     let checks = || {
         let calls = &set.nodes[0].shared.metrics.store_calls;
         calls.with_label_values(&["configuration_check", "answered"]).get()
     };
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     for round in 0..25 {
         let keys: Vec<String> = (0..20).map(|n| format!("made-up-{round}-{n}")).collect();
         let asked = keys.iter().map(|key| send(&set, "/board/a", key, key));
-        for told in futures_util::future::join_all(asked).await {
-            assert_eq!(told.status, Some(StatusCode::UNAUTHORIZED));
+        for response in futures_util::future::join_all(asked).await {
+            assert_eq!(response.status, Some(StatusCode::UNAUTHORIZED));
         }
     }
-    let most = began.elapsed().as_secs() + 2;
-    assert!(checks() <= most, "{} checks in {:?}", checks(), began.elapsed());
+    let most = started.elapsed().as_secs() + 2;
+    assert!(checks() <= most, "{} checks in {:?}", checks(), started.elapsed());
 }
 
-/// Guards against a node that knows neither the store nor other nodes and refuses a key for good.
+/// Guards against a node that can reach neither the store nor other nodes and refuses a key
+/// permanently.
 #[tokio::test]
-async fn key_unknown_alone_not_run() {
+async fn unknown_key_unavailable_without_store_and_peers() {
     let set = deployment(1).await;
     set.store.set_fault(Fault::Busy);
-    let told = send(&set, "/board/a", "r1", "key-3").await;
-    assert_eq!(told.status, Some(StatusCode::SERVICE_UNAVAILABLE));
-    assert!(told.header("retry-after").is_some());
+    let response = send(&set, "/board/a", "r1", "key-3").await;
+    assert_eq!(response.status, Some(StatusCode::SERVICE_UNAVAILABLE));
+    assert!(response.header("retry-after").is_some());
     assert_eq!(send(&set, "/board/a", "r2", "key-1").await.status, Some(StatusCode::OK));
 }
 
 #[tokio::test]
-async fn key_unknown_store_away_refused_beside_others() {
+async fn unknown_key_refused_without_store_with_peers() {
     let set = deployment(2).await;
     set.store.set_fault(Fault::Busy);
-    let told = send(&set, "/board/a", "r1", "key-3").await;
-    assert_eq!(told.status, Some(StatusCode::UNAUTHORIZED));
+    let response = send(&set, "/board/a", "r1", "key-3").await;
+    assert_eq!(response.status, Some(StatusCode::UNAUTHORIZED));
 }
 
-/// Guards against a key that goes on working once it is taken away, and against requests under way
-/// with it that are broken off.
+/// Guards against a revoked key that still works, and against interrupting requests that are in
+/// progress with it.
 #[tokio::test]
-async fn key_revoked_refused_from_then_on() {
+async fn revoked_key_refused_running_request_completes() {
     let set = deployment(2).await;
     for runner in &set.runners {
         runner.set_faults(Faults { pause: Duration::from_millis(100), ..Faults::default() });
@@ -172,46 +176,47 @@
         wait_until("the stream runs", async || set.ran("g1") > 0).await;
         let left = with_accounts(2, &[("kitchen", &["key-2"], None)]);
         set.store.put("config", "main", &left);
-        in_force(&set, 2).await;
-        let told = send(&set, "/board/a", "r1", "key-1").await;
-        assert_eq!(told.status, Some(StatusCode::UNAUTHORIZED));
+        wait_in_force(&set, 2).await;
+        let response = send(&set, "/board/a", "r1", "key-1").await;
+        assert_eq!(response.status, Some(StatusCode::UNAUTHORIZED));
         assert_eq!(send(&set, "/board/a", "r2", "key-2").await.status, Some(StatusCode::OK));
     };
-    let (told, ()) = tokio::join!(under_way, revoke);
-    assert!(told.whole && told.status == Some(StatusCode::OK));
-    // The account's last key goes, and then the account; it comes back with another key.
+    let (response, ()) = tokio::join!(under_way, revoke);
+    assert!(response.whole && response.status == Some(StatusCode::OK));
+    // The account's last key is removed, then the account itself; later it returns with another
+    // key.
     for (version, accounts) in [(3, vec![("kitchen", &[][..], None)]), (4, vec![])] {
         set.store.put("config", "main", &with_accounts(version, &accounts));
-        in_force(&set, version).await;
-        let told = send(&set, "/board/a", &format!("r{version}"), "key-2").await;
-        assert_eq!(told.status, Some(StatusCode::UNAUTHORIZED));
+        wait_in_force(&set, version).await;
+        let response = send(&set, "/board/a", &format!("r{version}"), "key-2").await;
+        assert_eq!(response.status, Some(StatusCode::UNAUTHORIZED));
     }
     set.store.put("config", "main", &with_accounts(5, &[("kitchen", &["key-9"], None)]));
-    in_force(&set, 5).await;
+    wait_in_force(&set, 5).await;
     assert_eq!(send(&set, "/board/a", "r5", "key-9").await.status, Some(StatusCode::OK));
 }
 
-/// Guards against keys in what nodes show or pass on to each other.
+/// Guards against keys in the state and metrics that nodes expose.
 #[tokio::test]
-async fn key_in_no_state_or_copy() {
+async fn keys_not_exposed_in_state_or_metrics() {
     let set = deployment(2).await;
     for node in &set.nodes {
         let address = node.shared.settings.metrics;
         for path in ["/state", "/metrics"] {
-            let told = set.caller.send(address, &Ask::new(path, "r1")).await;
-            assert!(told.status == Some(StatusCode::OK) && !told.text().contains("key-1"));
+            let response = set.caller.send(address, &Ask::new(path, "r1")).await;
+            assert!(response.status == Some(StatusCode::OK) && !response.text().contains("key-1"));
         }
     }
 }
 
 #[tokio::test]
-async fn key_taken_away_no_checks() {
+async fn removed_key_causes_no_checks() {
     let set = deployment(1).await;
     set.store.put("config", "main", &with_accounts(2, &[("kitchen", &["key-2"], None)]));
-    in_force(&set, 2).await;
+    wait_in_force(&set, 2).await;
     for n in 0..20 {
-        let told = send(&set, "/board/a", &format!("r{n}"), "key-1").await;
-        assert_eq!(told.status, Some(StatusCode::UNAUTHORIZED));
+        let response = send(&set, "/board/a", &format!("r{n}"), "key-1").await;
+        assert_eq!(response.status, Some(StatusCode::UNAUTHORIZED));
     }
     let calls = &set.nodes[0].shared.metrics.store_calls;
     assert_eq!(calls.with_label_values(&["configuration_check", "answered"]).get(), 0);
--- a/node/tests/duties_copy.rs
+++ b/node/tests/duties_copy.rs
@@ -1,4 +1,4 @@
-//! Duties that one node at a time has, across a return of the store from a copy.
+//! The duties that one node at a time carries out, when the store is restored from a copy.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use sardinepick_testutils::fleet::store::Fault;
 
 const WINDOW: Duration = Duration::from_millis(500);
-const TURNS: Duration = Duration::from_millis(300);
-/// How many windows are reported after the copy that the store comes back from.
-const LOST: usize = 4;
+const CALL_GAP: Duration = Duration::from_millis(300);
+/// How many windows are reported between the copy and the restore.
+const LOST_WINDOWS: usize = 4;
 
 async fn deployment(nodes: usize) -> Deployment {
     let set = Deployment::new().await.with_platform(WINDOW).await;
@@ -19,10 +19,10 @@
 }
 
 fn platform(set: &Deployment) -> Platform {
-    set.platform.as_ref().expect("it has one").0.clone()
+    set.platform.as_ref().expect("the deployment has a platform").0.clone()
 }
 
-/// How often each window was reported.
+/// The number of reports per window.
 fn reports(set: &Deployment) -> BTreeMap<u64, usize> {
     let mut reports = BTreeMap::new();
     for call in platform(set).calls().into_iter().filter(|call| call.path == "/usage") {
@@ -36,42 +36,42 @@
 }
 
 fn assert_reported_once(set: &Deployment) {
-    let twice: Vec<_> = reports(set).into_iter().filter(|(_, count)| *count > 1).collect();
-    assert_eq!(twice, [], "windows and how often they were reported");
+    let repeated: Vec<_> = reports(set).into_iter().filter(|(_, count)| *count > 1).collect();
+    assert_eq!(repeated, [], "windows reported more than once");
 }
 
-/// Guards against windows that are settled and reported a second time, and against a pause of the
-/// holder.
+/// Guards against windows that are settled and reported twice, and against a pause in the holder's
+/// reports.
 #[tokio::test]
-async fn usage_holder_stays_each_window_once() {
+async fn usage_reported_once_by_same_holder() {
     let set = deployment(3).await;
     wait_reports(&set, 1).await;
     let copy = set.store.copy();
     let before = reports(&set).len();
-    wait_reports(&set, before + LOST).await;
-    let holder = platform(&set).calls().last().expect("a call").holder.clone();
+    wait_reports(&set, before + LOST_WINDOWS).await;
+    let holder = platform(&set).calls().last().expect("at least one call").holder.clone();
     let lost = set.store.come_back(&copy);
     set.store.write_again(&lost);
     let before = reports(&set).len();
-    wait_reports(&set, before + LOST).await;
+    wait_reports(&set, before + LOST_WINDOWS).await;
     assert_reported_once(&set);
-    assert_eq!(platform(&set).violation(TURNS), None);
-    assert_eq!(platform(&set).calls().last().expect("a call").holder, holder);
+    assert_eq!(platform(&set).violation(CALL_GAP), None);
+    assert_eq!(platform(&set).calls().last().expect("at least one call").holder, holder);
     let reports = reports(&set);
     let (first, last) = (reports.first_key_value(), reports.last_key_value());
-    let span = last.expect("a window").0 - first.expect("a window").0 + 1;
-    assert_eq!(reports.len() as u64, span, "no window is left out");
+    let span = last.expect("at least one window").0 - first.expect("at least one window").0 + 1;
+    assert_eq!(reports.len() as u64, span, "a window was skipped");
 }
 
-/// Guards against windows that a new holder, which knows the copy alone, reports a second time.
+/// Guards against windows that a new holder, which only knows the restored copy, reports again.
 #[tokio::test]
-async fn usage_holder_gone_no_window_twice() {
+async fn usage_not_reported_twice_by_new_holder() {
     let mut set = deployment(3).await;
     wait_reports(&set, 1).await;
     let copy = set.store.copy();
     let shown = reports(&set);
-    wait_reports(&set, shown.len() + LOST).await;
-    let holder = platform(&set).calls().last().expect("a call").holder.clone();
+    wait_reports(&set, shown.len() + LOST_WINDOWS).await;
+    let holder = platform(&set).calls().last().expect("at least one call").holder.clone();
     set.store.set_fault(Fault::Busy);
     let at = set.nodes.iter().position(|node| node.shared.me.id.as_str() == holder);
     set.nodes.remove(at.expect("the holder is a node")).stop().await;
@@ -79,12 +79,13 @@
     set.store.set_fault(Fault::None);
     set.store.write_again(&lost);
     let before = reports(&set).len();
-    wait_reports(&set, before + LOST).await;
-    // What the copy shows as settled is reported with the same sum, as after any loss of a holder.
-    let twice = reports(&set).into_iter().filter(|(_, count)| *count > 1);
-    let twice: Vec<_> = twice.filter(|(window, _)| !shown.contains_key(window)).collect();
-    assert_eq!(twice, [], "windows and how often they were reported");
+    wait_reports(&set, before + LOST_WINDOWS).await;
+    // Windows that the copy shows as settled may be reported again with the same counts, as after
+    // any failure of a holder.
+    let repeated = reports(&set).into_iter().filter(|(_, count)| *count > 1);
+    let repeated: Vec<_> = repeated.filter(|(window, _)| !shown.contains_key(window)).collect();
+    assert_eq!(repeated, [], "windows reported more than once");
     platform(&set).windows();
-    assert_eq!(platform(&set).violation(TURNS), None);
-    assert_ne!(platform(&set).calls().last().expect("a call").holder, holder);
+    assert_eq!(platform(&set).violation(CALL_GAP), None);
+    assert_ne!(platform(&set).calls().last().expect("at least one call").holder, holder);
 }
