--- a/node/src/account/mod.rs
+++ b/node/src/account/mod.rs
@@ -19,7 +19,7 @@
 
 /// The result of a check.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Checked {
+pub enum CheckResult {
     /// The configuration is up to date.
     Newest,
     /// The store has a newer configuration.
@@ -55,16 +55,16 @@
         clock: &dyn Clock,
         known: &Configuration,
         arrived: Instant,
-    ) -> Checked {
+    ) -> CheckResult {
         let mut state = self.0.lock().await;
         if state.freshness.covers(known.version, arrived) {
-            return Checked::Newest;
+            return CheckResult::Newest;
         }
         if state.failed.is_some_and(|at| arrived < at + VALID) {
-            return Checked::Unconfirmed;
+            return CheckResult::Unconfirmed;
         }
         if state.earlier.is_some_and(|(of, at)| of == known.version && arrived < at + VALID) {
-            return Checked::Earlier;
+            return CheckResult::Earlier;
         }
         let began = clock.now();
         let from = state.from.unwrap_or(known.at);
@@ -74,12 +74,12 @@
             Ok(Err(error)) => {
                 log::info!(version:% = known.version, error:% = error; "configuration check failed");
                 state.failed = Some(began);
-                return Checked::Unconfirmed;
+                return CheckResult::Unconfirmed;
             }
             Err(_) => {
                 log::info!(version:% = known.version, limit:? = CHECK_TIMEOUT; "configuration check failed");
                 state.failed = Some(began);
-                return Checked::Unconfirmed;
+                return CheckResult::Unconfirmed;
             }
         };
         state.failed = None;
@@ -87,7 +87,7 @@
         match shown {
             Some((object, version)) if version > known.version => {
                 state.from = Some(as_of);
-                Checked::Newer(object.clone())
+                CheckResult::Newer(object.clone())
             }
             Some((_, shown)) if shown < known.version => {
                 log::warn!(
@@ -95,12 +95,12 @@
                     "store shows an earlier configuration"
                 );
                 state.earlier = Some((known.version, began));
-                Checked::Earlier
+                CheckResult::Earlier
             }
             _ => {
                 state.from = Some(as_of);
                 state.freshness.note(known.version, began);
-                Checked::Newest
+                CheckResult::Newest
             }
         }
     }
--- a/node/src/configuration.rs
+++ b/node/src/configuration.rs
@@ -214,7 +214,7 @@
 /// Puts the configuration that was fetched last in force here, and tells others.
 pub async fn put_in_force(node: &Node, socket: &UdpSocket) {
     install(node);
-    gossip::tell(node, socket).await;
+    gossip::announce_generation(node, socket).await;
 }
 
 /// Puts the configuration that was fetched or written last in force here.
--- a/node/src/drain/mod.rs
+++ b/node/src/drain/mod.rs
@@ -48,7 +48,7 @@
     }
 
     /// Applies gossip of another node.
-    pub fn take(&self, tags: &[Tag], from: &str) {
+    pub fn apply_gossip(&self, tags: &[Tag], from: &str) {
         for tag in tags {
             let id = {
                 let mut register = lock(&self.register);
@@ -70,7 +70,7 @@
 
     /// The drains to send with the next heartbeat; with `again` also those that earlier heartbeats
     /// have sent.
-    pub fn next(&self, again: bool) -> Vec<Tag> {
+    pub fn next_gossip(&self, again: bool) -> Vec<Tag> {
         let mut outbox = lock(&self.outbox);
         let register = lock(&self.register);
         let mut tags = Vec::new();
@@ -91,7 +91,7 @@
     }
 
     /// Whether there are drains that no heartbeat has sent yet.
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending_gossip(&self) -> bool {
         lock(&self.outbox).has_new()
     }
 }
--- a/node/src/duty/caller.rs
+++ b/node/src/duty/caller.rs
@@ -10,7 +10,7 @@
 use sardinepick_platform::duty::{Authority, Reply, reply};
 use tokio::time::timeout;
 
-use super::tenure::Tenure;
+use super::lease::DutyLease;
 use crate::serve::connection::Connections;
 use crate::serve::metrics::Metrics;
 
@@ -38,7 +38,7 @@
     node: NodeId,
     address: SocketAddr,
     connections: Arc<Connections>,
-    tenure: Arc<Tenure>,
+    duty_lease: Arc<DutyLease>,
     metrics: Metrics,
 }
 
@@ -48,15 +48,15 @@
         node: NodeId,
         address: SocketAddr,
         connections: Arc<Connections>,
-        tenure: Arc<Tenure>,
+        duty_lease: Arc<DutyLease>,
         metrics: Metrics,
     ) -> Self {
-        Self { node, address, connections, tenure, metrics }
+        Self { node, address, connections, duty_lease, metrics }
     }
 
     /// Whether this node may make calls.
     pub fn may_call(&self) -> bool {
-        self.tenure.authority_for(CALL_TIMEOUT).is_some()
+        self.duty_lease.authority_for(CALL_TIMEOUT).is_some()
     }
 
     /// Makes a call, if this node is the holder. `what` names the call in the log and the metrics.
@@ -65,7 +65,7 @@
         what: &'static str,
         request: impl FnOnce(SocketAddr, Authority<'_>) -> Request<Bytes>,
     ) -> Outcome {
-        let Some(epoch) = self.tenure.authority_for(CALL_TIMEOUT) else {
+        let Some(epoch) = self.duty_lease.authority_for(CALL_TIMEOUT) else {
             return Outcome::NotHolder;
         };
         let request = request(self.address, Authority { holder: &self.node, epoch });
--- a/node/src/duty/tenure.rs
+++ b/node/src/duty/lease.rs
@@ -11,7 +11,7 @@
 use sardinepick_platform::store::{Object, Refused};
 use smol_str::SmolStr;
 
-use crate::history::Tracker;
+use crate::history::EraTracker;
 use crate::serve::metrics::Metrics;
 use crate::serve::store::{Client, Purpose, StoreError};
 
@@ -42,9 +42,9 @@
 }
 
 /// This node's handle on the lease of the duties.
-pub struct Tenure {
+pub struct DutyLease {
     store: Arc<Client>,
-    history: Arc<Tracker>,
+    history: Arc<EraTracker>,
     clock: Arc<dyn Clock>,
     metrics: Metrics,
     term: Term,
@@ -62,12 +62,12 @@
     pub left: Duration,
 }
 
-impl Tenure {
+impl DutyLease {
     /// Creates a handle that knows nothing of the lease yet. `turns` is the required gap between
     /// the calls of two holders.
     pub fn new(
         store: Arc<Client>,
-        history: Arc<Tracker>,
+        history: Arc<EraTracker>,
         clock: Arc<dyn Clock>,
         metrics: Metrics,
         holder: Holder,
@@ -84,7 +84,7 @@
     }
 
     /// Records that there is work for the holder.
-    pub fn want(&self) {
+    pub fn request(&self) {
         self.state().last_wanted = Some(self.clock.now());
     }
 
@@ -113,7 +113,7 @@
     /// Acquires, renews or releases the lease, whichever is due. `leads` tells whether this node
     /// should hold it, `is_gone` whether a holder's process is known to have ended. Returns false
     /// if several consecutive calls to the store have failed.
-    pub async fn keep(&self, leads: bool, is_gone: impl Fn(&Holder) -> bool) -> bool {
+    pub async fn maintain(&self, leads: bool, is_gone: impl Fn(&Holder) -> bool) -> bool {
         let now = self.clock.now();
         let within = |at: Option<Instant>, limit: Duration| {
             at.is_some_and(|at| now.saturating_duration_since(at) < limit)
--- a/node/src/duty/mod.rs
+++ b/node/src/duty/mod.rs
@@ -5,5 +5,5 @@
 //! carry out; where nodes disagree on the rank, the lease decides.
 
 pub mod caller;
-pub mod tenure;
+pub mod lease;
 pub mod view;
--- a/node/src/history/mod.rs
+++ b/node/src/history/mod.rs
@@ -41,7 +41,7 @@
 }
 
 /// The store's era as this node knows it.
-pub struct Tracker {
+pub struct EraTracker {
     clock: Arc<dyn Clock>,
     metrics: Metrics,
     current: Mutex<Present>,
@@ -51,7 +51,7 @@
     changed: watch::Sender<Era>,
 }
 
-impl Tracker {
+impl EraTracker {
     /// Creates a tracker that knows no era.
     pub fn new(clock: Arc<dyn Clock>, metrics: Metrics) -> Self {
         let changed = watch::Sender::new(Era::default());
@@ -91,7 +91,7 @@
     }
 
     /// A channel that receives each change of the era.
-    pub fn changes(&self) -> watch::Receiver<Era> {
+    pub fn subscribe(&self) -> watch::Receiver<Era> {
         self.changed.subscribe()
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Handles the era that another node knows.
-    pub fn note_told(&self, shown: Era, node: &str) {
+    pub fn note_peer_era(&self, shown: Era, node: &str) {
         // A node that lags behind is not a fault of the store.
         if shown > self.era() {
             let _ = self.note(shown, node);
@@ -131,7 +131,7 @@
     /// Handles a list response whose revision is lower than that of an earlier response in the same
     /// era. A store that names no eras has then been restored from a copy; all nodes that observe
     /// this advance to the next era.
-    pub fn note_fall(&self, was: Point, as_of: Point) {
+    pub fn note_revision_fall(&self, was: Point, as_of: Point) {
         self.count("revision_fell");
         let is_named = self.is_named.load(Ordering::Relaxed);
         if self.is_log_due() {
--- a/node/src/limit/mod.rs
+++ b/node/src/limit/mod.rs
@@ -176,11 +176,11 @@
     }
 
     /// Answers another node's permit request.
-    pub async fn answer(&self, from: SocketAddr, number: u64, limit: Announced) {
+    pub async fn handle_request(&self, from: SocketAddr, number: u64, limit: Announced) {
         let entry = lock(&self.register).by_tag(limit.runner).map(service_and_pool);
         let wait = match entry.map(|(service, pool)| self.grantor(&service, pool)) {
             Some(Grantor::Local(part)) => {
-                self.take(&[limit], "permit request");
+                self.apply_gossip(&[limit], "permit request");
                 self.grant(limit.runner, part).err()
             }
             Some(Grantor::Remote(_)) | None => Some(RETRY_PAUSE),
@@ -189,7 +189,7 @@
     }
 
     /// Handles the reply to a permit request.
-    pub fn take_answer(&self, number: u64, wait: Option<Duration>) {
+    pub fn handle_reply(&self, number: u64, wait: Option<Duration>) {
         lock(&self.requests).resolve(number, wait.map_or(Ok(()), Err));
     }
 
--- a/node/src/limit/news.rs
+++ b/node/src/limit/news.rs
@@ -14,7 +14,7 @@
 impl Limiter {
     /// The limits to send with the next heartbeat; with `again` also those that earlier heartbeats
     /// have sent.
-    pub fn next(&self, again: bool) -> Vec<Announced> {
+    pub fn next_gossip(&self, again: bool) -> Vec<Announced> {
         let now = self.clock.now();
         let mut outbox = lock(&self.outbox);
         let register = lock(&self.register);
@@ -41,12 +41,12 @@
     }
 
     /// Whether there are changes that no heartbeat has sent yet.
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending_gossip(&self) -> bool {
         lock(&self.outbox).has_new()
     }
 
     /// Applies gossip of another node.
-    pub fn take(&self, told: &[Announced], from: &str) {
+    pub fn apply_gossip(&self, told: &[Announced], from: &str) {
         let now = self.clock.now();
         for Announced { runner: tag, rate, age } in told {
             let Some(at) = now.checked_sub(*age) else { continue };
--- a/node/src/peer/gossip.rs
+++ b/node/src/peer/gossip.rs
@@ -85,7 +85,7 @@
 }
 
 /// Announces this node's new generation to a few nodes immediately.
-pub async fn tell(node: &Node, socket: &UdpSocket) {
+pub async fn announce_generation(node: &Node, socket: &UdpSocket) {
     let out = {
         let status = status(node);
         let mut rng = node.rng();
--- a/node/src/scale/mod.rs
+++ b/node/src/scale/mod.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use crate::duty::caller::{Caller, Outcome};
-use crate::duty::tenure::Tenure;
+use crate::duty::lease::DutyLease;
 use crate::serve::metrics::Metrics;
 
 /// How often the required number of runners is evaluated.
@@ -42,7 +42,7 @@
     /// The services.
     pub services: Services,
     /// The lease.
-    pub tenure: Arc<Tenure>,
+    pub duty_lease: Arc<DutyLease>,
     /// Calls to the platform.
     pub caller: Arc<Caller>,
     /// The clock.
@@ -75,7 +75,7 @@
     }
 
     async fn evaluate(&self, service: &Service, state: &mut ServiceState) {
-        self.tenure.want();
+        self.duty_lease.request();
         let now = self.clock.now();
         let serving = service.supply.iter().flat_map(|s| s.serving).sum();
         let need = state.need.note(now, service.busy, serving);
--- a/node/src/serve/beat.rs
+++ b/node/src/serve/beat.rs
@@ -72,13 +72,14 @@
             let told = Beat { news, records: Vec::new(), ..beat.clone() };
             beat_all(&shared, &socket, &told, &some).await;
         }
-        let quarantined = quarantine::news::next(&shared);
+        let quarantined = quarantine::gossip::take_pending(&shared);
         if !quarantined.is_empty() {
             let told = Beat { quarantined, records: Vec::new(), ..beat.clone() };
             beat_all(&shared, &socket, &told, &watchers).await;
         }
         let again = due && count.is_multiple_of(GREETING);
-        let (limits, leaving) = (shared.limiter.next(again), shared.drains.next(again));
+        let (limits, leaving) =
+            (shared.limiter.next_gossip(again), shared.drains.next_gossip(again));
         if !limits.is_empty() || !leaving.is_empty() {
             let told = Beat { limits, leaving, records: Vec::new(), ..beat.clone() };
             beat_all(&shared, &socket, &told, &watchers).await;
@@ -102,8 +103,8 @@
         log::info!(node:% = id; "node forgotten");
     }
     shared.metrics.nodes.set(roster.fronts().len() as i64);
-    let has_signals = shared.limiter.has_news() || shared.drains.has_news();
-    if roster.has_news() || quarantine::news::has_news(shared) || has_signals {
+    let has_signals = shared.limiter.has_pending_gossip() || shared.drains.has_pending_gossip();
+    if roster.has_news() || quarantine::gossip::has_pending(shared) || has_signals {
         shared.beat_now.notify_one();
     }
 }
@@ -134,7 +135,7 @@
         digest: roster.digest(),
         records: Vec::new(),
         news: None,
-        quarantine: quarantine::news::digest(shared),
+        quarantine: quarantine::gossip::digest(shared),
         quarantined: Vec::new(),
         time: Some(shared.usage.time_at(shared.clock.now())),
         limits: Vec::new(),
@@ -190,7 +191,7 @@
                         continue;
                     }
                     Some(&usage::MARK) => {
-                        shared.usage.take(&socket, from, bytes, &shared.metrics).await;
+                        shared.usage.handle_datagram(&socket, from, bytes, &shared.metrics).await;
                         continue;
                     }
                     _ => {}
@@ -221,19 +222,19 @@
         let mistaken = roster.is_mistaken(&told.sender).cloned();
         (roster.has_news(), mistaken, differs)
     };
-    shared.history.note_told(told.status.register.era, told.sender.contact.id.as_str());
+    shared.history.note_peer_era(told.status.register.era, told.sender.contact.id.as_str());
     if let Some(time) = told.time {
-        shared.usage.note_time(&told.sender.contact.id, time, now);
+        shared.usage.note_peer_time(&told.sender.contact.id, time, now);
     }
     shared.register().reserve(&told.away, now + RESERVED);
     if let Some(news) = &told.news {
         peer::take_news(shared, news);
     }
-    quarantine::news::take(shared, &told.quarantined, told.sender.contact.id.as_str());
-    shared.limiter.take(&told.limits, told.sender.contact.id.as_str());
-    shared.drains.take(&told.leaving, told.sender.contact.id.as_str());
-    let differs =
-        quarantine::news::note_digest(shared, &told.sender.contact.id, told.quarantine) || differs;
+    quarantine::gossip::apply(shared, &told.quarantined, told.sender.contact.id.as_str());
+    shared.limiter.apply_gossip(&told.limits, told.sender.contact.id.as_str());
+    shared.drains.apply_gossip(&told.leaving, told.sender.contact.id.as_str());
+    let differs = quarantine::gossip::note_digest(shared, &told.sender.contact.id, told.quarantine)
+        || differs;
     let mine = shared.status();
     if told.status.register > mine.register || told.status.version > mine.version {
         shared.note_behind();
@@ -252,7 +253,7 @@
         let peer = told.sender.contact.peer;
         transmit(shared, socket, &answer.encode(), peer).await;
         // It must not send to runners what ends them until it has compared lists.
-        for quarantined in quarantine::news::all(shared).chunks(MOST_TOLD).take(MOST_MESSAGES) {
+        for quarantined in quarantine::gossip::all(shared).chunks(MOST_TOLD).take(MOST_MESSAGES) {
             let more = Beat { quarantined: quarantined.to_vec(), ..beat(shared, mine) };
             transmit(shared, socket, &more.encode(), peer).await;
         }
--- a/node/src/serve/duty.rs
+++ b/node/src/serve/duty.rs
@@ -23,8 +23,8 @@
         let shared = shared.clone();
         Arc::new(move || shared.view())
     };
-    let (usage, tenure, metrics) =
-        (shared.usage.clone(), shared.tenure.clone(), shared.metrics.clone());
+    let (usage, duty_lease, metrics) =
+        (shared.usage.clone(), shared.duty_lease.clone(), shared.metrics.clone());
     let exchange =
         Exchange { usage: usage.clone(), views: views.clone(), socket, metrics: metrics.clone() };
     tokio::spawn(keep(shared.clone()));
@@ -33,7 +33,7 @@
         shared.me.id.clone(),
         platform,
         shared.connections.clone(),
-        tenure.clone(),
+        duty_lease.clone(),
         metrics.clone(),
     );
     let caller = Arc::new(caller);
@@ -43,7 +43,7 @@
     };
     let scaler = Scaler {
         services,
-        tenure: tenure.clone(),
+        duty_lease: duty_lease.clone(),
         caller: caller.clone(),
         clock: shared.clock.clone(),
         metrics: metrics.clone(),
@@ -52,7 +52,7 @@
     let reporter = Reporter {
         usage,
         views,
-        tenure,
+        duty_lease,
         caller,
         store: shared.store.clone(),
         history: shared.history.clone(),
@@ -71,7 +71,7 @@
         let view = shared.view();
         let leads = shared.is_ready() && view.is_first(&shared.me.id);
         let is_gone = |holder: &_| view.is_gone(holder);
-        if !shared.tenure.keep(leads, is_gone).await {
+        if !shared.duty_lease.maintain(leads, is_gone).await {
             // Another node takes the duties over.
             shared.note_unserved();
         }
--- a/node/src/serve/follower.rs
+++ b/node/src/serve/follower.rs
@@ -55,7 +55,7 @@
 impl Follower {
     /// What follows `what` at this node, of which nothing is known yet.
     pub(super) fn new(shared: Arc<Shared>, what: What) -> Self {
-        let eras = shared.history.changes();
+        let eras = shared.history.subscribe();
         Self {
             shared,
             what,
@@ -117,7 +117,7 @@
         let (objects, as_of) = self.shared.store.list(purpose, kind).await?;
         if as_of.era == self.last.era && as_of < self.last {
             let was = std::mem::replace(&mut self.last, as_of);
-            self.shared.history.note_fall(was, as_of);
+            self.shared.history.note_revision_fall(was, as_of);
             let era = self.shared.history.era();
             if era != was.era {
                 return Err(StoreError::Crossed { purpose, was, era });
--- a/node/src/serve/generation/stream.rs
+++ b/node/src/serve/generation/stream.rs
@@ -221,7 +221,7 @@
                 if first {
                     first = false;
                     if self.events == 0 {
-                        self.shared.usage.note(self.request.account.as_ref());
+                        self.shared.usage.count_request(self.request.account.as_ref());
                     }
                     started_at = Some(self.shared.clock.now());
                     active_stream.get_or_insert_with(|| ActiveStream::new(self));
--- a/node/src/serve/join.rs
+++ b/node/src/serve/join.rs
@@ -60,7 +60,7 @@
 
 async fn try_compare(shared: &Shared, peer: SocketAddr) -> Result<usize, JoinError> {
     let mut client = rpc::connect(peer).await?;
-    let mine = nodes(&shared.roster().records(), quarantine::news::all(shared));
+    let mine = nodes(&shared.roster().records(), quarantine::gossip::all(shared));
     let answer = timeout(SILENCE, client.meet(mine)).await;
     let answer = answer.map_err(|_| RpcError::Silent { peer })?;
     let answer = answer.map_err(|s| RpcError::Refused { peer, status: Box::new(s) })?;
@@ -70,7 +70,7 @@
     };
     let answer = answer.into_inner();
     let records = read_nodes(&answer).map_err(useless)?;
-    quarantine::news::take(shared, &answer.quarantined, &peer.to_string());
+    quarantine::gossip::apply(shared, &answer.quarantined, &peer.to_string());
     let now = shared.clock.now();
     let mut roster = shared.roster();
     take_records(&mut roster, &records, now);
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -227,7 +227,7 @@
 
 /// Who has the duties of one node at a time, and the windows of usage that this node has ended.
 fn duties(shared: &Shared) -> serde_json::Value {
-    let lease = shared.tenure.status();
+    let lease = shared.duty_lease.status();
     let line = |(window, outcome): (Window, &str)| serde_json::json!({"window": window, "outcome": outcome});
     let windows: Vec<_> = shared.usage.last_windows().into_iter().map(line).collect();
     serde_json::json!({
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -75,10 +75,10 @@
         self.forget(now);
         let wishes = self.wishes(&configuration, now);
         if !wishes.is_empty() {
-            self.shared.tenure.want();
+            self.shared.duty_lease.request();
         }
         for (service, change) in wishes {
-            if self.shared.tenure.authority_for(ORDER_LIMIT).is_some() {
+            if self.shared.duty_lease.authority_for(ORDER_LIMIT).is_some() {
                 self.carry_out(&service, change).await;
             }
         }
@@ -212,7 +212,7 @@
                 return;
             }
         };
-        let Some(epoch) = self.shared.tenure.authority_for(ORDER_LIMIT) else {
+        let Some(epoch) = self.shared.duty_lease.authority_for(ORDER_LIMIT) else {
             log::info!(runner:% = entry.id; "order not given: the authority is over");
             self.withdraw(entry);
             return;
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -98,8 +98,8 @@
         }
         let records = roster.records();
         drop(roster);
-        quarantine::news::take(&self.shared, &told.quarantined, "that compares");
-        Ok(Response::new(nodes(&records, quarantine::news::all(&self.shared))))
+        quarantine::gossip::apply(&self.shared, &told.quarantined, "that compares");
+        Ok(Response::new(nodes(&records, quarantine::gossip::all(&self.shared))))
     }
 
     type CopyStream = ReceiverStream<Result<pb::CopyPart, Status>>;
@@ -350,6 +350,6 @@
     if told.difference.mark > shared.knowledge().mark() {
         take_difference(shared, told.difference, None, "node");
     }
-    shared.limiter.take(&told.limits, from);
-    shared.drains.take(&told.leaving, from);
+    shared.limiter.apply_gossip(&told.limits, from);
+    shared.drains.apply_gossip(&told.leaving, from);
 }
--- a/node/src/serve/plain.rs
+++ b/node/src/serve/plain.rs
@@ -75,7 +75,7 @@
     match end {
         Ok((head, body)) => {
             quarantine::note_answered(shared, &request.fingerprint);
-            shared.usage.note(request.account.as_ref());
+            shared.usage.count_request(request.account.as_ref());
             line.status = head.status.as_u16();
             line.outcome = if head.status.is_success() { "answered" } else { "failed" };
             let took = shared.clock.now().saturating_duration_since(request.arrived);
--- a/node/src/serve/quarantine/count.rs
+++ b/node/src/serve/quarantine/count.rs
@@ -51,7 +51,7 @@
 /// Counts a crash, and proposes the request for quarantine if there are enough.
 fn count(shared: &Shared, request: Fingerprint, end: End) -> usize {
     let now = shared.clock.now();
-    let mut state = shared.keeper.state();
+    let mut state = shared.quarantine.state();
     let crashes = state.suspects.note(request, end, now);
     let State { suspects, quarantine, .. } = &mut *state;
     let proposed = suspects.get(&request).and_then(|s| quarantine.propose(request, s, now));
@@ -71,10 +71,10 @@
 /// Reports a crash to a counting node. Returns that node's count; `None` if it does not reply.
 async fn report(shared: &Shared, peer: SocketAddr, request: Fingerprint, end: End) -> Option<u32> {
     for _ in 0..SEND_ATTEMPTS {
-        let (number, answer) = shared.keeper.state().reports.register();
+        let (number, answer) = shared.quarantine.state().reports.register();
         transmit(shared, peer, &Schedule::Ended { number, request, end }).await;
         let answer = timeout(REPLY_TIMEOUT, answer).await;
-        shared.keeper.state().reports.cancel(number);
+        shared.quarantine.state().reports.cancel(number);
         if let Ok(Ok(crashes)) = answer {
             return Some(crashes);
         }
@@ -84,7 +84,7 @@
 }
 
 /// Handles a crash report of another node, and replies.
-pub async fn take_ended(
+pub async fn handle_crash_report(
     shared: &Shared,
     from: SocketAddr,
     number: u64,
@@ -96,8 +96,8 @@
 }
 
 /// Handles the reply to a crash report.
-pub fn take_counted(shared: &Shared, number: u64, crashes: u32) {
-    shared.keeper.state().reports.resolve(number, crashes);
+pub fn handle_crash_count(shared: &Shared, number: u64, crashes: u32) {
+    shared.quarantine.state().reports.resolve(number, crashes);
 }
 
 /// The nodes that count a request's crashes, the primary first: the address of each, or `None` for
--- a/node/src/serve/quarantine/news.rs
+++ b/node/src/serve/quarantine/gossip.rs
@@ -10,7 +10,7 @@
 use crate::serve::shared::Shared;
 
 /// Applies another node's entries.
-pub fn take(shared: &Shared, told: &[pb::Quarantined], from: &str) {
+pub fn apply(shared: &Shared, told: &[pb::Quarantined], from: &str) {
     let now = shared.clock.now();
     let entries = match read_quarantined(told, now) {
         Ok(entries) => entries,
@@ -21,7 +21,7 @@
     };
     for entry in entries {
         let was = {
-            let mut state = shared.keeper.state();
+            let mut state = shared.quarantine.state();
             let was = state.quarantine.get(&entry.request).map(|entry| entry.stage);
             if !state.quarantine.take(entry.clone(), now) {
                 continue;
@@ -36,7 +36,7 @@
         if lifted && is_primary_counter(shared, &entry.request) {
             schedule_write(shared, entry.request);
         }
-        if shared.keeper.state().quarantine.objects(&entry) {
+        if shared.quarantine.state().quarantine.objects(&entry) {
             set_stage(shared, &entry.request, Stage::Cleared, "answered since");
         }
         shared.beat_now.notify_one();
@@ -44,29 +44,29 @@
 }
 
 /// Entries not gossiped yet, as many as fit into one message.
-pub fn next(shared: &Shared) -> Vec<pb::Quarantined> {
-    let news = shared.keeper.state().quarantine.take_news();
+pub fn take_pending(shared: &Shared) -> Vec<pb::Quarantined> {
+    let news = shared.quarantine.state().quarantine.take_news();
     quarantined(&news, shared.clock.now())
 }
 
 /// Whether there are entries that have not been gossiped.
-pub fn has_news(shared: &Shared) -> bool {
-    shared.keeper.state().quarantine.has_news()
+pub fn has_pending(shared: &Shared) -> bool {
+    shared.quarantine.state().quarantine.has_news()
 }
 
 /// All entries, for another node; refused requests come first.
 pub fn all(shared: &Shared) -> Vec<pb::Quarantined> {
-    let mut all: Vec<Entry> = shared.keeper.state().quarantine.entries().cloned().collect();
+    let mut all: Vec<Entry> = shared.quarantine.state().quarantine.entries().cloned().collect();
     all.sort_by_key(|entry| entry.stage != Stage::Confirmed);
     quarantined(&all, shared.clock.now())
 }
 
 /// A digest of all entries.
 pub fn digest(shared: &Shared) -> u64 {
-    shared.keeper.state().quarantine.digest(shared.clock.now())
+    shared.quarantine.state().quarantine.digest(shared.clock.now())
 }
 
 /// Compares another node's digest. Returns whether the full lists should be compared.
 pub fn note_digest(shared: &Shared, node: &NodeId, digest: u64) -> bool {
-    shared.keeper.state().quarantine.note_digest(node, digest, shared.clock.now())
+    shared.quarantine.state().quarantine.note_digest(node, digest, shared.clock.now())
 }
--- a/node/src/serve/quarantine/mod.rs
+++ b/node/src/serve/quarantine/mod.rs
@@ -18,7 +18,7 @@
 use crate::serve::shared::Shared;
 
 pub mod count;
-pub mod news;
+pub mod gossip;
 pub mod store;
 
 /// How often proposals are checked while any awaits its decision.
@@ -38,7 +38,7 @@
 
 /// A node's record of requests that crash runners.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct QuarantineState {
     state: Mutex<State>,
     /// Signals that the stage of a request has changed.
     changed: watch::Sender<()>,
@@ -48,7 +48,7 @@
     store_read: AtomicBool,
 }
 
-impl Default for Keeper {
+impl Default for QuarantineState {
     fn default() -> Self {
         Self {
             state: Mutex::default(),
@@ -59,7 +59,7 @@
     }
 }
 
-impl Keeper {
+impl QuarantineState {
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -81,7 +81,7 @@
 pub async fn admit(shared: &Shared, request: &Request) -> Admission {
     loop {
         let now = shared.clock.now();
-        let standing = shared.keeper.state().quarantine.standing(&request.fingerprint, now);
+        let standing = shared.quarantine.state().quarantine.standing(&request.fingerprint, now);
         match standing {
             Standing::Free => return Admission::Free,
             Standing::Refused => return refuse(shared, request),
@@ -89,7 +89,7 @@
             Standing::Undecided if request.left(now).is_zero() => return Admission::Free,
             Standing::Undecided => {
                 // A timeout is handled like a change: proposals expire with time.
-                let mut changed = shared.keeper.changed.subscribe();
+                let mut changed = shared.quarantine.changed.subscribe();
                 let _ = timeout(DECISION_POLL, changed.changed()).await;
             }
         }
@@ -102,13 +102,13 @@
     // Only one node runs the trial, so that a request sent to many nodes at once crashes at most
     // one runner.
     let is_trial = is_primary_counter(shared, fingerprint)
-        && shared.keeper.state().quarantine.begin_trial(fingerprint, now);
+        && shared.quarantine.state().quarantine.begin_trial(fingerprint, now);
     if is_trial {
         log::info!(request:% = request.id, fingerprint:% = fingerprint; "quarantine tries it again");
         shared.metrics.quarantine.with_label_values(&["tried"]).inc();
         return Admission::Trial;
     }
-    let mut state = shared.keeper.state();
+    let mut state = shared.quarantine.state();
     state.quarantine.note_refused(fingerprint);
     let Some(entry) = state.quarantine.get(fingerprint) else { return Admission::Free };
     log::info!(
@@ -122,13 +122,13 @@
 
 /// Records that a trial did not run; the next request becomes the trial.
 pub fn return_trial(shared: &Shared, request: &Fingerprint) {
-    shared.keeper.state().quarantine.return_trial(request);
+    shared.quarantine.state().quarantine.return_trial(request);
 }
 
 /// Whether a request is refused, without waiting for a pending decision.
 pub fn is_refused(shared: &Shared, request: &Request) -> bool {
     let now = shared.clock.now();
-    let standing = shared.keeper.state().quarantine.standing(&request.fingerprint, now);
+    let standing = shared.quarantine.state().quarantine.standing(&request.fingerprint, now);
     standing == Standing::Refused
 }
 
@@ -136,7 +136,7 @@
 /// a proposal to quarantine it.
 pub fn note_answered(shared: &Shared, request: &Fingerprint) {
     let now = shared.clock.now();
-    let objects = shared.keeper.state().quarantine.note_answered(*request, now);
+    let objects = shared.quarantine.state().quarantine.note_answered(*request, now);
     if objects {
         set_stage(shared, request, Stage::Cleared, "answered");
     }
@@ -145,7 +145,7 @@
 /// Releases a request from quarantine on an operator's command. Returns whether it was quarantined.
 pub fn release(shared: &Shared, request: &Fingerprint) -> bool {
     let now = shared.clock.now();
-    let standing = shared.keeper.state().quarantine.standing(request, now);
+    let standing = shared.quarantine.state().quarantine.standing(request, now);
     standing != Standing::Free
         && set_stage(shared, request, Stage::Cleared, "released by an operator")
 }
@@ -155,7 +155,7 @@
 fn set_stage(shared: &Shared, request: &Fingerprint, stage: Stage, why: &str) -> bool {
     let now = shared.clock.now();
     let (was, entry) = {
-        let mut state = shared.keeper.state();
+        let mut state = shared.quarantine.state();
         let was = state.quarantine.get(request).map(|entry| entry.stage);
         (was, state.quarantine.set(request, stage, now))
     };
@@ -172,13 +172,13 @@
 
 /// Schedules the current stage of a request to be written to the store.
 fn schedule_write(shared: &Shared, request: Fingerprint) {
-    shared.keeper.state().pending_writes.insert(request);
-    shared.keeper.write_pending.notify_one();
+    shared.quarantine.state().pending_writes.insert(request);
+    shared.quarantine.write_pending.notify_one();
 }
 
 /// Applies a stage to the crash counts.
 fn update_suspects(shared: &Shared, entry: &Entry) {
-    let mut state = shared.keeper.state();
+    let mut state = shared.quarantine.state();
     match entry.stage {
         // Crashes explained by this request no longer count against the others that were running.
         Stage::Confirmed => state.suspects.excuse(&entry.ends, &entry.request),
@@ -195,15 +195,15 @@
     );
     shared.metrics.quarantine.with_label_values(&[stage]).inc();
     // Wakes requests that wait for a decision.
-    shared.keeper.changed.send_replace(());
+    shared.quarantine.changed.send_replace(());
 }
 
 /// Decides proposals and expires old entries until the process ends.
 pub async fn run(shared: Arc<Shared>) {
-    let mut changed = shared.keeper.changed.subscribe();
+    let mut changed = shared.quarantine.changed.subscribe();
     loop {
         let now = shared.clock.now();
-        let is_deciding = shared.keeper.state().quarantine.is_deliberating(now);
+        let is_deciding = shared.quarantine.state().quarantine.is_deliberating(now);
         if is_deciding {
             sleep(DECISION_POLL).await;
         } else {
@@ -223,7 +223,7 @@
 /// Expires old entries, and returns the requests that were in quarantine until now.
 fn expire(shared: &Shared) -> Vec<Fingerprint> {
     let now = shared.clock.now();
-    let mut state = shared.keeper.state();
+    let mut state = shared.quarantine.state();
     state.suspects.expire(now);
     state.quarantine.expire(now)
 }
@@ -231,10 +231,10 @@
 /// Decides the proposals that are due, provided that this node has counted enough crashes itself.
 fn decide(shared: &Shared) {
     let now = shared.clock.now();
-    let due = shared.keeper.state().quarantine.due(now);
+    let due = shared.quarantine.state().quarantine.due(now);
     for request in due {
         let stage = {
-            let state = shared.keeper.state();
+            let state = shared.quarantine.state();
             let counted = state.suspects.get(&request).map_or(0, |s| s.ends().len());
             (counted >= ENDS).then(|| state.quarantine.decide(&request, now)).flatten()
         };
@@ -247,7 +247,7 @@
 /// The state of the quarantine as JSON, for operators.
 pub fn state(shared: &Shared) -> serde_json::Value {
     let now = shared.clock.now();
-    let state = shared.keeper.state();
+    let state = shared.quarantine.state();
     let age = |at| now.saturating_duration_since(at).as_secs();
     let line = |entry: &Entry| {
         serde_json::json!({
--- a/node/src/serve/quarantine/store.rs
+++ b/node/src/serve/quarantine/store.rs
@@ -17,21 +17,21 @@
 
 /// Reads the stored entries once per process; later changes arrive by gossip.
 pub async fn read_once(shared: Arc<Shared>) {
-    if shared.keeper.store_read.swap(true, Ordering::Relaxed) {
+    if shared.quarantine.store_read.swap(true, Ordering::Relaxed) {
         return;
     }
     let (objects, _) = match shared.store.list(Purpose::Quarantine, QUARANTINE).await {
         Ok(read) => read,
         Err(error) => {
             log::info!(error:% = error; "quarantine not read from the store");
-            shared.keeper.store_read.store(false, Ordering::Relaxed);
+            shared.quarantine.store_read.store(false, Ordering::Relaxed);
             return;
         }
     };
     let now = shared.clock.now();
     for object in objects {
         match decode(&object.name, &object.content, now) {
-            Ok(entry) if shared.keeper.state().quarantine.take(entry.clone(), now) => {
+            Ok(entry) if shared.quarantine.state().quarantine.take(entry.clone(), now) => {
                 update_suspects(&shared, &entry);
                 note_stage(&shared, &entry, "kept by the store");
                 shared.beat_now.notify_one();
@@ -48,13 +48,13 @@
 /// Writes the confirmed entries again whenever the store has been restored from a copy, until the
 /// process ends. Each entry is written by its primary counter only.
 pub async fn write_again(shared: Arc<Shared>) {
-    let mut eras = shared.history.changes();
+    let mut eras = shared.history.subscribe();
     while eras.changed().await.is_ok() {
         if !shared.history.has_come_back() {
             continue;
         }
         let confirmed: Vec<Fingerprint> = {
-            let state = shared.keeper.state();
+            let state = shared.quarantine.state();
             let entries = state.quarantine.entries();
             entries.filter(|entry| entry.stage == Stage::Confirmed).map(|e| e.request).collect()
         };
@@ -74,21 +74,21 @@
 pub async fn run(shared: Arc<Shared>) {
     let mut failures = 0;
     loop {
-        let request = shared.keeper.state().pending_writes.iter().next().copied();
+        let request = shared.quarantine.state().pending_writes.iter().next().copied();
         let Some(request) = request else {
             failures = 0;
-            shared.keeper.write_pending.notified().await;
+            shared.quarantine.write_pending.notified().await;
             continue;
         };
         // Removed before the write, so that a change during the write is written again.
-        shared.keeper.state().pending_writes.remove(&request);
+        shared.quarantine.state().pending_writes.remove(&request);
         if let Err(error) = write(&shared, &request).await {
             failures += 1;
             log::info!(
                 fingerprint:% = request, failures = failures, error:% = error;
                 "quarantine not written to the store"
             );
-            shared.keeper.state().pending_writes.insert(request);
+            shared.quarantine.state().pending_writes.insert(request);
             let draw: f64 = shared.rng().random();
             sleep(pause(failures, draw)).await;
         }
@@ -96,7 +96,7 @@
 }
 
 async fn write(shared: &Shared, request: &Fingerprint) -> Result<(), StoreError> {
-    let entry = shared.keeper.state().quarantine.get(request).cloned();
+    let entry = shared.quarantine.state().quarantine.get(request).cloned();
     let name = request.to_string();
     match entry.filter(|entry| entry.stage == Stage::Confirmed) {
         Some(entry) => {
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -21,7 +21,7 @@
 use smol_str::SmolStr;
 use tokio::time::timeout;
 
-use crate::account::Checked;
+use crate::account::CheckResult;
 use crate::serve::answer::{Body, Refusal};
 use crate::serve::shared::Shared;
 use crate::serve::{follow, generation, plain};
@@ -235,19 +235,19 @@
 ) -> Result<(), Refusal> {
     let confirmed = shared.checks.confirm(&shared.store, &*shared.clock, known, arrived).await;
     let (outcome, result) = match confirmed {
-        Checked::Newest => ("newest", Err(Refusal::UnknownKey)),
-        Checked::Newer(object) => {
+        CheckResult::Newest => ("newest", Err(Refusal::UnknownKey)),
+        CheckResult::Newer(object) => {
             follow::install(shared, object, None, "check of a key");
             ("newer", Ok(()))
         }
         // The others tell of a newer configuration as soon as one of them has it.
-        Checked::Unconfirmed if !shared.roster().fronts().is_empty() => {
+        CheckResult::Unconfirmed if !shared.roster().fronts().is_empty() => {
             ("others", Err(Refusal::UnknownKey))
         }
-        Checked::Earlier => {
+        CheckResult::Earlier => {
             ("earlier", Err(Refusal::NotRun(Reason::KeyUnconfirmed, UNTIL_CONFIGURED)))
         }
-        Checked::Unconfirmed => {
+        CheckResult::Unconfirmed => {
             ("none", Err(Refusal::NotRun(Reason::KeyUnconfirmed, UNTIL_CONFIGURED)))
         }
     };
--- a/node/src/serve/run.rs
+++ b/node/src/serve/run.rs
@@ -181,7 +181,7 @@
                 break;
             }
         }
-        self.exchange.round().await;
+        self.exchange.send_counts().await;
         let cut = under_way();
         log::info!(node:% = shared.me.id, cut = cut; "stopped");
         cut
--- a/node/src/serve/scheduler.rs
+++ b/node/src/serve/scheduler.rs
@@ -288,15 +288,15 @@
         }
         Ok(Schedule::Report(report)) => take_report(shared, &report),
         Ok(Schedule::Ended { number, request, end }) => {
-            quarantine::count::take_ended(shared, from, number, request, end).await;
+            quarantine::count::handle_crash_report(shared, from, number, request, end).await;
         }
         Ok(Schedule::Counted { number, ends }) => {
-            quarantine::count::take_counted(shared, number, ends);
+            quarantine::count::handle_crash_count(shared, number, ends);
         }
         Ok(Schedule::Acquire { number, limit }) => {
-            shared.limiter.answer(from, number, limit).await;
+            shared.limiter.handle_request(from, number, limit).await;
         }
-        Ok(Schedule::Acquired { number, wait }) => shared.limiter.take_answer(number, wait),
+        Ok(Schedule::Acquired { number, wait }) => shared.limiter.handle_reply(number, wait),
         Err(error) => log::warn!(peer:% = from, error:% = error; "datagram is not taken"),
     }
 }
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -31,9 +31,9 @@
 use crate::back_off::BackOffs;
 use crate::dispatch::Dispatcher;
 use crate::drain::Drains;
-use crate::duty::tenure::Tenure;
+use crate::duty::lease::DutyLease;
 use crate::duty::view::{COLLECTORS, SUBJECT, View};
-use crate::history::Tracker;
+use crate::history::EraTracker;
 use crate::limit::Limiter;
 use crate::lock::lock;
 use crate::serve::connection::Connections;
@@ -41,7 +41,7 @@
 use crate::serve::crash::Detector;
 use crate::serve::knowledge::Knowledge;
 use crate::serve::metrics::Metrics;
-use crate::serve::quarantine::Keeper;
+use crate::serve::quarantine::QuarantineState;
 use crate::serve::scheduler::Scheduling;
 use crate::serve::settings::Settings;
 use crate::serve::store::Client;
@@ -70,7 +70,7 @@
     /// Connections to runners and the store.
     pub connections: Arc<Connections>,
     /// The era of the store.
-    pub history: Arc<Tracker>,
+    pub history: Arc<EraTracker>,
     /// The store.
     pub store: Arc<Client>,
     /// How this node stands towards callers.
@@ -82,7 +82,7 @@
     /// Signals that other nodes have a newer configuration.
     pub outdated: Notify,
     /// This node's part in the lease on the duties that one node at a time has.
-    pub tenure: Arc<Tenure>,
+    pub duty_lease: Arc<DutyLease>,
     /// What this node counts of usage, and collects.
     pub usage: Arc<Usage>,
     /// Checks that the configuration is the newest.
@@ -96,7 +96,7 @@
     /// The runners that have ended under calls.
     pub crashes: Detector,
     /// Requests under which runners end.
-    pub keeper: Keeper,
+    pub quarantine: QuarantineState,
     /// Signals that a beat should go out now.
     pub beat_now: Arc<Notify>,
     /// Rate limits of runners.
@@ -141,12 +141,12 @@
         };
         let seed = place(incarnation.0, settings.name.as_str().as_bytes());
         let connections = Arc::new(Connections::new(clock.clone(), metrics.clone()));
-        let history = Arc::new(Tracker::new(clock.clone(), metrics.clone()));
+        let history = Arc::new(EraTracker::new(clock.clone(), metrics.clone()));
         let store =
             Client::new(settings.store, connections.clone(), history.clone(), metrics.clone());
         let store = Arc::new(store);
         let holder = Holder { name: me.id.clone(), incarnation };
-        let tenure = Tenure::new(
+        let duty_lease = DutyLease::new(
             store.clone(),
             history.clone(),
             clock.clone(),
@@ -154,7 +154,7 @@
             holder,
             settings.turns,
         );
-        let tenure = Arc::new(tenure);
+        let duty_lease = Arc::new(duty_lease);
         let collector = Collector { node: me.id.clone(), incarnation };
         // What nobody reports would be counted without end.
         let window = settings.usage_window.filter(|_| settings.platform.is_some());
@@ -184,7 +184,7 @@
             dispatcher,
             history,
             store,
-            tenure,
+            duty_lease,
             usage,
             connections,
             began: clock.now(),
@@ -201,7 +201,7 @@
             register_transfers: Arc::default(),
             scheduling: Scheduling::default(),
             crashes: Detector::default(),
-            keeper: Keeper::default(),
+            quarantine: QuarantineState::default(),
             beat_now,
             register,
             knowledge: Mutex::default(),
--- a/node/src/serve/store.rs
+++ b/node/src/serve/store.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-use crate::history::{EraError, Tracker};
+use crate::history::{EraError, EraTracker};
 use crate::serve::connection::{Connections, Incomplete, SendError};
 use crate::serve::metrics::Metrics;
 
@@ -127,7 +127,7 @@
 pub struct Client {
     address: SocketAddr,
     connections: Arc<Connections>,
-    history: Arc<Tracker>,
+    history: Arc<EraTracker>,
     metrics: Metrics,
 }
 
@@ -136,7 +136,7 @@
     pub fn new(
         address: SocketAddr,
         connections: Arc<Connections>,
-        history: Arc<Tracker>,
+        history: Arc<EraTracker>,
         metrics: Metrics,
     ) -> Self {
         Self { address, connections, history, metrics }
--- a/node/src/usage/exchange.rs
+++ b/node/src/usage/exchange.rs
@@ -34,12 +34,12 @@
     pub async fn run(self) {
         loop {
             sleep(SEND_PERIOD).await;
-            self.round().await;
+            self.send_counts().await;
         }
     }
 
     /// Sends the counts that the collectors have not acknowledged.
-    pub async fn round(&self) {
+    pub async fn send_counts(&self) {
         let Some(windows) = self.usage.windows else { return };
         let view = (self.views)();
         let messages = self.usage.pending_messages(windows, &view.collectors(), &view.lives);
--- a/node/src/usage/mod.rs
+++ b/node/src/usage/mod.rs
@@ -64,7 +64,7 @@
     }
 
     /// Takes another node's estimate of the true time into account.
-    pub fn note_time(&self, node: &NodeId, time: Duration, now: Instant) {
+    pub fn note_peer_time(&self, node: &NodeId, time: Duration, now: Instant) {
         let moved = self.state().time.note_other(now, node, time);
         if let Some(seconds) = moved {
             log::warn!(by_s = seconds; "this node's time was off; that of the others is taken");
@@ -72,7 +72,7 @@
     }
 
     /// Counts a request that starts to run, if it belongs to an account.
-    pub fn note(&self, account: Option<&AccountId>) {
+    pub fn count_request(&self, account: Option<&AccountId>) {
         let (Some(windows), Some(account)) = (self.windows, account) else { return };
         let now = self.clock.now();
         let mut state = self.state();
@@ -121,7 +121,7 @@
     }
 
     /// Handles a datagram of another node.
-    pub async fn take(
+    pub async fn handle_datagram(
         &self,
         socket: &UdpSocket,
         from: SocketAddr,
--- a/node/src/usage/report.rs
+++ b/node/src/usage/report.rs
@@ -16,9 +16,9 @@
 
 use super::Usage;
 use crate::duty::caller::{Caller, Outcome};
-use crate::duty::tenure::Tenure;
+use crate::duty::lease::DutyLease;
 use crate::duty::view::Views;
-use crate::history::Tracker;
+use crate::history::EraTracker;
 use crate::serve::metrics::Metrics;
 use crate::serve::store::{Client, Purpose, StoreError};
 
@@ -62,13 +62,13 @@
     /// The nodes.
     pub views: Views,
     /// The lease.
-    pub tenure: Arc<Tenure>,
+    pub duty_lease: Arc<DutyLease>,
     /// Calls to the platform.
     pub caller: Arc<Caller>,
     /// The store.
     pub store: Arc<Client>,
     /// The era of the store.
-    pub history: Arc<Tracker>,
+    pub history: Arc<EraTracker>,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// Metrics.
@@ -83,7 +83,7 @@
         let mut retry_at: Option<Instant> = None;
         loop {
             sleep(PERIOD).await;
-            self.tenure.want();
+            self.duty_lease.request();
             if !self.caller.may_call() {
                 // Another holder may change the ledger meanwhile.
                 loaded = None;
--- a/node/tests/scheduler.rs
+++ b/node/tests/scheduler.rs
@@ -220,7 +220,7 @@
         let runner = shared.register().get(&id).expect("it is known").entry.tag();
         Announced { runner, rate: Rate::new(5.0), age: Duration::ZERO }
     });
-    shared.limiter.take(&announced, "another node");
+    shared.limiter.apply_gossip(&announced, "another node");
     let conduct = Conduct::Naming(decoder(&set.runners));
     let _questions = add_false(&shared.me.id, shared.me.peer, conduct).await;
     wait_until("the false scheduler is heard", async || shared.roster().fronts().len() == 1).await;
