--- a/node/src/dispatch/mod.rs
+++ b/node/src/dispatch/mod.rs
@@ -55,7 +55,7 @@
         request: Request<Bytes>,
     ) -> Result<Answer, SendError> {
         let Target { runner, stay, address } = target;
-        let permit = self.limiter.permit(runner).await;
+        let permit = self.limiter.acquire(runner).await;
         permit.map_err(|denied| SendError::RateLimited { peer: address, denied })?;
         let sent = self.clock.now();
         let answer = self.connections.send(address, request, CONNECT_LIMIT).await?;
--- a/node/src/duty/lease.rs
+++ b/node/src/duty/lease.rs
@@ -17,12 +17,12 @@
 
 /// The name of the lease object: that of the first duty, orders to runners.
 const LEASE: &str = "runners";
-/// The term of the lease without renewal. Together with the margin it bounds how long the duties
-/// rest after the holder has failed.
+/// The term of the lease without renewal. Together with the margin it bounds how long no node
+/// carries out the duties after the holder has failed.
 const TTL: Duration = Duration::from_secs(2);
 /// How much longer than the required gap between two holders' calls a challenger waits, to allow
 /// for clock drift. Calls end within the term, so none is in flight then.
-const TURN_MARGIN: Duration = Duration::from_millis(200);
+const CALL_GAP_MARGIN: Duration = Duration::from_millis(200);
 /// How often a node that wants the lease reads it while another node holds it.
 const READ_PERIOD: Duration = Duration::from_millis(1_500);
 /// How long the lease is retained after it was last needed.
@@ -63,7 +63,7 @@
 }
 
 impl DutyLease {
-    /// Creates a handle that knows nothing of the lease yet. `turns` is the required gap between
+    /// Creates a handle that knows nothing of the lease yet. `call_gap` is the required gap between
     /// the calls of two holders.
     pub fn new(
         store: Arc<Client>,
@@ -71,9 +71,9 @@
         clock: Arc<dyn Clock>,
         metrics: Metrics,
         holder: Holder,
-        turns: Duration,
+        call_gap: Duration,
     ) -> Self {
-        let term = Term { ttl: TTL, margin: turns + TURN_MARGIN };
+        let term = Term { ttl: TTL, margin: call_gap + CALL_GAP_MARGIN };
         let lease = Lease::new(holder);
         let state = State { lease, last_wanted: None, last_read: None, failures: 0 };
         Self { store, history, clock, metrics, term, state: Mutex::new(state) }
--- a/node/src/limit/news.rs
+++ b/node/src/limit/gossip.rs
@@ -18,15 +18,15 @@
         let now = self.clock.now();
         let mut outbox = lock(&self.outbox);
         let register = lock(&self.register);
-        let mut told = Vec::new();
+        let mut limits = Vec::new();
         for (tag, since) in outbox.take(again, now) {
             let notice = register.by_tag(tag).and_then(|runner| runner.limit.notice());
             match notice.filter(|notice| notice.rate.is_some() || since <= LIFTED_TTL) {
-                Some(notice) => told.push(announced(tag, &notice, now)),
+                Some(notice) => limits.push(announced(tag, &notice, now)),
                 None => outbox.forget(tag),
             }
         }
-        told
+        limits
     }
 
     /// All limits in force.
@@ -46,9 +46,9 @@
     }
 
     /// Applies gossip of another node.
-    pub fn apply_gossip(&self, told: &[Announced], from: &str) {
+    pub fn apply_gossip(&self, limits: &[Announced], from: &str) {
         let now = self.clock.now();
-        for Announced { runner: tag, rate, age } in told {
+        for Announced { runner: tag, rate, age } in limits {
             let Some(at) = now.checked_sub(*age) else { continue };
             let mut register = lock(&self.register);
             let Some(runner) = register.by_tag_mut(*tag) else { continue };
--- a/node/src/limit/mod.rs
+++ b/node/src/limit/mod.rs
@@ -30,7 +30,7 @@
 use crate::serve::metrics::Metrics;
 use crate::serve::pending::Pending;
 
-pub mod news;
+pub mod gossip;
 
 /// The timeout of a permit request, the same as that of a scheduling request.
 const PERMIT_TIMEOUT: Duration = scheduler::PATIENCE;
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// The rate is exhausted, or the grantor does not reply.
-    pub async fn permit(&self, id: &RunnerId) -> Result<(), Denied> {
+    pub async fn acquire(&self, id: &RunnerId) -> Result<(), Denied> {
         let Some((tag, service, pool, notice)) = lock(&self.register).get(id).and_then(limit_of)
         else {
             return Ok(());
--- a/node/src/peer/gossip.rs
+++ b/node/src/peer/gossip.rs
@@ -55,12 +55,12 @@
 
 async fn tick(node: &Arc<Node>, socket: &UdpSocket) {
     let now = node.clock.now();
-    let with = {
+    let partner = {
         let mut rng = node.rng();
         node.members().exchange_with(now, &mut *rng)
     };
-    if let Some(with) = with {
-        tokio::spawn(exchange(node.clone(), with));
+    if let Some(partner) = partner {
+        tokio::spawn(exchange(node.clone(), partner));
     }
     let out = {
         let status = status(node);
@@ -73,9 +73,9 @@
 }
 
 /// Exchanges full membership lists with another node.
-async fn exchange(node: Arc<Node>, with: SocketAddr) {
+async fn exchange(node: Arc<Node>, partner: SocketAddr) {
     let all = node.members().all();
-    match node.peers.members(with, &all).await {
+    match node.peers.members(partner, &all).await {
         Ok(updates) => {
             let now = node.clock.now();
             node.members().take_all(now, updates);
--- a/node/src/serve/generation/prefill.rs
+++ b/node/src/serve/generation/prefill.rs
@@ -153,7 +153,7 @@
     }
 }
 
-/// Reads the answer of a runner that was to read a prompt.
+/// Checks and decodes the response of a prefill runner.
 async fn receive_handle(
     runner: &RunnerId,
     request: &str,
--- a/node/src/serve/generation/stream.rs
+++ b/node/src/serve/generation/stream.rs
@@ -146,8 +146,8 @@
             self.note_broken(ticket, true).await;
             return Ok(AttemptOutcome::Broken);
         };
-        let good = head.status.is_success();
-        ticket.conclude(if good { Outcome::Answered } else { Outcome::Failed });
+        let is_success = head.status.is_success();
+        ticket.conclude(if is_success { Outcome::Answered } else { Outcome::Failed });
         if promises_not_run(head.status) {
             return Ok(AttemptOutcome::Broken);
         }
@@ -157,7 +157,7 @@
         }
         if let Caller::Waiting(sender) = &mut self.caller {
             send_head(sender, pass_on(&head, whole(body)));
-            return Ok(AttemptOutcome::Done(if good {
+            return Ok(AttemptOutcome::Done(if is_success {
                 Outcome::Answered
             } else {
                 Outcome::Failed
