--- a/node/src/serve/quarantine/mod.rs
+++ b/node/src/serve/quarantine/mod.rs
@@ -132,8 +132,8 @@
     standing == Standing::Refused
 }
 
-/// Records that a runner answered a request completely, and clears the request if that contradicts
-/// a proposal to quarantine it.
+/// Records that a runner answered a request completely, which clears the request if it is proposed
+/// for quarantine or quarantined.
 pub fn note_answered(shared: &Shared, request: &Fingerprint) {
     let now = shared.clock.now();
     let objects = shared.quarantine.state().quarantine.note_answered(*request, now);
