--- a/node/src/serve/scheduler.rs
+++ b/node/src/serve/scheduler.rs
@@ -1,8 +1,9 @@
-//! Asking the scheduler of a pool of runners where a request goes, and being one.
+//! Placement of requests through pool schedulers: the client side and the scheduler itself.
 //!
-//! Which node schedules a pool follows from the nodes that are ready, the same at each that knows
-//! the same ones. Two nodes that take themselves for it for a moment each know a part of the work,
-//! and place less well; nothing else depends on there being one.
+//! Each node derives the scheduler of a pool from the set of ready nodes, so nodes with the same
+//! membership view agree on it. Two nodes that act as scheduler of one pool at the same time each
+//! see part of the load and place less well; correctness does not depend on the scheduler being
+//! unique.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -27,39 +28,39 @@
 use crate::serve::shared::Shared;
 use crate::serve::{inventory, quarantine};
 
-/// For how long the node found to schedule a pool is not looked for again. Looking weighs all nodes.
-const HOLDER_LIFE: Duration = Duration::from_millis(50);
-/// How often schedulers are told of all that is under way, changed or not. It makes up for lost
-/// reports, and a new scheduler knows the work of all nodes after it; a third of the life of a report.
-const RETOLD: Duration = Duration::from_millis(500);
-/// How long a pool must not have been asked for here until this node takes it over anew, and asks
-/// its runners what they keep.
-const TAKEN_OVER: Duration = Duration::from_secs(10);
-/// How long after its start a node knows the others well enough to tell which pools fall to it. A
-/// node that took over all of them at its start would have every runner asked by every node.
-const ACQUAINTED: Duration = Duration::from_secs(2);
-/// The most news that wait to be told; of more the oldest are the least worth.
-const MOST_NEWS: usize = 1_024;
+/// How long the scheduler found for a pool is cached. Finding it ranks all nodes.
+const SCHEDULER_CACHE_TTL: Duration = Duration::from_millis(50);
+/// How often schedulers are sent all current loads, changed or not. This makes up for lost reports
+/// and gives a new scheduler the loads of all nodes. A third of the lifetime of a report.
+const FULL_REPORT_PERIOD: Duration = Duration::from_millis(500);
+/// After this long without a request for a pool, the node takes the pool over anew and queries the
+/// caches of its runners.
+const TAKEOVER_EXPIRY: Duration = Duration::from_secs(10);
+/// How long after its start a node waits before it takes over pools. Until then its membership view
+/// is incomplete: it would claim every pool, and every runner would be queried by every node.
+const TAKEOVER_DELAY: Duration = Duration::from_secs(2);
+/// The maximum number of queued readings, and of queued lessons; the oldest are dropped first.
+const MAX_QUEUED: usize = 1_024;
 
 /// The node that schedules a pool.
 #[derive(Clone, Debug, Eq, PartialEq)]
-enum Holder {
-    /// This one.
+enum PoolScheduler {
+    /// This node.
     Me,
-    /// Another, and where it is reached.
+    /// Another node and its peer address.
     Other(NodeId, SocketAddr),
 }
 
-/// The questions a node has left unanswered in a row, and until when it is passed over.
+/// Unanswered questions to a node in a row, and until when the node is passed over.
 #[derive(Clone, Copy, Debug, Default)]
-struct Silence {
+struct Unanswered {
     questions: u32,
     until: Option<Instant>,
 }
 
-/// What is to be told to schedulers.
+/// Updates that have not been reported to schedulers yet.
 #[derive(Debug, Default)]
-struct News {
+struct Updates {
     changed: HashSet<Tag>,
     readings: Vec<Reading>,
     lessons: Vec<(Tag, Lesson)>,
@@ -68,17 +69,17 @@
 #[derive(Debug, Default)]
 struct State {
     questions: Pending<Option<Decision>>,
-    silences: HashMap<NodeId, Silence>,
-    holders: HashMap<(ServiceId, Pool), (Holder, Instant)>,
-    /// The pools that this node schedules, and when it was last asked.
-    held: HashMap<(ServiceId, Pool), Instant>,
-    /// Who was told of work under way at a runner. Where the runner has started again meanwhile, or
-    /// has gone, who was told so must be told of the end too.
-    told: HashMap<Tag, SocketAddr>,
-    news: News,
+    unanswered: HashMap<NodeId, Unanswered>,
+    scheduler_cache: HashMap<(ServiceId, Pool), (PoolScheduler, Instant)>,
+    /// The pools that this node schedules, and when it was last asked about each.
+    scheduled: HashMap<(ServiceId, Pool), Instant>,
+    /// Which scheduler was sent a non-empty load for a runner. It must also be sent the end of that
+    /// load, even if the runner has restarted or is gone by then.
+    reported: HashMap<Tag, SocketAddr>,
+    updates: Updates,
 }
 
-/// What a node keeps of schedulers and as one.
+/// The scheduling state of a node, both as a client of schedulers and as a scheduler.
 #[derive(Debug, Default)]
 pub struct Scheduling {
     socket: OnceLock<Arc<UdpSocket>>,
@@ -87,9 +88,9 @@
 }
 
 impl Scheduling {
-    /// Sets the socket by which schedulers are asked; until then this node places by itself.
+    /// Sets the socket for scheduler traffic; until then this node places requests by itself.
     pub fn set_socket(&self, socket: Arc<UdpSocket>) {
-        // Set once, by the start of the node.
+        // Called only once, when the node starts.
         let _ = self.socket.set(socket);
     }
 
@@ -97,68 +98,69 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that what this node has under way at a runner has changed, to be told soon.
+    /// Records that this node's load on a runner has changed, and wakes the reporter.
     pub fn note_change(&self, runner: Tag) {
-        self.state().news.changed.insert(runner);
+        self.state().updates.changed.insert(runner);
         self.wake.notify_one();
     }
 
-    /// Notes that work begins at a runner, as its scheduler knows.
+    /// Records that work begins at a runner. Its scheduler already counts that work, so the
+    /// reporter is not woken.
     pub fn note_begun(&self, runner: Tag) {
-        self.state().news.changed.insert(runner);
+        self.state().updates.changed.insert(runner);
     }
 
-    /// Notes prompts that runners have read for this node.
+    /// Records prompts that runners have read for this node.
     pub fn note_readings(&self, more: impl Iterator<Item = Reading>) {
         let mut state = self.state();
-        state.news.readings.extend(more);
-        let over = state.news.readings.len().saturating_sub(MOST_NEWS);
-        state.news.readings.drain(..over);
+        state.updates.readings.extend(more);
+        let over = state.updates.readings.len().saturating_sub(MAX_QUEUED);
+        state.updates.readings.drain(..over);
         self.wake.notify_one();
     }
 
-    /// Notes what work at a runner has taught.
+    /// Records a measurement taken from work at a runner.
     pub fn note_lesson(&self, runner: Tag, lesson: Lesson) {
         let mut state = self.state();
-        state.news.lessons.push((runner, lesson));
-        let over = state.news.lessons.len().saturating_sub(MOST_NEWS);
-        state.news.lessons.drain(..over);
+        state.updates.lessons.push((runner, lesson));
+        let over = state.updates.lessons.len().saturating_sub(MAX_QUEUED);
+        state.updates.lessons.drain(..over);
         self.wake.notify_one();
     }
 
-    fn note_heard(&self, node: &NodeId) {
-        self.state().silences.remove(node);
+    fn note_answered(&self, node: &NodeId) {
+        self.state().unanswered.remove(node);
     }
 
-    /// Notes that a node has not answered. True if another takes its place now.
-    fn note_silent(&self, node: &NodeId, now: Instant) -> bool {
+    /// Records that a node has not answered. Returns true if another node takes its place now.
+    fn note_unanswered(&self, node: &NodeId, now: Instant) -> bool {
         let mut state = self.state();
-        let silence = state.silences.entry(node.clone()).or_default();
-        silence.questions += 1;
-        if silence.questions < SILENCES {
+        let entry = state.unanswered.entry(node.clone()).or_default();
+        entry.questions += 1;
+        if entry.questions < SILENCES {
             return false;
         }
-        silence.until = Some(now + PASSED_OVER);
-        silence.questions = 0;
-        state.holders.clear();
+        entry.until = Some(now + PASSED_OVER);
+        entry.questions = 0;
+        state.scheduler_cache.clear();
         true
     }
 }
 
-/// The node that schedules a pool, as this one sees it.
-fn holder(shared: &Shared, service: &ServiceId, pool: Pool) -> Holder {
+/// Returns the node that schedules a pool, in this node's view.
+fn pool_scheduler(shared: &Shared, service: &ServiceId, pool: Pool) -> PoolScheduler {
     let now = shared.clock.now();
     let key = (service.clone(), pool);
     let scheduling = &shared.scheduling;
-    if let Some((holder, at)) = scheduling.state().holders.get(&key)
-        && now.saturating_duration_since(*at) < HOLDER_LIFE
+    if let Some((holder, at)) = scheduling.state().scheduler_cache.get(&key)
+        && now.saturating_duration_since(*at) < SCHEDULER_CACHE_TTL
     {
         return holder.clone();
     }
     let passed_over: Vec<NodeId> = {
         let state = scheduling.state();
         let silent =
-            state.silences.iter().filter(|(_, s)| s.until.is_some_and(|until| now < until));
+            state.unanswered.iter().filter(|(_, s)| s.until.is_some_and(|until| now < until));
         silent.map(|(id, _)| id.clone()).collect()
     };
     let found = {
@@ -171,19 +173,21 @@
         nodes.into_iter().find(|contact| Some(&contact.id) == first).cloned()
     };
     let holder = match found {
-        Some(contact) if contact.id != shared.me.id => Holder::Other(contact.id, contact.peer),
-        _ => Holder::Me,
+        Some(contact) if contact.id != shared.me.id => {
+            PoolScheduler::Other(contact.id, contact.peer)
+        }
+        _ => PoolScheduler::Me,
     };
     let mut state = scheduling.state();
-    let was = state.holders.insert(key, (holder.clone(), now));
-    if was.is_some_and(|(was, _)| was != holder) {
+    let previous = state.scheduler_cache.insert(key, (holder.clone(), now));
+    if previous.is_some_and(|(previous, _)| previous != holder) {
         log::info!(service:% = service, pool = pool.0, holder:? = holder; "pool has another scheduler");
     }
     holder
 }
 
-/// Decides where a request goes: asks the scheduler of its pool, and where that does not answer
-/// places it by this node's own prediction.
+/// Places a request: asks the scheduler of its pool and, if that does not answer, places it by this
+/// node's own prediction.
 pub async fn decide(
     shared: &Arc<Shared>,
     mut ask: Ask,
@@ -196,15 +200,15 @@
     };
     let began = shared.clock.now();
     for _ in 0..TRIES {
-        let Holder::Other(node, peer) = holder(shared, &ask.service, pool) else {
+        let PoolScheduler::Other(node, peer) = pool_scheduler(shared, &ask.service, pool) else {
             take_over(shared, &ask.service, pool);
             let decision = decide_here(shared, &ask, engine);
             shared.limiter.reserve(&decision.placed());
             return (decision, "here");
         };
-        match question(shared, peer, &ask).await {
+        match ask_node(shared, peer, &ask).await {
             Some(answer) => {
-                shared.scheduling.note_heard(&node);
+                shared.scheduling.note_answered(&node);
                 let took = shared.clock.now().saturating_duration_since(began);
                 let step = if matches!(ask.step, Step::Start(_)) { "start" } else { "go_on" };
                 shared.metrics.asked.with_label_values(&[step]).observe(took.as_secs_f64());
@@ -216,7 +220,7 @@
                 }
             }
             None => {
-                let replaced = shared.scheduling.note_silent(&node, shared.clock.now());
+                let replaced = shared.scheduling.note_unanswered(&node, shared.clock.now());
                 log::info!(
                     node:% = node, service:% = ask.service, pool = pool.0, replaced = replaced,
                     waited_ms = PATIENCE.as_millis() as u64; "scheduler silent"
@@ -227,9 +231,9 @@
     (decide_here(shared, &ask, engine), "alone")
 }
 
-/// Whether a decision agrees with what this node knows. What the scheduler does not know yet, such as
-/// that a runner leaves, must hold all the same: that runner is not to be taken. One that has just
-/// started may know no runner at all; its word that there is none is not taken either.
+/// Returns whether a decision agrees with this node's own state. The scheduler may not know yet
+/// that a runner is leaving; such a runner must not be used. A scheduler that has just started may
+/// know no runners at all, so its answer that there are none is not used either.
 fn is_usable(shared: &Shared, decision: &Decision, ask: &mut Ask) -> bool {
     if *decision == Decision::NoRunner {
         return false;
@@ -254,8 +258,8 @@
     scheduler::decide(&register, ask, engine, now, &mut *shared.rng())
 }
 
-/// Asks a node, and gives its answer; none if there was none in time.
-async fn question(shared: &Shared, peer: SocketAddr, ask: &Ask) -> Option<Option<Decision>> {
+/// Asks a node for a decision; `None` if it does not answer in time.
+async fn ask_node(shared: &Shared, peer: SocketAddr, ask: &Ask) -> Option<Option<Decision>> {
     let (number, answer) = shared.scheduling.state().questions.register();
     let question =
         Schedule::Question { number, node: shared.me.id.clone(), ask: Box::new(ask.clone()) };
@@ -265,28 +269,28 @@
     answer.ok()?.ok()
 }
 
-/// Sends a datagram of this kind.
+/// Sends a schedule datagram.
 pub async fn transmit(shared: &Shared, peer: SocketAddr, schedule: &Schedule) {
     let Some(socket) = shared.scheduling.socket.get() else { return };
     let bytes = schedule.encode();
     shared.metrics.schedule_bytes.with_label_values(&["sent"]).inc_by(bytes.len() as u64);
     if let Err(error) = socket.send_to(&bytes, peer).await {
-        log::debug!(peer:% = peer, error:% = error; "sending to a scheduler");
+        log::debug!(peer:% = peer, error:% = error; "cannot send schedule datagram");
     }
 }
 
-/// Takes a datagram of this kind.
+/// Handles a received schedule datagram.
 pub async fn take(shared: &Arc<Shared>, from: SocketAddr, bytes: &[u8]) {
     shared.metrics.schedule_bytes.with_label_values(&["received"]).inc_by(bytes.len() as u64);
     match Schedule::decode(bytes) {
         Ok(Schedule::Question { number, node, ask }) => {
-            let decision = schedule(shared, &node, &ask);
+            let decision = decide_for_node(shared, &node, &ask);
             transmit(shared, from, &Schedule::Answer { number, decision }).await;
         }
         Ok(Schedule::Answer { number, decision }) => {
             shared.scheduling.state().questions.resolve(number, decision);
         }
-        Ok(Schedule::Report(report)) => take_report(shared, &report),
+        Ok(Schedule::Report(report)) => apply_report(shared, &report),
         Ok(Schedule::Ended { number, request, end }) => {
             quarantine::count::take_ended(shared, from, number, request, end).await;
         }
@@ -297,12 +301,12 @@
             shared.limiter.answer(from, number, limit).await;
         }
         Ok(Schedule::Acquired { number, wait }) => shared.limiter.take_answer(number, wait),
-        Err(error) => log::warn!(peer:% = from, error:% = error; "datagram is not taken"),
+        Err(error) => log::warn!(peer:% = from, error:% = error; "invalid schedule datagram"),
     }
 }
 
-/// Decides for another node, and counts the work until that node tells of it.
-fn schedule(shared: &Arc<Shared>, node: &NodeId, ask: &Ask) -> Option<Decision> {
+/// Decides for another node, and counts the work until that node reports its load.
+fn decide_for_node(shared: &Arc<Shared>, node: &NodeId, ask: &Ask) -> Option<Decision> {
     let configuration = shared.configuration.load_full()?;
     let engine = configuration.service(&ask.service)?.engine?;
     let decision = decide_here(shared, ask, &engine);
@@ -316,21 +320,21 @@
     Some(decision)
 }
 
-/// Notes that this node is asked for a pool. One that has just become its scheduler does not know
-/// what the pool's runners keep, and asks them.
+/// Records that this node is asked about a pool. A node that has just become scheduler of a pool
+/// does not know what its runners have cached, and queries them.
 fn take_over(shared: &Arc<Shared>, service: &ServiceId, pool: Pool) {
     let now = shared.clock.now();
-    let was = shared.scheduling.state().held.insert((service.clone(), pool), now);
-    if was.is_some_and(|at| now.saturating_duration_since(at) < TAKEN_OVER) {
+    let previous = shared.scheduling.state().scheduled.insert((service.clone(), pool), now);
+    if previous.is_some_and(|at| now.saturating_duration_since(at) < TAKEOVER_EXPIRY) {
         return;
     }
     log::info!(service:% = service, pool = pool.0; "this node schedules the pool");
     tokio::spawn(inventory::run(shared.clone(), service.clone(), pool));
 }
 
-/// Takes over the pools that fall to this node before it is asked, so that the first who ask find
-/// what their prompts need to be known.
-fn take_over_own(shared: &Arc<Shared>) {
+/// Takes over the pools that this node schedules before it is asked, so that the runners' caches
+/// are known when the first questions arrive.
+fn take_over_assigned(shared: &Arc<Shared>) {
     if !shared.is_ready() {
         return;
     }
@@ -341,13 +345,13 @@
         engines.map(|r| (r.entry.service.clone(), r.pool)).collect()
     };
     for (service, pool) in pools {
-        if holder(shared, &service, pool) == Holder::Me {
+        if pool_scheduler(shared, &service, pool) == PoolScheduler::Me {
             take_over(shared, &service, pool);
         }
     }
 }
 
-fn take_report(shared: &Shared, report: &Report) {
+fn apply_report(shared: &Shared, report: &Report) {
     let now = shared.clock.now();
     let mut register = shared.register();
     register.take_report(&report.node, &report.loads, now);
@@ -361,36 +365,36 @@
     }
 }
 
-/// Tells schedulers what changes, until the process ends.
+/// Reports updates to schedulers until the process ends.
 pub async fn report(shared: Arc<Shared>) {
     let began = tokio::time::Instant::now();
-    let mut retold = interval(RETOLD);
-    retold.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut full_report = interval(FULL_REPORT_PERIOD);
+    full_report.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = retold.tick() => {
-                if began.elapsed() >= ACQUAINTED {
-                    take_over_own(&shared);
+            _ = full_report.tick() => {
+                if began.elapsed() >= TAKEOVER_DELAY {
+                    take_over_assigned(&shared);
                 }
                 let busy: Vec<Tag> = shared.register().busy().collect();
-                shared.scheduling.state().news.changed.extend(busy);
+                shared.scheduling.state().updates.changed.extend(busy);
             }
             () = shared.scheduling.wake.notified() => {}
         }
-        for (peer, report) in reports(&shared) {
+        for (peer, report) in build_reports(&shared) {
             transmit(&shared, peer, &Schedule::Report(report)).await;
         }
-        // What follows within the same moment goes together.
-        sleep(TOGETHER).await;
+        // Coalesces updates that come in quick succession.
+        sleep(REPORT_PAUSE).await;
     }
 }
 
-/// The shortest pause between two reports of a node: the least that a timer can wait.
-const TOGETHER: Duration = Duration::from_millis(1);
+/// The minimum pause between two reports of a node: the shortest time that a timer can wait.
+const REPORT_PAUSE: Duration = Duration::from_millis(1);
 
-/// The datagrams by which all news is told.
-fn reports(shared: &Shared) -> Vec<(SocketAddr, Report)> {
-    let news = std::mem::take(&mut shared.scheduling.state().news);
+/// Builds the report datagrams for all pending updates.
+fn build_reports(shared: &Shared) -> Vec<(SocketAddr, Report)> {
+    let updates = std::mem::take(&mut shared.scheduling.state().updates);
     let mut by_peer: HashMap<SocketAddr, Vec<Report>> = HashMap::new();
     let mut peers: HashMap<Tag, Option<SocketAddr>> = HashMap::new();
     let mut peer_of = |tag: Tag| *peers.entry(tag).or_insert_with(|| scheduler_of(shared, tag));
@@ -406,30 +410,31 @@
             if reports.last().is_none_or(is_full) {
                 reports.push(empty());
             }
-            put(reports.last_mut().expect("one was just put there"));
+            put(reports.last_mut().expect("a report was just pushed"));
         };
-    for tag in news.changed {
+    for tag in updates.changed {
         let load: Load = shared.register().by_tag(tag).map(|r| r.own).unwrap_or_default();
-        let before = shared.scheduling.state().told.remove(&tag);
+        let before = shared.scheduling.state().reported.remove(&tag);
         let Some(peer) = peer_of(tag).or(before) else { continue };
         if !load.is_empty() {
-            shared.scheduling.state().told.insert(tag, peer);
+            shared.scheduling.state().reported.insert(tag, peer);
         }
         add(peer, &|r| r.loads.len() >= MOST_LOADS, &|r| r.loads.push((tag, load)));
     }
-    for reading in news.readings {
+    for reading in updates.readings {
         let Some(peer) = peer_of(reading.runner) else { continue };
         add(peer, &|r| r.readings.len() >= MOST_READINGS, &|r| r.readings.push(reading));
     }
-    for (tag, lesson) in news.lessons {
+    for (tag, lesson) in updates.lessons {
         let Some(peer) = peer_of(tag) else { continue };
         add(peer, &|r| r.lessons.len() >= MOST_LESSONS, &|r| r.lessons.push((tag, lesson)));
     }
-    let told = by_peer.into_iter();
-    told.flat_map(|(peer, reports)| reports.into_iter().map(move |r| (peer, r))).collect()
+    let by_peer = by_peer.into_iter();
+    by_peer.flat_map(|(peer, reports)| reports.into_iter().map(move |r| (peer, r))).collect()
 }
 
-/// Where the scheduler of a runner's pool is told; none if that is this node or nobody.
+/// The address of the scheduler of a runner's pool; `None` if that is this node or the runner has
+/// no scheduler.
 fn scheduler_of(shared: &Shared, tag: Tag) -> Option<SocketAddr> {
     let (service, pool) = {
         let mut register = shared.register();
@@ -438,8 +443,8 @@
         runner.entry.stage?;
         (runner.entry.service.clone(), runner.pool)
     };
-    match holder(shared, &service, pool) {
-        Holder::Me => None,
-        Holder::Other(_, peer) => Some(peer),
+    match pool_scheduler(shared, &service, pool) {
+        PoolScheduler::Me => None,
+        PoolScheduler::Other(_, peer) => Some(peer),
     }
 }
