--- a/node/src/serve/plain.rs
+++ b/node/src/serve/plain.rs
@@ -1,4 +1,4 @@
-//! A plain request's way: one runner after another, as far as it may be repeated.
+//! Plain requests: calls one runner after another as far as the request may be retried.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,29 +25,29 @@
 use crate::serve::shared::Shared;
 use crate::serve::ticket::{Step, Ticket};
 
-/// The most calls for one request, those included that reached nobody.
-const MOST_CALLS: u32 = 6;
-/// How many mean answer times a runner may take before a request that may be repeated goes
-/// elsewhere.
-const PATIENCE: f64 = 5.0;
-/// The largest answer that is held whole before it is passed on.
-const LARGEST: usize = 16 << 20;
+/// The maximum number of calls for one request, including calls that never reached a runner.
+const MAX_CALLS: u32 = 6;
+/// How many mean response times a runner is given before a request that may be retried goes to
+/// another runner.
+const TIMEOUT_FACTOR: f64 = 5.0;
+/// The maximum size of a response, which is buffered completely before it is forwarded.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// What one call came to.
-enum Came {
-    /// A whole answer of the runner.
+/// The result of one call.
+enum CallResult {
+    /// A complete response of the runner.
     Whole(Parts, Bytes),
-    /// The runner has not run it.
+    /// The runner has not run the request.
     NotRun {
-        /// Whether a runner has read it, which counts as an arrival.
+        /// Whether a runner has read the request, which counts as an arrival.
         arrived: bool,
     },
-    /// It may have run.
-    Doubt,
-    /// It may have run; the runner's answer broke off.
+    /// The request may have run.
+    MaybeRun,
+    /// The request may have run; the runner's response was cut off.
     Cut,
-    /// No sign within the time it was given.
-    Silent,
+    /// No response within the time limit of the call.
+    TimedOut,
 }
 
 /// Answers a plain request.
@@ -56,7 +56,7 @@
     request: &Request,
     _under_way: UnderWay,
 ) -> Response<Body> {
-    let mut way = Way {
+    let mut attempt = Attempt {
         shared,
         request,
         tried: SmallVec::new(),
@@ -66,12 +66,12 @@
         ends: 0,
         is_trial: false,
     };
-    let end = way.run().await;
-    if way.is_trial && way.runs == 0 && way.ends == 0 {
+    let end = attempt.run().await;
+    if attempt.is_trial && attempt.runs == 0 && attempt.ends == 0 {
         quarantine::return_trial(shared, &request.fingerprint);
     }
-    let runner = way.tried.last().map(RunnerId::as_str).unwrap_or_default();
-    let mut line = End { runner, tries: way.calls, ..End::default() };
+    let runner = attempt.tried.last().map(RunnerId::as_str).unwrap_or_default();
+    let mut line = End { runner, tries: attempt.calls, ..End::default() };
     match end {
         Ok((head, body)) => {
             quarantine::note_answered(shared, &request.fingerprint);
@@ -94,23 +94,24 @@
     }
 }
 
-struct Way<'a> {
+struct Attempt<'a> {
     shared: &'a Arc<Shared>,
     request: &'a Request,
     tried: SmallVec<[RunnerId; 4]>,
     /// Calls made.
     calls: u32,
-    /// Calls that a runner has read, or may have.
+    /// Calls that a runner has read, or may have read.
     arrivals: u32,
-    /// Calls that a runner has run, or may have.
+    /// Calls that a runner has run, or may have run.
     runs: u32,
-    /// Ends of runners that count against it, as of the last under this attempt; none before.
+    /// Runner crashes counted against this request, as of the last crash during this attempt; 0 if
+    /// there was none.
     ends: usize,
-    /// It runs to see whether runners still end under it.
+    /// Whether it runs as a trial, to see whether runners still crash on it.
     is_trial: bool,
 }
 
-impl Way<'_> {
+impl Attempt<'_> {
     async fn run(&mut self) -> Result<(Parts, Bytes), Refusal> {
         let mut failed: Option<(Parts, Bytes)> = None;
         loop {
@@ -143,27 +144,27 @@
             self.calls += 1;
             let last = !self.is_repeatable() || self.runs + 1 >= self.request.route.most_attempts;
             match self.call(&choice.runner, left, last).await {
-                Came::Whole(head, body) => {
+                CallResult::Whole(head, body) => {
                     let good = !head.status.is_server_error();
                     if good || !self.may_run_again() {
                         return Ok((head, body));
                     }
                     failed = Some((head, body));
                 }
-                Came::NotRun { arrived } => self.arrivals += u32::from(arrived),
-                Came::Doubt | Came::Cut if self.may_run_again() => {}
-                Came::Silent if self.may_run_again() => {}
-                Came::Doubt | Came::Cut => return failed.ok_or(Refusal::Broken),
-                Came::Silent => return failed.ok_or(Refusal::Late),
+                CallResult::NotRun { arrived } => self.arrivals += u32::from(arrived),
+                CallResult::MaybeRun | CallResult::Cut if self.may_run_again() => {}
+                CallResult::TimedOut if self.may_run_again() => {}
+                CallResult::MaybeRun | CallResult::Cut => return failed.ok_or(Refusal::Broken),
+                CallResult::TimedOut => return failed.ok_or(Refusal::Late),
             }
             self.tried.push(choice.runner);
-            if self.calls >= MOST_CALLS {
+            if self.calls >= MAX_CALLS {
                 return failed.ok_or_else(|| self.give_up(Reason::Shed));
             }
         }
     }
 
-    /// Whether another run is allowed after one that has begun, or may have.
+    /// Returns whether the request may run again after a run that has begun, or may have.
     fn may_run_again(&self) -> bool {
         self.is_repeatable() && self.runs < self.request.route.most_attempts
     }
@@ -172,7 +173,8 @@
         self.request.route.kind.may_repeat()
     }
 
-    /// The truth about a request that is given up.
+    /// Returns the refusal of a request that is given up: it tells whether the request may have
+    /// run.
     fn give_up(&self, reason: Reason) -> Refusal {
         if self.runs > 0 {
             return if reason == Reason::Late { Refusal::Late } else { Refusal::Broken };
@@ -193,14 +195,14 @@
         place::plain(&self.shared.register(), &question, &mut *self.shared.rng())
     }
 
-    async fn call(&mut self, id: &RunnerId, left: Duration, last: bool) -> Came {
+    async fn call(&mut self, id: &RunnerId, left: Duration, last: bool) -> CallResult {
         let class = Class::of_rank(self.request.route.rank);
         let share = Share { class, fresh: 0, footprint: 0 };
         let mut ticket = Ticket::new(self.shared, id, Step::Plain, share);
         let Some((address, mean)) =
             self.shared.register().get(id).map(|r| (r.entry.address, r.answer_time))
         else {
-            return Came::NotRun { arrived: false };
+            return CallResult::NotRun { arrived: false };
         };
         let request = self.request;
         let call = Call {
@@ -220,33 +222,35 @@
             &call,
         );
         let objective = request.route.objective;
-        let patience = Duration::from_secs_f64(mean * PATIENCE).max(objective / 2);
-        let limit = if last { left } else { left.min(patience) };
+        let runner_timeout = Duration::from_secs_f64(mean * TIMEOUT_FACTOR).max(objective / 2);
+        let limit = if last { left } else { left.min(runner_timeout) };
         // From here on the request may run.
         self.runs += 1;
         let target = ticket.target(address);
         let sent = self.shared.dispatcher.send(target, &request.id, outgoing);
         match timeout(limit, async { self.finish(id, &ticket, sent.await?).await }).await {
-            Ok(Ok(came)) => {
-                let outcome = match &came {
-                    Came::Whole(head, _) if head.status.is_server_error() => Outcome::Failed,
-                    Came::Whole(..) => Outcome::Answered,
-                    Came::NotRun { .. } => Outcome::Failed,
-                    Came::Doubt | Came::Cut | Came::Silent => Outcome::Broken,
+            Ok(Ok(result)) => {
+                let outcome = match &result {
+                    CallResult::Whole(head, _) if head.status.is_server_error() => Outcome::Failed,
+                    CallResult::Whole(..) => Outcome::Answered,
+                    CallResult::NotRun { .. } => Outcome::Failed,
+                    CallResult::MaybeRun | CallResult::Cut | CallResult::TimedOut => {
+                        Outcome::Broken
+                    }
                 };
-                if let Came::Whole(..) = &came {
+                if let CallResult::Whole(..) = &result {
                     let held = ticket.held().as_secs_f64();
                     ticket.with_runner(|runner| runner.learn_answer(held));
                 }
-                match &came {
-                    Came::NotRun { .. } => self.runs -= 1,
+                match &result {
+                    CallResult::NotRun { .. } => self.runs -= 1,
                     _ => self.arrivals += 1,
                 }
                 ticket.conclude(outcome);
-                if let Came::Cut = came {
+                if let CallResult::Cut = result {
                     self.note_broken(&ticket, true).await;
                 }
-                came
+                result
             }
             Ok(Err(error)) => {
                 if !error.is_denied() {
@@ -258,11 +262,11 @@
                 );
                 if error.proves_unsent() {
                     self.runs -= 1;
-                    return Came::NotRun { arrived: false };
+                    return CallResult::NotRun { arrived: false };
                 }
                 self.arrivals += 1;
                 self.note_broken(&ticket, false).await;
-                Came::Doubt
+                CallResult::MaybeRun
             }
             Err(_) => {
                 self.arrivals += 1;
@@ -271,25 +275,25 @@
                     request:% = request.id, runner:% = id, address:% = address,
                     waited_ms = limit.as_millis() as u64; "call without an answer"
                 );
-                Came::Silent
+                CallResult::TimedOut
             }
         }
     }
 
-    /// Notes whether the runner of a call that broke off has ended under it.
+    /// Records whether the runner of a broken call has crashed during it.
     async fn note_broken(&mut self, ticket: &Ticket, begun: bool) {
         let reach = Reach { events: 0, begun };
         let ends = quarantine::count::note_broken(self.shared, ticket, self.request, reach).await;
         self.ends = self.ends.max(ends);
     }
 
-    /// Judges an answer and reads it whole.
+    /// Classifies a response and reads its body.
     async fn finish(
         &self,
         id: &RunnerId,
         ticket: &Ticket,
         answer: Answer,
-    ) -> Result<Came, SendError> {
+    ) -> Result<CallResult, SendError> {
         let request = self.request;
         let verdict = judge(answer.head.status, &answer.head.headers, id, &request.id);
         match verdict {
@@ -303,31 +307,34 @@
                     request:% = request.id, runner:% = id, status = answer.head.status.as_u16();
                     "runner did not run it"
                 );
-                answer.discard(LARGEST).await;
-                return Ok(Came::NotRun { arrived: verdict == Verdict::NotRun });
+                answer.discard(MAX_RESPONSE_BYTES).await;
+                return Ok(CallResult::NotRun { arrived: verdict == Verdict::NotRun });
             }
             Verdict::Foreign => {
                 log::warn!(request:% = request.id, runner:% = id; "answer to another request");
-                return Ok(Came::Doubt);
+                return Ok(CallResult::MaybeRun);
             }
         }
-        match answer.read(LARGEST).await {
+        match answer.read(MAX_RESPONSE_BYTES).await {
             Ok((head, body)) => {
                 if promises_not_run(head.status) {
-                    // Only the runner's own word proves it, and it is missing.
-                    return Ok(Came::Doubt);
+                    // Only the runner's own header proves that it has not run, and that is missing.
+                    return Ok(CallResult::MaybeRun);
                 }
-                Ok(Came::Whole(head, body))
+                Ok(CallResult::Whole(head, body))
             }
             Err(error) => {
-                log::info!(request:% = request.id, runner:% = id, error:% = error; "answer cut");
-                Ok(Came::Cut)
+                log::info!(
+                    request:% = request.id, runner:% = id, error:% = error;
+                    "runner response truncated"
+                );
+                Ok(CallResult::Cut)
             }
         }
     }
 }
 
-/// Statuses that promise callers that a request has not run.
+/// Returns whether a status tells callers that a request has not run.
 pub fn promises_not_run(status: http::StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -1,4 +1,5 @@
-//! A caller's request: read within its limits, given a route, and passed to its way.
+//! A caller's request: reads it within the configured limits, routes it and hands it to its
+//! handler.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -26,59 +27,59 @@
 use crate::serve::shared::Shared;
 use crate::serve::{follow, generation, plain};
 
-/// When to come back to a node that knows no configuration yet.
-const UNTIL_CONFIGURED: Duration = Duration::from_millis(500);
+/// When a caller should retry at a node that has no configuration yet.
+const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A request on its way.
+/// A request being handled.
 pub struct Request {
     /// The caller's id for this attempt.
     pub id: SmolStr,
-    /// Its route.
+    /// The route it matched.
     pub route: Route,
-    /// The service that its route leads it to.
+    /// The service chosen by the route.
     pub service: ServiceId,
-    /// What the service's runners are if they are model engines.
+    /// The engine parameters of the service, if its runners are model engines.
     pub engine: Option<Engine>,
     /// The client account that it belongs to, if the configuration has accounts.
     pub account: Option<AccountId>,
-    /// What the caller says of it.
+    /// The caller's request headers for this gateway, parsed.
     pub ask: Ask,
     /// Its method.
     pub method: Method,
     /// Its path and query.
     pub uri: Uri,
-    /// The headers that go on to a runner.
+    /// The headers forwarded to a runner.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Its complete body.
     pub body: Bytes,
-    /// What makes it the same as another.
+    /// Identifies repeated attempts of the same request.
     pub fingerprint: Fingerprint,
     /// When its head had been read.
     pub arrived: Instant,
-    /// When its time is over: the caller's, or the route's if that is shorter.
+    /// Its deadline: the caller's, or the route's time-out if that is shorter.
     pub until: Instant,
-    /// Its size against the mean of its route.
+    /// Its size relative to the mean of its route.
     pub size: f64,
-    /// How long its caller has probably waited since its first attempt.
+    /// The estimated time that its caller has waited since the first attempt.
     pub waited: Duration,
-    /// The configuration it is handled by.
+    /// The configuration that it is handled with.
     pub configuration: Arc<Configuration>,
 }
 
 impl Request {
-    /// What is left of its time.
+    /// Returns the time left until its deadline.
     pub fn left(&self, now: Instant) -> Duration {
         self.until.saturating_duration_since(now)
     }
 
-    /// Its terms at the gate.
+    /// Returns its terms for admission.
     pub fn terms(&self, now: Instant) -> Terms {
         let here = now.saturating_duration_since(self.arrived);
         Terms::new(&self.route, self.left(now), Wait { before: self.waited, here }, self.size)
     }
 
-    /// The refusal of the request, which has not run. Where all runners are closed for a time, it says
-    /// when one opens.
+    /// Returns the refusal of the request, which has not run. If all runners are closed for a time,
+    /// the refusal says when the first one opens.
     pub fn refusal(&self, shared: &Shared, reason: Reason) -> Refusal {
         let now = shared.clock.now();
         let terms = self.terms(now);
@@ -97,7 +98,7 @@
         Refusal::NotRun(reason, terms.come_back_after(closed.wait(), &mut *rng))
     }
 
-    /// Writes the line that says how it ended, and counts it.
+    /// Logs and counts how the request ended.
     pub fn log_end(&self, shared: &Shared, end: &End<'_>) {
         let now = shared.clock.now();
         let took = now.saturating_duration_since(self.arrived);
@@ -116,21 +117,21 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct End<'a> {
-    /// In one word.
+    /// The outcome, as a metric label.
     pub outcome: &'static str,
-    /// Why.
+    /// The reason, as a metric label.
     pub reason: &'static str,
-    /// The status that the caller got; none if it had left.
+    /// The status sent to the caller; 0 if the caller had disconnected.
     pub status: u16,
     /// The runner that was tried last.
     pub runner: &'a str,
-    /// How many calls were made.
+    /// The number of calls made.
     pub tries: u32,
-    /// How many events were passed on.
+    /// The number of events forwarded.
     pub events: u64,
 }
 
-/// Answers a caller's request.
+/// Handles a caller's request.
 pub async fn answer(shared: &Arc<Shared>, request: http::Request<Incoming>) -> Response<Body> {
     let arrived = shared.clock.now();
     let (head, body) = request.into_parts();
@@ -190,22 +191,22 @@
     }
 }
 
-/// What a request is handled by.
+/// What an admitted request is handled with.
 struct Admitted {
     configuration: Arc<Configuration>,
     route: Route,
     account: Option<AccountId>,
 }
 
-/// Finds the route of a request and the account that it belongs to. It is not looked at again: a key
-/// that is taken away later does not end the requests under way with it.
+/// Finds the route and the client account of a request. This is decided once: a key that is revoked
+/// later does not end requests in progress.
 async fn admit(shared: &Arc<Shared>, head: &Parts, arrived: Instant) -> Result<Admitted, Refusal> {
     let host = head.headers.get(header::HOST).and_then(|v| v.to_str().ok());
     let host = host.or_else(|| head.uri.host()).unwrap_or_default();
     let mut checked = false;
     loop {
         let Some(configuration) = shared.configuration.load_full() else {
-            return Err(Refusal::NotRun(Reason::NoConfiguration, UNTIL_CONFIGURED));
+            return Err(Refusal::NotRun(Reason::NoConfiguration, UNCONFIGURED_RETRY_AFTER));
         };
         let Some(route) = configuration.route(host, head.uri.path()).cloned() else {
             return Err(Refusal::NoRoute);
@@ -226,8 +227,8 @@
     }
 }
 
-/// Makes sure that a key which `known` does not have is in no newer configuration, or puts that in
-/// force.
+/// Checks whether a newer configuration than `known` may have the key; if there is a newer one,
+/// installs it.
 async fn check_key(
     shared: &Arc<Shared>,
     known: &Configuration,
@@ -240,23 +241,23 @@
             follow::install(shared, object, None, "check of a key");
             ("newer", Ok(()))
         }
-        // The others tell of a newer configuration as soon as one of them has it.
+        // The other nodes announce a newer configuration as soon as one of them has it.
         Checked::Unconfirmed if !shared.roster().fronts().is_empty() => {
             ("others", Err(Refusal::UnknownKey))
         }
         Checked::Earlier => {
-            ("earlier", Err(Refusal::NotRun(Reason::KeyUnconfirmed, UNTIL_CONFIGURED)))
+            ("earlier", Err(Refusal::NotRun(Reason::KeyUnconfirmed, UNCONFIGURED_RETRY_AFTER)))
         }
         Checked::Unconfirmed => {
-            ("none", Err(Refusal::NotRun(Reason::KeyUnconfirmed, UNTIL_CONFIGURED)))
+            ("none", Err(Refusal::NotRun(Reason::KeyUnconfirmed, UNCONFIGURED_RETRY_AFTER)))
         }
     };
     shared.metrics.unknown_keys.with_label_values(&[outcome]).inc();
     result
 }
 
-/// The fingerprint of a request: what it asks of a runner, and for whom. Ids and deadlines differ
-/// from attempt to attempt.
+/// Returns the fingerprint of a request: what it asks of a runner, and for which account. Ids and
+/// deadlines are left out, since they differ between attempts.
 fn fingerprint(head: &Parts, account: Option<&AccountId>, body: &[u8]) -> Fingerprint {
     let header = |name| head.headers.get(name).map_or(&[][..], HeaderValue::as_bytes);
     let path = head.uri.path_and_query().map_or("", |path| path.as_str());
@@ -265,12 +266,12 @@
     Fingerprint::of(&[head.method.as_str().as_bytes(), host, path.as_bytes(), account, body])
 }
 
-async fn read_body(body: Incoming, most: usize, limit: Duration) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, max_bytes: usize, limit: Duration) -> Result<Bytes, Refusal> {
     use hyper::body::Body as _;
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(Refusal::TooLarge);
     }
-    match timeout(limit, Limited::new(body, most).collect()).await {
+    match timeout(limit, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(Refusal::TooLarge),
         Ok(Err(_)) => Err(Refusal::Malformed),
@@ -278,7 +279,7 @@
     }
 }
 
-/// Counts a request as under way until it is dropped.
+/// Counts a request as in progress until dropped.
 pub struct UnderWay(Arc<Shared>);
 
 impl UnderWay {
--- a/node/src/serve/ticket.rs
+++ b/node/src/serve/ticket.rs
@@ -1,7 +1,7 @@
-//! A place at a runner, given back when it is dropped, however the request ends.
+//! A reservation of a runner, released when dropped, however the request ends.
 //!
-//! The place is one in a single life of the runner. If the runner starts again meanwhile, what comes
-//! of the work says nothing of its new life, and frees nothing there.
+//! A reservation belongs to one incarnation of the runner. If the runner restarts meanwhile, the
+//! result of the work does not apply to the new incarnation and releases nothing there.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,11 +17,12 @@
 use crate::dispatch::Target;
 use crate::serve::shared::Shared;
 
-/// How long a caller may have waited in vain at a runner before its leaving counts against the
-/// runner. A runner that hangs is never seen to fail: its callers leave first.
-const VAIN: Duration = Duration::from_millis(500);
+/// How long a caller must have waited at a runner without a result for its disconnecting to count
+/// as a failure of the runner. A hanging runner never fails by itself: its callers disconnect
+/// first.
+const ABANDONED_FAILURE_AFTER: Duration = Duration::from_millis(500);
 
-/// What a call to a runner is for, in metrics.
+/// The purpose of a call to a runner, for metrics.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Step {
@@ -33,11 +34,11 @@
     Run,
 }
 
-/// A place at a runner.
+/// A reservation of a runner.
 pub struct Ticket {
     shared: Arc<Shared>,
     runner: RunnerId,
-    /// The life of the runner in which the place was taken; none if the runner was not known.
+    /// The incarnation of the runner that was reserved; `None` if the runner was not known.
     stay: Option<Stay>,
     step: Step,
     share: Share,
@@ -47,7 +48,7 @@
 }
 
 impl Ticket {
-    /// Takes a place.
+    /// Reserves a runner.
     pub fn new(shared: &Arc<Shared>, runner: &RunnerId, step: Step, share: Share) -> Self {
         let began = shared.clock.now();
         let stay = shared.register().begin(runner, share, began);
@@ -71,28 +72,28 @@
         &self.runner
     }
 
-    /// How long the place has been held.
+    /// Returns how long the reservation has been held.
     pub fn held(&self) -> Duration {
         self.shared.clock.now().saturating_duration_since(self.began)
     }
 
-    /// The life of the runner in which the place was taken; none if the runner was not known.
+    /// The incarnation of the runner that was reserved; `None` if the runner was not known.
     pub fn stay(&self) -> Option<&Stay> {
         self.stay.as_ref()
     }
 
-    /// The runner as a target of requests, at its address.
+    /// Returns the runner at its address as the target of a request.
     pub fn target(&self, address: SocketAddr) -> Target<'_> {
         Target { runner: &self.runner, stay: self.stay.as_ref(), address }
     }
 
-    /// Changes what is known of the runner, if it is still in the life in which the place was taken.
+    /// Updates the state of the runner if it is still in the reserved incarnation.
     pub fn with_runner<T>(&self, change: impl FnOnce(&mut Runner) -> T) -> Option<T> {
         let stay = self.stay.as_ref()?;
         self.shared.register().in_stay_mut(stay).map(change)
     }
 
-    /// Notes that the prompt has been read.
+    /// Records that the prompt has been read.
     pub fn note_read(&mut self) {
         if let Some(stay) = self.stay.as_ref().filter(|_| !self.read) {
             self.shared.register().note_read(stay, self.share);
@@ -101,7 +102,7 @@
         self.read = true;
     }
 
-    /// Takes in what the work has taught of the runner, here and at its scheduler.
+    /// Records a measurement from the work, here and at the runner's scheduler.
     pub fn learn(&self, lesson: Lesson) {
         let now = self.shared.clock.now();
         if let Some(tag) = self.with_runner(|runner| {
@@ -112,9 +113,9 @@
         }
     }
 
-    /// Takes in that the caller has left before what was predicted in `predicted` seconds has come:
-    /// it takes as long as that at the least. Prompts that are given up would else teach nothing, and
-    /// a runner that is too slow for them would go on getting them.
+    /// Records that the caller disconnected before an event that was predicted after `predicted`
+    /// seconds: it takes at least the time waited so far. Without this, abandoned prompts would
+    /// yield no measurement, and a runner that is too slow for them would keep getting them.
     pub fn learn_in_vain(&self, placement: &Placement, predicted: f64) {
         let held = self.held().as_secs_f64();
         if held > predicted {
@@ -122,13 +123,13 @@
         }
     }
 
-    /// Notes a sign of life of the runner.
+    /// Records a sign of life of the runner.
     pub fn note_life(&self) {
         let now = self.shared.clock.now();
         self.with_runner(|runner| runner.health.note_life(now));
     }
 
-    /// Notes what came of the work.
+    /// Records the outcome of the work.
     pub fn conclude(&mut self, outcome: Outcome) {
         self.concluded = true;
         self.learn(Lesson::Outcome(outcome));
@@ -152,7 +153,7 @@
         }
         let alive_since = self.with_runner(|runner| runner.health.last_life()).flatten();
         let silent = alive_since.is_none_or(|at| at < self.began);
-        if !self.concluded && silent && self.held() >= VAIN {
+        if !self.concluded && silent && self.held() >= ABANDONED_FAILURE_AFTER {
             self.conclude(Outcome::Broken);
         }
     }
