--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -1,9 +1,10 @@
-//! Orders to runners: who may give them, and which are given.
+//! Orders to runners to change their stage: who may give them, and which are given.
 //!
-//! Only the holder of the duties gives orders ([`crate::duty`]). That is looked at again as the last
-//! thing before an order leaves, by a clock that counts suspension. An order whose answer is lost may be carried out seconds later: it names how
-//! many orders the runner had accepted before, so that it cannot undo a later one, and the runner
-//! gets no other order meanwhile.
+//! Only the holder of the duties lease gives orders ([`crate::duty`]). The lease is checked again
+//! immediately before an order is sent, by a clock that counts suspension. An order whose answer is
+//! lost may still be carried out seconds later. It therefore carries the number of orders that the
+//! runner had accepted before, so that it cannot undo a later one, and the runner gets no other
+//! order meanwhile.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,96 +21,102 @@
 use crate::serve::connection::CONNECT_LIMIT;
 use crate::serve::shared::Shared;
 
-/// How often the need for orders is looked at.
+/// How often the demand for stage changes is evaluated.
 const PERIOD: Duration = Duration::from_millis(250);
-/// How long an order may take to be answered.
+/// The time-out of an order.
 const ORDER_LIMIT: Duration = Duration::from_millis(500);
-/// How long the other nodes are given to hear that a runner is to get no new work.
-const NOTICE: Duration = Duration::from_millis(150);
-/// How long an order without an answer may still be carried out (users' sheets: 2 to 12 s).
-const PENDING: Duration = Duration::from_secs(13);
-/// The largest answer to an order that is read.
-const LARGEST: usize = 64 << 10;
+/// How long the other nodes are given to learn that a runner must not get new work.
+const PROPAGATION_DELAY: Duration = Duration::from_millis(150);
+/// How long an unanswered order may still be carried out (platform data sheets: 2 to 12 s).
+const IN_DOUBT_LIMIT: Duration = Duration::from_secs(13);
+/// The maximum size of the answer to an order.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
 /// An order that was given.
 #[derive(Clone, Copy, Debug)]
-struct Given {
+struct StageOrder {
     at: Instant,
     to: Stage,
-    /// Until when the runner counts as on its way.
+    /// Until when the runner counts as changing its stage.
     until: Instant,
-    /// Whether it has said so. Until it does, it works on as before, perhaps for seconds.
+    /// Whether the runner has accepted it. Until then the runner keeps working in its old stage,
+    /// possibly for seconds.
     answered: bool,
-    /// The life of the runner that the order was for. One that was answered ends with it; one in
-    /// doubt may yet be carried out by the next life, which counts its orders from the same zero.
+    /// The incarnation of the runner that the order was for. An answered order ends with it; an
+    /// unanswered one may still be carried out by the next incarnation, whose order count also
+    /// starts at zero.
     born: Option<Born>,
 }
 
-impl Given {
-    /// Whether the order may still be carried out.
+impl StageOrder {
+    /// Returns whether an unanswered order may still be carried out.
     fn is_in_doubt(&self, now: Instant) -> bool {
         !self.answered && now < self.until
     }
 }
 
-struct Desk {
+struct StageController {
     shared: Arc<Shared>,
-    given: HashMap<RunnerId, Given>,
+    orders: HashMap<RunnerId, StageOrder>,
     /// The last change of each service, and when it was made.
     last: HashMap<ServiceId, (Instant, Stage)>,
 }
 
-/// Looks after orders until the process ends.
+/// Gives stage orders until the process ends.
 pub async fn run(shared: Arc<Shared>) {
-    let mut desk = Desk { shared, given: HashMap::new(), last: HashMap::new() };
+    let mut controller = StageController { shared, orders: HashMap::new(), last: HashMap::new() };
     loop {
         sleep(PERIOD).await;
-        desk.turn().await;
+        controller.tick().await;
     }
 }
 
-impl Desk {
-    async fn turn(&mut self) {
+impl StageController {
+    async fn tick(&mut self) {
         let now = self.shared.clock.now();
         let Some(configuration) = self.shared.configuration.load_full() else { return };
-        self.forget(now);
-        let wishes = self.wishes(&configuration, now);
-        if !wishes.is_empty() {
+        self.prune(now);
+        let wanted_changes = self.wanted_changes(&configuration, now);
+        if !wanted_changes.is_empty() {
             self.shared.tenure.want();
         }
-        for (service, change) in wishes {
+        for (service, change) in wanted_changes {
             if self.shared.tenure.authority_for(ORDER_LIMIT).is_some() {
                 self.carry_out(&service, change).await;
             }
         }
     }
 
-    /// Drops what is known of orders that have been carried out or are past being so.
-    fn forget(&mut self, now: Instant) {
+    /// Drops orders that have been carried out or can no longer be.
+    fn prune(&mut self, now: Instant) {
         let register = self.shared.register();
-        self.given.retain(|id, given| {
-            let dwells = now.saturating_duration_since(given.at) < DWELL;
-            let lives = register.get(id).is_some_and(|runner| runner.entry.born == given.born);
-            // An order in doubt outlasts the runner's life, and also a time without an entry: the
-            // runner may start again under its id and carry it out.
-            dwells && (lives || given.is_in_doubt(now))
+        self.orders.retain(|id, order| {
+            let dwells = now.saturating_duration_since(order.at) < DWELL;
+            let lives = register.get(id).is_some_and(|runner| runner.entry.born == order.born);
+            // An unanswered order outlasts the runner's incarnation, and also a time without an
+            // entry: the runner may restart under the same id and carry it out.
+            dwells && (lives || order.is_in_doubt(now))
         });
-        let away = |(id, given): (&RunnerId, &Given)| {
+        let away = |(id, order): (&RunnerId, &StageOrder)| {
             let entry = &register.get(id)?.entry;
-            let lives = entry.born == given.born && entry.stage != Some(given.to);
-            let away = given.answered && lives && now < given.until;
-            away.then(|| Tag::of(id, given.born))
+            let lives = entry.born == order.born && entry.stage != Some(order.to);
+            let away = order.answered && lives && now < order.until;
+            away.then(|| Tag::of(id, order.born))
         };
-        let tags: Vec<Tag> = self.given.iter().filter_map(away).collect();
+        let tags: Vec<Tag> = self.orders.iter().filter_map(away).collect();
         drop(register);
         self.shared.register().reserve(&tags, now + PERIOD * 2);
         self.shared.set_away(tags);
     }
 
-    /// The changes that the demand calls for, by service.
-    fn wishes(&self, configuration: &Configuration, now: Instant) -> Vec<(ServiceId, Change)> {
+    /// Returns the stage changes that the demand calls for, by service.
+    fn wanted_changes(
+        &self,
+        configuration: &Configuration,
+        now: Instant,
+    ) -> Vec<(ServiceId, Change)> {
         let nodes = self.shared.roster().fronts().len() + 1;
-        let mut wishes = Vec::new();
+        let mut wanted_changes = Vec::new();
         for service in configuration.services() {
             let Some(engine) = service.engine else { continue };
             let division = self.division(&service.name, now);
@@ -117,28 +124,28 @@
             let demand = demands.entry(service.name.clone()).or_default();
             demand.tick(now);
             if let Some(change) = decide(division, demand, nodes, engine.memory)
-                && (change.urgent || !self.turns_back(&service.name, change.to, now))
+                && (change.urgent || !self.reverts_too_soon(&service.name, change.to, now))
             {
-                wishes.push((service.name.clone(), change));
+                wanted_changes.push((service.name.clone(), change));
             }
         }
-        wishes
+        wanted_changes
     }
 
-    /// Whether a change would follow one the other way too soon.
-    fn turns_back(&self, service: &ServiceId, to: Stage, now: Instant) -> bool {
+    /// Returns whether a change would revert the previous one too soon.
+    fn reverts_too_soon(&self, service: &ServiceId, to: Stage, now: Instant) -> bool {
         let last = self.last.get(service);
         last.is_some_and(|(at, stage)| {
             *stage != to && now.saturating_duration_since(*at) < TURN_BACK
         })
     }
 
-    /// The runners of a service by stage.
+    /// Counts the runners of a service by stage.
     fn division(&self, service: &ServiceId, now: Instant) -> Division {
         let mut division = Division::default();
         let register = self.shared.register();
         for runner in register.of(service) {
-            match (self.on_its_way(&runner.entry, now), runner.entry.stage) {
+            match (self.pending_stage(&runner.entry, now), runner.entry.stage) {
                 (Some(Stage::Prefill), _) => division.to_prefill += 1,
                 (Some(Stage::Decode), _) => division.to_decode += 1,
                 (None, _) if !runner.takes_work(now) => {}
@@ -150,10 +157,10 @@
         division
     }
 
-    /// The stage that a runner is on its way to.
-    fn on_its_way(&self, entry: &Entry, now: Instant) -> Option<Stage> {
-        let given = self.given.get(&entry.id).filter(|given| given.born == entry.born)?;
-        (entry.stage != Some(given.to) && now < given.until).then_some(given.to)
+    /// Returns the stage that a runner is changing to.
+    fn pending_stage(&self, entry: &Entry, now: Instant) -> Option<Stage> {
+        let order = self.orders.get(&entry.id).filter(|order| order.born == entry.born)?;
+        (entry.stage != Some(order.to) && now < order.until).then_some(order.to)
     }
 
     async fn carry_out(&mut self, service: &ServiceId, change: Change) {
@@ -164,23 +171,23 @@
         let now = self.shared.clock.now();
         self.last.insert(service.clone(), (now, change.to));
         for entry in &chosen {
-            let given = Given {
+            let order = StageOrder {
                 at: now,
                 to: change.to,
-                until: now + PENDING,
+                until: now + IN_DOUBT_LIMIT,
                 answered: true,
                 born: entry.born,
             };
-            self.given.insert(entry.id.clone(), given);
+            self.orders.insert(entry.id.clone(), order);
         }
-        self.forget(now);
-        sleep(NOTICE).await;
+        self.prune(now);
+        sleep(PROPAGATION_DELAY).await;
         for entry in chosen {
             self.give(&entry, change.to).await;
         }
     }
 
-    /// The runners that lose least by the change: those with the least under way.
+    /// Chooses the runners with the least work in progress, which lose least by the change.
     fn choose(&self, service: &ServiceId, change: Change) -> Vec<Entry> {
         let now = self.shared.clock.now();
         let from = match change.to {
@@ -190,7 +197,7 @@
         let register = self.shared.register();
         let fits = |runner: &&Runner| {
             let stage = runner.entry.stage == Some(from);
-            stage && runner.takes_work(now) && !self.given.contains_key(&runner.entry.id)
+            stage && runner.takes_work(now) && !self.orders.contains_key(&runner.entry.id)
         };
         let mut fitting: Vec<&Runner> = register.of(service).filter(fits).collect();
         fitting.sort_by_key(|r| (r.load(now).total(), r.cache.tokens()));
@@ -198,9 +205,9 @@
     }
 
     async fn give(&mut self, entry: &Entry, to: Stage) {
-        // A runner is asked, and never assumed, to be as it was.
+        // The runner is asked for its current state instead of assuming it.
         let report = match self.ask(entry).await {
-            Ok(report) if !report.busy && is_of(&report, entry) => report,
+            Ok(report) if !report.busy && matches_entry(&report, entry) => report,
             Ok(report) => {
                 log::info!(runner:% = entry.id, report:? = report; "order not given");
                 self.withdraw(entry);
@@ -213,7 +220,7 @@
             }
         };
         let Some(epoch) = self.shared.tenure.authority_for(ORDER_LIMIT) else {
-            log::info!(runner:% = entry.id; "order not given: the authority is over");
+            log::info!(runner:% = entry.id; "order not given: the duties lease has expired");
             self.withdraw(entry);
             return;
         };
@@ -225,8 +232,8 @@
         match outcome {
             Some(Reply::Accepted | Reply::Holds) => {}
             None => {
-                if let Some(given) = self.given.get_mut(&entry.id) {
-                    given.answered = false;
+                if let Some(order) = self.orders.get_mut(&entry.id) {
+                    order.answered = false;
                 }
             }
             Some(Reply::Busy | Reply::Fenced | Reply::OtherInstance | Reply::Refused) => {
@@ -235,11 +242,12 @@
         }
     }
 
-    /// Lets a runner work on that was to be changed, and leaves it alone for a while.
+    /// Cancels the change of a runner, which then keeps its stage and gets no other order for a
+    /// while.
     fn withdraw(&mut self, entry: &Entry) {
         let now = self.shared.clock.now();
-        if let Some(given) = self.given.get_mut(&entry.id) {
-            given.until = now;
+        if let Some(order) = self.orders.get_mut(&entry.id) {
+            order.until = now;
         }
     }
 
@@ -248,7 +256,7 @@
             let outgoing = ask(&entry.id, entry.address);
             let sent = self.shared.connections.send(entry.address, outgoing, CONNECT_LIMIT);
             let answer = sent.await.map_err(|e| e.to_string())?;
-            let (head, body) = answer.read(LARGEST).await.map_err(|e| e.to_string())?;
+            let (head, body) = answer.read(MAX_ANSWER_BYTES).await.map_err(|e| e.to_string())?;
             if !head.status.is_success() {
                 return Err(format!("status {}", head.status));
             }
@@ -271,24 +279,24 @@
         match timeout(ORDER_LIMIT, sent).await {
             Ok(Ok(answer)) => {
                 let reply = reply(answer.head.status);
-                answer.discard(LARGEST).await;
+                answer.discard(MAX_ANSWER_BYTES).await;
                 Some(reply)
             }
             Ok(Err(error)) => {
-                log::info!(runner:% = entry.id, error:% = error; "order without an answer");
+                log::info!(runner:% = entry.id, error:% = error; "order not answered");
                 None
             }
             Err(_) => {
-                log::info!(runner:% = entry.id, limit:? = ORDER_LIMIT; "order without an answer");
+                log::info!(runner:% = entry.id, limit:? = ORDER_LIMIT; "order not answered");
                 None
             }
         }
     }
 }
 
-/// Whether a report is of the life and the stage that the entry tells of. Its count of orders says
-/// nothing of another life.
-fn is_of(report: &Report, entry: &Entry) -> bool {
+/// Returns whether a report is of the incarnation and the stage in the entry. The order count of
+/// another incarnation has no meaning.
+fn matches_entry(report: &Report, entry: &Entry) -> bool {
     let born = report.born.is_none() || report.born == entry.born;
     born && report.stage == entry.stage
 }
--- a/node/src/serve/pending.rs
+++ b/node/src/serve/pending.rs
@@ -1,35 +1,35 @@
-//! Requests to other nodes by datagrams that wait for their answers.
+//! Requests to other nodes over UDP that wait for their answers.
 
 use std::collections::HashMap;
 
 use tokio::sync::oneshot;
 
-/// Pending requests, by number.
+/// Pending requests by sequence number.
 #[derive(Debug)]
 pub struct Pending<T> {
-    registered: u64,
+    last_number: u64,
     waiting: HashMap<u64, oneshot::Sender<T>>,
 }
 
 impl<T> Default for Pending<T> {
     fn default() -> Self {
-        Self { registered: 0, waiting: HashMap::new() }
+        Self { last_number: 0, waiting: HashMap::new() }
     }
 }
 
 impl<T> Pending<T> {
-    /// Registers a request: its number, and where its answer comes.
+    /// Registers a request: returns its number and the receiver of its answer.
     pub fn register(&mut self) -> (u64, oneshot::Receiver<T>) {
         let (sender, answer) = oneshot::channel();
-        self.registered += 1;
-        self.waiting.insert(self.registered, sender);
-        (self.registered, answer)
+        self.last_number += 1;
+        self.waiting.insert(self.last_number, sender);
+        (self.last_number, answer)
     }
 
-    /// Resolves a request. An answer that comes late or twice is dropped.
+    /// Resolves a request. A late or duplicate answer is dropped.
     pub fn resolve(&mut self, number: u64, answer: T) {
         if let Some(waiting) = self.waiting.remove(&number) {
-            // The waiter may have just given up.
+            // The receiver may have been dropped meanwhile.
             let _ = waiting.send(answer);
         }
     }
