--- a/node/src/serve/beat.rs
+++ b/node/src/serve/beat.rs
@@ -1,4 +1,4 @@
-//! Beats between nodes: who is there, what each knows, what is new.
+//! Heartbeats between nodes: membership, status, and announcements of changes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,29 +17,32 @@
 use crate::serve::shared::Shared;
 use crate::serve::{join, peer, quarantine, scheduler};
 
-/// Every how many beats a node is greeted that is not known to be there: it may be back.
-const GREETING: u64 = 5;
-/// The shortest pause between two beats that carry news: what comes in the same moment goes together.
-const TOGETHER: Duration = Duration::from_millis(5);
-/// To how many watchers, drawn anew each time, a change of the register goes whole. Of 550 nodes ten
-/// are missed, and ask when they hear from the next beat that there is something newer.
-const NEWS_WATCHERS: usize = 4;
-/// The most bytes of changed entries that go with a beat; of more a node is told that there are some.
-const MOST_NEWS: usize = 900;
-/// How many messages tell a node that asks for a beat what requests are not run; the rest it learns
-/// by comparing lists.
-const MOST_MESSAGES: usize = 4;
-/// How long a silent node keeps its part of the shared allowances.
-const FORGET: Duration = Duration::from_secs(600);
+/// A node that is not known to be up, or a seed, is contacted every this many heartbeats: it may
+/// have come back.
+const CONTACT_INTERVAL: u64 = 5;
+/// The minimum pause between two heartbeats with changes: changes in quick succession go together.
+const SEND_PAUSE: Duration = Duration::from_millis(5);
+/// How many watchers, chosen at random each time, are sent the changed entries of the register
+/// themselves. Of 550 nodes ten are missed; they see from the next heartbeat that there is a newer
+/// register, and ask for it.
+const CHANGE_FANOUT: usize = 4;
+/// The maximum size of changed entries in a heartbeat, in bytes. If there are more, a node is only
+/// told that its register is outdated.
+const MAX_CHANGE_BYTES: usize = 900;
+/// How many messages with the quarantined requests answer a node that asks for a heartbeat. It
+/// learns the rest by exchanging lists.
+const MAX_QUARANTINE_MESSAGES: usize = 4;
+/// How long a silent node keeps its share of the shared allowances.
+const FORGET_AFTER: Duration = Duration::from_secs(600);
 
-/// How long a runner gets no new work after a beat that says it is on its way to another stage.
-const RESERVED: Duration = Duration::from_millis(1_000);
+/// How long a runner gets no new work after a heartbeat says that it is changing its stage.
+const SWITCH_RESERVATION: Duration = Duration::from_millis(1_000);
 
-/// Sends beats until the process ends.
+/// Sends heartbeats until the process ends.
 pub async fn send(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut count: u64 = 0;
     let mut next = Instant::now();
-    // Up to where the register's changes have been passed on.
+    // The mark up to which changes of the register have been passed on.
     let mut passed_on = Mark::default();
     loop {
         let due = tokio::select! {
@@ -49,11 +52,11 @@
         if due {
             next = Instant::now() + PERIOD;
             count += 1;
-            if count.is_multiple_of(GREETING) {
-                greet(&shared, &socket).await;
+            if count.is_multiple_of(CONTACT_INTERVAL) {
+                contact_lost_node(&shared, &socket).await;
             }
         }
-        let news = news(&shared, &mut passed_on);
+        let news = register_changes(&shared, &mut passed_on);
         let (mut beat, watchers, asked) = {
             let status = shared.status();
             let now = shared.clock.now();
@@ -66,40 +69,40 @@
             let beat = Beat { records, ..beat(&shared, status) };
             (beat, watchers, asked)
         };
-        let told = news.is_some();
-        if told {
-            let some = watchers.iter().copied().sample(&mut *shared.rng(), NEWS_WATCHERS);
-            let told = Beat { news, records: Vec::new(), ..beat.clone() };
-            beat_all(&shared, &socket, &told, &some).await;
+        let has_changes = news.is_some();
+        if has_changes {
+            let some = watchers.iter().copied().sample(&mut *shared.rng(), CHANGE_FANOUT);
+            let message = Beat { news, records: Vec::new(), ..beat.clone() };
+            beat_all(&shared, &socket, &message, &some).await;
         }
         let quarantined = quarantine::news::next(&shared);
         if !quarantined.is_empty() {
-            let told = Beat { quarantined, records: Vec::new(), ..beat.clone() };
-            beat_all(&shared, &socket, &told, &watchers).await;
+            let message = Beat { quarantined, records: Vec::new(), ..beat.clone() };
+            beat_all(&shared, &socket, &message, &watchers).await;
         }
-        let again = due && count.is_multiple_of(GREETING);
+        let again = due && count.is_multiple_of(CONTACT_INTERVAL);
         let (limits, leaving) = (shared.limiter.next(again), shared.drains.next(again));
         if !limits.is_empty() || !leaving.is_empty() {
-            let told = Beat { limits, leaving, records: Vec::new(), ..beat.clone() };
-            beat_all(&shared, &socket, &told, &watchers).await;
+            let message = Beat { limits, leaving, records: Vec::new(), ..beat.clone() };
+            beat_all(&shared, &socket, &message, &watchers).await;
         }
-        if due || !told || !beat.records.is_empty() {
+        if due || !has_changes || !beat.records.is_empty() {
             beat_all(&shared, &socket, &beat, &watchers).await;
         }
         beat.records.clear();
         beat.answer = true;
         beat_all(&shared, &socket, &beat, &asked).await;
-        look_after(&shared);
-        sleep(TOGETHER).await;
+        update_roster(&shared);
+        sleep(SEND_PAUSE).await;
     }
 }
 
-/// Forgets whoever is gone for good.
-fn look_after(shared: &Shared) {
+/// Forgets nodes that have been gone for long, and updates the metrics.
+fn update_roster(shared: &Shared) {
     let now = shared.clock.now();
     let mut roster = shared.roster();
-    for id in roster.forget(now, FORGET) {
-        log::info!(node:% = id; "node forgotten");
+    for id in roster.forget(now, FORGET_AFTER) {
+        log::info!(node:% = id; "node removed from the membership");
     }
     shared.metrics.nodes.set(roster.fronts().len() as i64);
     let has_signals = shared.limiter.has_news() || shared.drains.has_news();
@@ -108,9 +111,9 @@
     }
 }
 
-/// What has changed in the register since it was passed on last, if it is little. Each node passes a
-/// change on once, as soon as it knows it.
-fn news(shared: &Shared, passed_on: &mut Mark) -> Option<pb::Knowledge> {
+/// Returns the changes of the register since they were last passed on, if they are small. Each node
+/// passes a change on once, as soon as it knows it.
+fn register_changes(shared: &Shared, passed_on: &mut Mark) -> Option<pb::Knowledge> {
     let knowledge = shared.knowledge();
     let (since, mark) = (*passed_on, knowledge.mark());
     if mark <= since {
@@ -120,8 +123,8 @@
     let changed = knowledge.since(since);
     let bytes: usize = changed.entries.iter().map(|o| o.name.len() + o.content.len()).sum();
     let bytes = bytes + changed.gone.iter().map(smol_str::SmolStr::len).sum::<usize>();
-    let little = !changed.whole && bytes <= MOST_NEWS;
-    little.then(|| peer::news(&changed, since))
+    let is_small = !changed.whole && bytes <= MAX_CHANGE_BYTES;
+    is_small.then(|| peer::to_announcement(&changed, since))
 }
 
 fn beat(shared: &Shared, status: Status) -> Beat {
@@ -155,13 +158,13 @@
 async fn transmit(shared: &Shared, socket: &UdpSocket, bytes: &[u8], target: SocketAddr) {
     shared.metrics.beat_bytes.with_label_values(&["sent"]).inc_by(bytes.len() as u64);
     if let Err(error) = socket.send_to(bytes, target).await {
-        log::debug!(peer:% = target, error:% = error; "sending a beat");
+        log::debug!(peer:% = target, error:% = error; "cannot send heartbeat");
     }
 }
 
-/// Greets one node that is not known to be there, or a seed: two parts of a fleet that have lost each
-/// other find together so.
-async fn greet(shared: &Shared, socket: &UdpSocket) {
+/// Contacts one node that is not known to be up, or a seed. This rejoins two parts of a fleet that
+/// were partitioned from each other.
+async fn contact_lost_node(shared: &Shared, socket: &UdpSocket) {
     let target = {
         let roster = shared.roster();
         roster.lost().chain(shared.settings.other_seeds()).choose(&mut *shared.rng())
@@ -171,13 +174,13 @@
     }
 }
 
-/// Asks nodes for a beat.
+/// Asks nodes for a heartbeat.
 pub async fn ask(shared: &Shared, socket: &UdpSocket, targets: &[SocketAddr]) {
     let beat = Beat { answer: true, ..beat(shared, shared.status()) };
     beat_all(shared, socket, &beat, targets).await;
 }
 
-/// Takes beats until the process ends.
+/// Receives datagrams on the peer socket until the process ends.
 pub async fn receive(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut buffer = [0; MOST_BYTES * 2];
     loop {
@@ -199,67 +202,70 @@
                 counter.inc_by(length as u64);
                 match Beat::decode(bytes, shared.history.era()) {
                     Ok(beat) => take(&shared, &socket, &beat).await,
-                    Err(error) => log::warn!(peer:% = from, error:% = error; "beat is not taken"),
+                    Err(error) => log::warn!(peer:% = from, error:% = error; "invalid heartbeat"),
                 }
             }
-            Err(error) => log::debug!(error:% = error; "receiving a beat"),
+            Err(error) => log::debug!(error:% = error; "cannot receive datagram"),
         }
     }
 }
 
-async fn take(shared: &Arc<Shared>, socket: &UdpSocket, told: &Beat) {
-    if told.sender.contact.id == shared.me.id {
+async fn take(shared: &Arc<Shared>, socket: &UdpSocket, received: &Beat) {
+    if received.sender.contact.id == shared.me.id {
         return;
     }
     let now = shared.clock.now();
     let (fresh, mistaken, differs) = {
         let mut roster = shared.roster();
-        take_records(&mut roster, std::slice::from_ref(&told.sender), now);
-        roster.take_beat(&told.sender, told.status, now);
-        take_records(&mut roster, &told.records, now);
-        let differs = roster.note_digest(&told.sender.contact.id, told.digest, now);
-        let mistaken = roster.is_mistaken(&told.sender).cloned();
+        take_records(&mut roster, std::slice::from_ref(&received.sender), now);
+        roster.take_beat(&received.sender, received.status, now);
+        take_records(&mut roster, &received.records, now);
+        let differs = roster.note_digest(&received.sender.contact.id, received.digest, now);
+        let mistaken = roster.is_mistaken(&received.sender).cloned();
         (roster.has_news(), mistaken, differs)
     };
-    shared.history.note_told(told.status.register.era, told.sender.contact.id.as_str());
-    if let Some(time) = told.time {
-        shared.usage.note_time(&told.sender.contact.id, time, now);
+    shared.history.note_told(received.status.register.era, received.sender.contact.id.as_str());
+    if let Some(time) = received.time {
+        shared.usage.note_time(&received.sender.contact.id, time, now);
     }
-    shared.register().reserve(&told.away, now + RESERVED);
-    if let Some(news) = &told.news {
-        peer::take_news(shared, news);
+    shared.register().reserve(&received.away, now + SWITCH_RESERVATION);
+    if let Some(news) = &received.news {
+        peer::apply_announcement(shared, news);
     }
-    quarantine::news::take(shared, &told.quarantined, told.sender.contact.id.as_str());
-    shared.limiter.take(&told.limits, told.sender.contact.id.as_str());
-    shared.drains.take(&told.leaving, told.sender.contact.id.as_str());
+    quarantine::news::take(shared, &received.quarantined, received.sender.contact.id.as_str());
+    shared.limiter.take(&received.limits, received.sender.contact.id.as_str());
+    shared.drains.take(&received.leaving, received.sender.contact.id.as_str());
     let differs =
-        quarantine::news::note_digest(shared, &told.sender.contact.id, told.quarantine) || differs;
+        quarantine::news::note_digest(shared, &received.sender.contact.id, received.quarantine)
+            || differs;
     let mine = shared.status();
-    if told.status.register > mine.register || told.status.version > mine.version {
+    if received.status.register > mine.register || received.status.version > mine.version {
         shared.note_behind();
     }
     if fresh {
         shared.beat_now.notify_one();
     }
     if differs {
-        tokio::spawn(join::compare(shared.clone(), told.sender.contact.peer));
+        tokio::spawn(join::compare(shared.clone(), received.sender.contact.peer));
     }
-    if told.answer || mistaken.is_some() {
-        // Whoever asks may know nobody else yet.
+    if received.answer || mistaken.is_some() {
+        // The asking node may not know any other node yet.
         let mut records = shared.roster().some(&mut *shared.rng());
         records.extend(mistaken);
         let answer = Beat { records, ..beat(shared, mine) };
-        let peer = told.sender.contact.peer;
+        let peer = received.sender.contact.peer;
         transmit(shared, socket, &answer.encode(), peer).await;
-        // It must not send to runners what ends them until it has compared lists.
-        for quarantined in quarantine::news::all(shared).chunks(MOST_TOLD).take(MOST_MESSAGES) {
+        // Until it has exchanged lists, it must not run requests that crash runners.
+        for quarantined in
+            quarantine::news::all(shared).chunks(MOST_TOLD).take(MAX_QUARANTINE_MESSAGES)
+        {
             let more = Beat { quarantined: quarantined.to_vec(), ..beat(shared, mine) };
             transmit(shared, socket, &more.encode(), peer).await;
         }
     }
 }
 
-/// Takes in records of nodes, with a line for each that says something new.
+/// Applies records of nodes, and logs each that is news.
 pub fn take_records(
     roster: &mut sardinepick_lib::fleet::roster::Roster,
     records: &[Record],
@@ -267,7 +273,8 @@
 ) {
     for record in records {
         if roster.take_record(record, now) {
-            // Where hundreds start together, a line for each at each would be a hundred thousand.
+            // Usual records are logged at debug level: when hundreds of nodes start together, each
+            // node would log each other node, a hundred thousand lines in all.
             let usual = record.standing != Standing::Leaving && record.served && !record.silent;
             log::log!(
                 if usual { log::Level::Debug } else { log::Level::Info },
--- a/node/src/serve/copy.rs
+++ b/node/src/serve/copy.rs
@@ -183,7 +183,7 @@
 /// Copies the configuration from a node or from whom it names, and puts it in force. Gives who gave
 /// it in the end, and its size.
 async fn fetch(shared: &Shared, first: SocketAddr) -> Result<(SocketAddr, usize), RpcError> {
-    let (peer, (end, packed)) = rpc::referred(first, |peer| ask(shared, peer)).await?;
+    let (peer, (end, packed)) = rpc::follow_referrals(first, |peer| ask(shared, peer)).await?;
     let bytes = packed.len();
     take(shared, end, packed).ok_or(RpcError::Unusable { peer })?;
     Ok((peer, bytes))
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/follow.rs
@@ -1,8 +1,8 @@
-//! Following the platform's store: the configuration and the register of runners.
+//! Watches the platform's store for the configuration and the register of runners.
 //!
-//! Each is read once and then watched. After a watch that fails all is read anew. A few nodes follow
-//! the store; the others learn from them (`peer.rs`), also while the store turns them away. Nothing
-//! older than what is known is ever taken.
+//! Each is listed once and then watched. After a failed watch it is listed again. A few nodes watch
+//! the store; the others learn from them (`peer.rs`), also while the store refuses to serve them.
+//! Older state never replaces newer state.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -22,36 +22,36 @@
 use smol_str::SmolStr;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::serve::follower::{Follower, What};
+use crate::serve::follower::{Follower, Kind};
 use crate::serve::knowledge::Difference;
 use crate::serve::quarantine;
 use crate::serve::shared::Shared;
 use crate::serve::store::Purpose;
 
-/// The shortest time from one watch of the register to the next: changes that come close together
-/// come in one answer, and cost one call and not one each.
-const TOGETHER: Duration = Duration::from_millis(150);
-/// How many entries of other writers are logged one by one of those that come together.
-const MOST_FOREIGN_LINES: usize = 8;
-/// How often lapsed entries and idle connections are looked through.
+/// The minimum time between two watches of the register: changes within it come in one answer and
+/// cost one call instead of one each.
+const WATCH_PAUSE: Duration = Duration::from_millis(150);
+/// How many invalid entries of one batch are logged individually.
+const MAX_FOREIGN_LINES: usize = 8;
+/// How often expired entries and idle connections are removed.
 const TIDY_PERIOD: Duration = Duration::from_millis(250);
 
-/// Follows the configuration until the process ends.
+/// Watches the configuration until the process ends.
 pub async fn configuration(shared: Arc<Shared>) {
-    let mut follower = Follower::new(shared.clone(), What::Configuration);
+    let mut follower = Follower::new(shared.clone(), Kind::Configuration);
     loop {
-        follower.wait_for_duty().await;
+        follower.wait_until_watching().await;
         let read = match follower.from {
             None => follower.list(Purpose::Configuration, config::KIND).await,
             Some(from) => {
                 let purpose = Purpose::ConfigurationWatch;
-                let brought = follower.watch(purpose, config::KIND, from).await;
-                brought.map(|brought| {
-                    let objects = brought.changes.into_iter().filter_map(|change| match change {
+                let reply = follower.watch(purpose, config::KIND, from).await;
+                reply.map(|reply| {
+                    let objects = reply.changes.into_iter().filter_map(|change| match change {
                         Change::Put(object) => Some(object),
                         Change::Gone(_) => None,
                     });
-                    (objects.collect(), brought.as_of)
+                    (objects.collect(), reply.as_of)
                 })
             }
         };
@@ -71,8 +71,8 @@
     }
 }
 
-/// Puts a configuration in force if it is newer than the one that is. `packed` is its content as
-/// another node has sent it, to be passed on.
+/// Installs a configuration if it is newer than the one in force. `packed` is its compressed
+/// content as received from another node, to be passed on.
 pub fn install(shared: &Shared, object: Object, packed: Option<Bytes>, source: &'static str) {
     if object.name != config::NAME {
         return;
@@ -107,23 +107,23 @@
     shared.metrics.version.set(i64::try_from(next.version.0).unwrap_or(i64::MAX));
     let version = next.version;
     shared.configuration.store(Some(Arc::new(next)));
-    // Keys stay at the nodes that read the store; the others need digests only.
+    // Plain keys stay at the nodes that read the store; the others need only their digests.
     match without_keys(&object.content) {
         Ok(content) => shared.copies.offer(version, Object { content, ..object }, packed),
         Err(error) => {
-            log::error!(version:% = version, error:% = error; "configuration is not passed on");
+            log::error!(version:% = version, error:% = error; "configuration cannot be passed on");
         }
     }
     shared.note_knowledge();
     shared.note_news();
 }
 
-/// Follows the register of runners until the process ends.
+/// Watches the register of runners until the process ends.
 pub async fn register(shared: Arc<Shared>) {
-    let mut follower = Follower::new(shared.clone(), What::Register);
+    let mut follower = Follower::new(shared.clone(), Kind::Register);
     let mut next = Instant::now();
     loop {
-        follower.wait_for_duty().await;
+        follower.wait_until_watching().await;
         let result = match follower.from {
             None => {
                 let listed = follower.list(Purpose::Register, RUNNERS).await;
@@ -132,33 +132,33 @@
             Some(from) => {
                 let purpose = Purpose::RegisterWatch;
                 sleep_until(next).await;
-                next = Instant::now() + TOGETHER;
-                let brought = follower.watch(purpose, RUNNERS, from).await;
-                brought.map(|brought| (difference(brought.changes, brought.as_of), brought.as_of))
+                next = Instant::now() + WATCH_PAUSE;
+                let reply = follower.watch(purpose, RUNNERS, from).await;
+                reply.map(|reply| (difference(reply.changes, reply.as_of), reply.as_of))
             }
         };
         match result {
-            Ok((told, as_of)) => {
+            Ok((difference, as_of)) => {
                 follower.note_answer(as_of);
                 let doubt = shared.doubt();
-                take_difference(&shared, told, doubt, "store");
+                take_difference(&shared, difference, doubt, "store");
             }
             Err(error) => follower.back_off(&error).await,
         }
     }
 }
 
-/// Takes in objects of the register's kind. Gives those that name a runner, and the names under
-/// which something stands that does not: whatever was known under such a name is not used any more.
+/// Applies objects of the register's kind. Returns those that name a runner, and the names of
+/// objects that do not: whatever was known under such a name is no longer used.
 ///
-/// Others can write there too. What they write must not keep a runner in use whose entry it has
-/// replaced, nor keep the sound entries beside it from being taken.
+/// Other writers can write there too. An invalid entry must not keep the runner in use whose entry
+/// it replaced, nor keep the valid entries beside it from being applied.
 fn take_entries(
     shared: &Shared,
     objects: Vec<Object>,
     source: &'static str,
 ) -> (Vec<Object>, Vec<SmolStr>) {
-    let (mut taken, mut foreign) = (Vec::with_capacity(objects.len()), Vec::new());
+    let (mut accepted, mut foreign) = (Vec::with_capacity(objects.len()), Vec::new());
     let mut unlogged = 0;
     for object in objects {
         let changed = match decode_runner(&object.name, object.at, &object.content) {
@@ -167,14 +167,14 @@
                 let (address, changed) = (entry.address, shared.register().apply(entry));
                 log_change(&id, changed, at, source);
                 if changed == Changed::Reborn {
-                    // Nobody is left to answer at the other end of them.
+                    // The process at the other end of these connections has ended.
                     shared.connections.forget(address);
                 }
                 changed
             }
             Err(error) => {
                 shared.metrics.foreign.with_label_values(&["runner", error.reason()]).inc();
-                if foreign.len() < MOST_FOREIGN_LINES {
+                if foreign.len() < MAX_FOREIGN_LINES {
                     log::warn!(
                         name:% = object.name, revision:% = object.at, source = source,
                         error:% = error; "entry names no runner to use"
@@ -182,23 +182,23 @@
                 } else {
                     unlogged += 1;
                 }
-                disown(shared, &object, source)
+                remove_invalid(shared, &object, source)
             }
         };
         match changed {
             Changed::Removed => foreign.push(object.name),
-            // It is known already, or of a former life, which is not to be told on.
+            // Known already, or of a previous incarnation, which must not be passed on.
             Changed::None | Changed::Former => {}
-            _ => taken.push(object),
+            _ => accepted.push(object),
         }
     }
     if unlogged > 0 {
-        log::warn!(entries = unlogged, source = source; "further entries name no runner to use");
+        log::warn!(entries = unlogged, source = source; "more entries name no runner to use");
     }
-    (taken, foreign)
+    (accepted, foreign)
 }
 
-fn disown(shared: &Shared, object: &Object, source: &'static str) -> Changed {
+fn remove_invalid(shared: &Shared, object: &Object, source: &'static str) -> Changed {
     let Ok(id) = RunnerId::try_from(object.name.clone()) else { return Changed::None };
     let changed = shared.register().disown(&id, object.at);
     log_change(&id, changed, object.at, source);
@@ -219,20 +219,20 @@
     log::info!(runner:% = id, revision:% = at, source = source; "{what}");
 }
 
-/// What a list shows, as a difference. It is as new as its newest entry; only where an entry is
-/// missing does it tell something later.
+/// Converts a list to a difference. The difference is as new as its newest entry; only a missing
+/// entry makes it as new as the list itself.
 fn listed_difference(shared: &Shared, entries: Vec<Object>, as_of: Point) -> Difference {
     let first = Point::new(as_of.era, 0);
     let newest = entries.iter().map(|o| o.at).max().unwrap_or(first);
     let named: HashSet<&str> = entries.iter().map(|o| o.name.as_str()).collect();
     let misses = shared.register().runners().any(|r| !named.contains(r.entry.id.as_str()));
-    // Whoever knows that there is no runner knows more than a node that knows nothing, to whom it has
-    // to be told: without it, nodes of a deployment without runners do not get ready.
+    // A node that knows that there are no runners must count as newer than one that knows nothing.
+    // Otherwise nodes of a deployment without runners are not told and never become ready.
     let mark = Mark::of(if misses { as_of } else { newest }).at_least_first();
     Difference { whole: true, entries, mark, ..Difference::default() }
 }
 
-/// What a watch brought, as a difference. One that brought nothing makes nothing newer.
+/// Converts the result of a watch to a difference. An empty result does not advance the mark.
 pub fn difference(changes: Vec<Change>, as_of: Point) -> Difference {
     let mark = if changes.is_empty() { Mark::default() } else { Mark::of(as_of) };
     let mut difference = Difference { mark, ..Difference::default() };
@@ -242,34 +242,34 @@
                 difference.gone.retain(|name| *name != object.name);
                 difference.entries.push(object);
             }
-            // What it last wrote is taken first: whether a runner that is gone had said that it leaves
-            // decides whether it is doubted, or gone at once.
+            // Its last entry is applied before the removal: if the runner had said that it leaves,
+            // it is removed at once instead of being doubted.
             Change::Gone(name) => difference.gone.push(name),
         }
     }
     difference
 }
 
-/// Takes in what has changed in the register. All nodes hear of it by a beat at once.
+/// Applies a change of the register. A heartbeat announces it to all nodes at once.
 pub fn take_difference(
     shared: &Shared,
-    told: Difference,
+    difference: Difference,
     doubt: Option<std::time::Instant>,
     source: &'static str,
 ) {
     let before = shared.knowledge().mark();
-    let mut gone = told.gone;
-    if told.whole {
-        let named: HashSet<&SmolStr> = told.entries.iter().map(|o| &o.name).collect();
+    let mut gone = difference.gone;
+    if difference.whole {
+        let named: HashSet<&SmolStr> = difference.entries.iter().map(|o| &o.name).collect();
         let register = shared.register();
         let known = register.runners().map(|r| SmolStr::new(r.entry.id.as_str()));
         gone.extend(known.filter(|name| !named.contains(name)));
     }
-    let (entries, foreign) = take_entries(shared, told.entries, source);
+    let (entries, foreign) = take_entries(shared, difference.entries, source);
     let remove = |name: &SmolStr, doubt: Option<std::time::Instant>| {
         let Ok(id) = RunnerId::try_from(name.clone()) else { return Changed::None };
         let changed = shared.register().remove(&id, doubt);
-        log_change(&id, changed, told.mark.point(), source);
+        log_change(&id, changed, difference.mark.point(), source);
         changed
     };
     let mut doubted = Vec::new();
@@ -280,8 +280,8 @@
         }
         changed == Changed::Removed
     });
-    // What another node doubts this one doubts too, for as long from now on.
-    for name in told.doubted {
+    // Kind another node doubts is doubted here too, for the full period from now.
+    for name in difference.doubted {
         match remove(&name, Some(shared.clock.now() + DOUBT)) {
             Changed::Doubted => doubted.push(name),
             Changed::Removed => gone.push(name),
@@ -289,14 +289,14 @@
         }
     }
     gone.extend(foreign);
-    shared.knowledge().take_with_doubt(entries, &gone, &doubted, told.mark);
+    shared.knowledge().take_with_doubt(entries, &gone, &doubted, difference.mark);
     shared.note_knowledge();
     if shared.knowledge().mark() > before {
         shared.note_news();
     }
 }
 
-/// Drops lapsed runners and old connections, until the process ends.
+/// Removes expired runners and idle connections until the process ends.
 pub async fn tidy(shared: Arc<Shared>) {
     loop {
         sleep(TIDY_PERIOD).await;
--- a/node/src/serve/follower.rs
+++ b/node/src/serve/follower.rs
@@ -1,5 +1,5 @@
-//! Following one kind of the platform's store: who does it, from where it goes on, and what it does
-//! after a call that failed.
+//! Watching one kind of object in the platform's store: which nodes do so, where a watch resumes,
+//! and how it recovers from a failed call.
 
 use std::sync::Arc;
 use std::time::{Duration, UNIX_EPOCH};
@@ -16,45 +16,46 @@
 use crate::serve::shared::Shared;
 use crate::serve::store::{Purpose, StoreError};
 
-/// How long a watch waits for a change. Longer waits cost fewer calls; a connection that has gone
-/// silent is noticed only after one, and a leaving runner must get nothing after two seconds.
+/// How long a watch waits for a change. A longer wait costs fewer calls, but a silent connection is
+/// noticed only after one, and a leaving runner must get no requests after two seconds.
 const WATCH_WAIT: Duration = Duration::from_secs(3);
-/// The part of a pause after which history that is gone is read anew: a runner may have left in it.
-const FORGOTTEN_PAUSE_PART: u32 = 4;
-/// How often a node that does not follow the store looks whether it should.
-const DUTY_PERIOD: Duration = Duration::from_millis(100);
+/// The divisor of the back-off after the store has compacted the history that was asked for. The
+/// retry is earlier then, since a runner may have left in the missing history.
+const FORGOTTEN_BACK_OFF_DIVISOR: u32 = 4;
+/// How often a node that does not watch the store checks whether it should.
+const DUTY_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// What is followed.
+/// What is watched.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub(super) enum What {
+pub(super) enum Kind {
     /// The configuration.
     Configuration,
     /// The register of runners.
     Register,
 }
 
-/// One thing that is followed.
+/// The watch of one kind.
 pub(super) struct Follower {
     shared: Arc<Shared>,
-    what: What,
-    /// Calls in a row without an answer.
+    what: Kind,
+    /// Consecutive failed calls.
     failures: u32,
-    /// From where to go on; none if all has to be read.
+    /// Where the watch resumes; `None` if all has to be listed.
     pub(super) from: Option<Point>,
-    /// The last point of which an answer was.
+    /// The revision of the last answer.
     last: Point,
-    /// The era in which this node's entry was written last.
+    /// The era in which this node's entry was last written.
     pub(super) entered: Era,
-    /// Whether this node follows it now.
-    on_duty: bool,
-    /// Changes of the store's era.
+    /// Whether this node currently watches the store.
+    watching: bool,
+    /// Notifies of changes of the store's era.
     eras: watch::Receiver<Era>,
 }
 
 impl Follower {
-    /// What follows `what` at this node, of which nothing is known yet.
-    pub(super) fn new(shared: Arc<Shared>, what: What) -> Self {
+    /// Creates the watch of `kind` at this node; nothing has been read yet.
+    pub(super) fn new(shared: Arc<Shared>, what: Kind) -> Self {
         let eras = shared.history.changes();
         Self {
             shared,
@@ -63,52 +64,52 @@
             from: None,
             last: Point::default(),
             entered: Era::default(),
-            on_duty: false,
+            watching: false,
             eras,
         }
     }
 
-    /// Whether this node is to follow. Before it has met others each would take itself for the one, so
-    /// the seeds alone do: where all nodes start together, as after the loss of all, somebody must read
-    /// at once what all need.
-    fn has_duty(&self) -> bool {
+    /// Returns whether this node must watch the store. Before a node has met others, it would
+    /// always consider itself one of the watchers, so only the seeds watch until then. If all nodes
+    /// start at the same time, some node must read at once what all of them need.
+    fn must_watch(&self) -> bool {
         let shared = &self.shared;
         let is_seed = || shared.settings.seeds.contains(&shared.me.peer);
         if *shared.acquainted.borrow() { shared.follows() } else { is_seed() }
     }
 
-    /// Waits while other nodes follow the store for this one. What they tell meanwhile is not known
-    /// by its place in the store's history, so all is read anew after it.
-    pub(super) async fn wait_for_duty(&mut self) {
-        if !self.has_duty() {
-            if self.on_duty {
-                log::info!(what:% = self.what; "other nodes follow the store");
+    /// Waits while other nodes watch the store for this one. What they report meanwhile carries no
+    /// position in the store's history, so all is listed again afterwards.
+    pub(super) async fn wait_until_watching(&mut self) {
+        if !self.must_watch() {
+            if self.watching {
+                log::info!(what:% = self.what; "other nodes watch the store");
             }
-            (self.on_duty, self.from) = (false, None);
-            while !self.has_duty() {
-                sleep(DUTY_PERIOD).await;
+            (self.watching, self.from) = (false, None);
+            while !self.must_watch() {
+                sleep(DUTY_CHECK_PERIOD).await;
             }
         }
-        if self.on_duty {
+        if self.watching {
             return;
         }
-        self.on_duty = true;
-        log::info!(what:% = self.what; "this node follows the store");
-        if self.what == What::Configuration {
+        self.watching = true;
+        log::info!(what:% = self.what; "this node watches the store");
+        if self.what == Kind::Configuration {
             self.write_entry().await;
         }
     }
 
-    /// Writes this node's entry: those that find nobody else find this node in the store.
+    /// Writes this node's entry, by which nodes that find no seed can find it through the store.
     pub(super) async fn write_entry(&mut self) {
         if let Err(error) = join::write_entry(&self.shared).await {
-            log::info!(error:% = error; "this node's entry is not written");
+            log::info!(error:% = error; "cannot write this node's entry");
         }
         self.entered = self.shared.history.era();
     }
 
-    /// Lists a kind. Where that shows that the store came back from a copy without naming an era, the
-    /// list is of none that is known and not used.
+    /// Lists a kind. If the list shows that the store was restored from a copy without naming its
+    /// era, the list belongs to no known era and is not used.
     pub(super) async fn list(
         &mut self,
         purpose: Purpose,
@@ -126,8 +127,8 @@
         Ok((objects, as_of))
     }
 
-    /// Waits for changes after `from`, unless the store's era changes meanwhile: what follows in another
-    /// era does not go on from there.
+    /// Waits for changes after `from`, unless the store's era changes meanwhile: the history of
+    /// another era does not continue from there.
     pub(super) async fn watch(
         &mut self,
         purpose: Purpose,
@@ -136,14 +137,14 @@
     ) -> Result<Changes, StoreError> {
         let shared = self.shared.clone();
         tokio::select! {
-            brought = shared.store.watch(purpose, kind, from, WATCH_WAIT) => brought,
+            changes = shared.store.watch(purpose, kind, from, WATCH_WAIT) => changes,
             era = next_era(&mut self.eras, from.era) => {
                 Err(StoreError::Crossed { purpose, was: from, era })
             }
         }
     }
 
-    /// Notes an answer, with the place from which to go on.
+    /// Records an answer and where to resume.
     pub(super) fn note_answer(&mut self, as_of: Point) {
         self.shared.note_served();
         self.failures = 0;
@@ -158,8 +159,8 @@
         }
     }
 
-    /// Notes a failure in the log and waits. After it all is read anew: the answer to a list comes
-    /// at once, while a watch that meets a silent path would hang for its whole wait.
+    /// Logs a failure and backs off. All is listed again afterwards: a list is answered at once,
+    /// while a watch over a silent path would hang for its whole wait.
     pub(super) async fn back_off(&mut self, error: &StoreError) {
         let forgotten = error.is_forgotten();
         if !forgotten {
@@ -169,27 +170,30 @@
         self.failures += 1;
         let draw: f64 = self.shared.rng().random();
         let pause = pause(self.failures, draw);
-        // A store that has forgotten its history is not away.
+        // A store that has compacted its history is not down.
         let first = !forgotten && self.shared.outage().note_failure(self.shared.clock.now());
         if first || forgotten {
             log::warn!(
                 what:% = self.what, error:% = error, pause_ms = pause.as_millis() as u64;
-                "store {}", if forgotten { "forgot its history" } else { "lost" }
+                "store {}", if forgotten { "no longer has the history" } else { "lost" }
             );
         } else {
-            log::debug!(what:% = self.what, error:% = error, failures = self.failures; "store away");
+            log::debug!(
+                what:% = self.what, error:% = error, failures = self.failures;
+                "store unavailable"
+            );
         }
         self.shared.note_behind();
-        sleep(if forgotten { pause / FORGOTTEN_PAUSE_PART } else { pause }).await;
+        sleep(if forgotten { pause / FORGOTTEN_BACK_OFF_DIVISOR } else { pause }).await;
     }
 }
 
-/// Waits until the era is another one than `era`.
+/// Waits until the era differs from `era`.
 async fn next_era(eras: &mut watch::Receiver<Era>, era: Era) -> Era {
     let next = eras.wait_for(|known| *known != era).await.map(|known| *known);
     match next {
         Ok(known) => known,
-        // The tracker lives as long as all that follows the store.
+        // The sender lives as long as every watch of the store.
         Err(_) => std::future::pending().await,
     }
 }
--- a/node/src/serve/join.rs
+++ b/node/src/serve/join.rs
@@ -20,7 +20,7 @@
 
 use crate::serve::beat::{self, take_records};
 use crate::serve::quarantine;
-use crate::serve::rpc::{self, RpcError, SILENCE};
+use crate::serve::rpc::{self, IDLE_TIMEOUT, RpcError};
 use crate::serve::shared::Shared;
 use crate::serve::store::{Purpose, StoreError};
 
@@ -61,7 +61,7 @@
 async fn try_compare(shared: &Shared, peer: SocketAddr) -> Result<usize, JoinError> {
     let mut client = rpc::connect(peer).await?;
     let mine = nodes(&shared.roster().records(), quarantine::news::all(shared));
-    let answer = timeout(SILENCE, client.meet(mine)).await;
+    let answer = timeout(IDLE_TIMEOUT, client.meet(mine)).await;
     let answer = answer.map_err(|_| RpcError::Silent { peer })?;
     let answer = answer.map_err(|s| RpcError::Refused { peer, status: Box::new(s) })?;
     let useless = |error: sardinepick_wire::error::WireError| JoinError::Malformed {
--- a/node/src/serve/knowledge.rs
+++ b/node/src/serve/knowledge.rs
@@ -1,8 +1,8 @@
-//! What a node knows from the platform's store, in a form that other nodes can be told.
+//! The register of runners as a node knows it from the platform's store, in a form to pass on.
 //!
-//! A few nodes watch the store, the others learn from them. What has changed since a node last heard
-//! is told as a difference, so that a fleet of hundreds of runners does not send its whole register
-//! about at each change.
+//! A few nodes watch the store, the others learn from them. Changes since a given mark are sent as
+//! a difference, so that a fleet of hundreds of runners does not transfer its whole register at
+//! each change.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,44 +10,45 @@
 use sardinepick_platform::store::Object;
 use smol_str::SmolStr;
 
-/// How many removals are remembered. A node that is further behind is told everything.
-const MOST_REMOVED: usize = 512;
+/// How many removals are remembered. A node that is further behind is sent everything.
+const MAX_REMOVED: usize = 512;
 
-/// What has changed.
+/// A set of changes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Difference {
-    /// Whether this is everything, and what is not in it is gone.
+    /// Whether this is the complete state, so that entries not in it are removed.
     pub whole: bool,
-    /// Entries that are new or different.
+    /// New or changed entries.
     pub entries: Vec<Object>,
-    /// Entries that are gone.
+    /// Removed entries.
     pub gone: Vec<SmolStr>,
-    /// Entries that are missing since the store was away, and may come back.
+    /// Entries that have been missing since a store outage, and may come back.
     pub doubted: Vec<SmolStr>,
     /// How new this is.
     pub mark: Mark,
 }
 
-/// What a node knows.
+/// The known register.
 #[derive(Clone, Debug, Default)]
 pub struct Knowledge {
-    /// The entries of the register of runners, each with the mark under which it became known.
+    /// The entries of the register, each with the mark under which it became known.
     runners: BTreeMap<SmolStr, (Mark, Object)>,
     removed: VecDeque<(Mark, SmolStr)>,
-    /// Entries in doubt, each with the mark under which it became so. Whoever is told up to that mark
-    /// must be told of the doubt: it would else take itself to know all up to there, ask nobody who
-    /// knows of the removal, and use a runner that has left for as long as it answers.
+    /// Entries in doubt, each with the mark under which it became doubted. A node that is sent the
+    /// state up to that mark must be sent the doubt too. Otherwise it would consider itself up to
+    /// date, never ask a node that knows of the removal, and keep using a runner that has left for
+    /// as long as it answers.
     doubted: BTreeMap<SmolStr, Mark>,
-    /// Changes up to this one may be missing among the removed.
+    /// Removals up to this mark may no longer be in `removed`.
     forgotten: Mark,
-    /// How new all of this is. Nodes compare it: what they know can be the same though one has heard
-    /// from the store later.
+    /// How new the whole state is, for comparison between nodes. Two nodes may have the same state
+    /// with different marks, if one has heard from the store later.
     mark: Mark,
     known: bool,
 }
 
 impl Knowledge {
-    /// Whether the register has been read or told at all.
+    /// Returns whether the register has been read or received at all.
     pub fn is_known(&self) -> bool {
         self.known
     }
@@ -57,18 +58,18 @@
         self.mark
     }
 
-    /// How many entries there are.
+    /// The number of entries.
     pub fn entries(&self) -> usize {
         self.runners.len()
     }
 
-    /// Takes in what has changed, all of it at once: whoever is told up to a mark is told all that
-    /// it covers.
+    /// Applies changes, all at once: a node that is sent the state up to a mark is sent everything
+    /// that the mark covers.
     pub fn take(&mut self, entries: Vec<Object>, gone: &[SmolStr], mark: Mark) {
         self.take_with_doubt(entries, gone, &[], mark);
     }
 
-    /// Takes in what has changed, and what is in doubt now.
+    /// Applies changes and newly doubted entries.
     pub fn take_with_doubt(
         &mut self,
         entries: Vec<Object>,
@@ -78,7 +79,7 @@
     ) {
         self.known = true;
         let changes = !(entries.is_empty() && gone.is_empty() && doubted.is_empty());
-        // Whoever has reached the present mark would not be told of a change under it.
+        // A node that has already reached the current mark would not be sent a change under it.
         let mark =
             if changes && mark <= self.mark { self.mark.next() } else { self.mark.max(mark) };
         for name in entries.iter().map(|object| &object.name).chain(gone) {
@@ -95,7 +96,7 @@
                 self.removed.push_back((mark, name.clone()));
             }
         }
-        while self.removed.len() > MOST_REMOVED {
+        while self.removed.len() > MAX_REMOVED {
             if let Some((mark, _)) = self.removed.pop_front() {
                 self.forgotten = mark;
             }
@@ -103,17 +104,17 @@
         self.mark = mark;
     }
 
-    /// Takes in that entries did not come back, which the store has no change of its own for.
+    /// Removes expired entries, for which the store reports no change of its own.
     pub fn take_lapsed(&mut self, gone: &[SmolStr]) {
         let mark = self.mark.next();
         self.take(Vec::new(), gone, mark);
     }
 
-    /// What has changed for a node whose knowledge is as new as `since`.
+    /// Returns the changes for a node whose state is as new as `since`.
     pub fn since(&self, since: Mark) -> Difference {
         let whole = since.is_nothing() || since < self.forgotten;
         let newer = self.runners.values().filter(|(mark, _)| whole || *mark > since);
-        // An entry that went and came back is not gone.
+        // An entry that was removed and added again is not gone.
         let is_gone = |name: &SmolStr| !self.runners.contains_key(name);
         let gone =
             self.removed.iter().filter(|(mark, name)| !whole && *mark > since && is_gone(name));
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -1,8 +1,8 @@
-//! Learning from other nodes what the store does not tell this one.
+//! Synchronising the register of runners between nodes.
 //!
-//! A few nodes follow the store; it may turn some away while it serves others. A beat says how new a
-//! node's knowledge is, and a change is told by a beat at once; a node that is behind asks one that
-//! is ahead for the difference.
+//! A few nodes watch the store, which may refuse some nodes while it serves others. Heartbeats say
+//! how new a node's register is, and announce a change at once; a node that is behind asks a node
+//! that is ahead for the difference.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,20 +36,21 @@
 use crate::serve::shared::Shared;
 use crate::serve::transfer::{Disconnected, Grant, Parts, send};
 
-/// How long a node that is behind waits for the store's own word, or for more to ask for.
-const PATIENCE: Duration = Duration::from_millis(40);
-/// The shortest pause between two questions.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Bytes of entries after which a part is full: 13 ms on a link of 10 Mbit/s.
-const PART: usize = 16 << 10;
-/// The most bytes of entries that are taken from one answer: 1,600 runners' are 0.4 MB.
-const LARGEST: usize = 16 << 20;
+/// How long a node that is behind waits for an answer of the store, or for further changes to ask
+/// for.
+const ASK_DELAY: Duration = Duration::from_millis(40);
+/// The minimum pause between two questions.
+const ASK_PAUSE: Duration = Duration::from_millis(200);
+/// The size of entries at which a part is full, in bytes: 13 ms on a link of 10 Mbit/s.
+const PART_BYTES: usize = 16 << 10;
+/// The maximum size of entries accepted from one answer, in bytes: 1,600 runners take 0.4 MB.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 struct Service {
     shared: Arc<Shared>,
 }
 
-/// An object for a message of an era.
+/// Encodes an object for a message of the given era.
 fn to_wire(object: &Object, era: Era) -> pb::Object {
     pb::Object {
         name: object.name.to_string(),
@@ -59,7 +60,7 @@
     }
 }
 
-/// Reads an object of a message of an era.
+/// Decodes an object of a message of the given era.
 fn from_wire(object: pb::Object, era: Era) -> Result<Object, WireError> {
     Ok(Object {
         at: read_point(object.revision, object.era, era)?,
@@ -77,19 +78,22 @@
         request: Request<pb::KnowledgeRequest>,
     ) -> Result<Response<Self::TellStream>, Status> {
         let (parts, receiver) = mpsc::channel(1);
-        let (shared, asked) = (self.shared.clone(), request.into_inner());
+        let (shared, request) = (self.shared.clone(), request.into_inner());
         tokio::spawn(async move {
-            if let Err(error) = tell(&shared, &asked, &parts).await {
-                log::info!(node = asked.node, mark = asked.mark, error:% = error; "node not told");
+            if let Err(error) = tell(&shared, &request, &parts).await {
+                log::info!(
+                    node = request.node, mark = request.mark, error:% = error;
+                    "cannot send the register to a node"
+                );
             }
         });
         Ok(Response::new(ReceiverStream::new(receiver)))
     }
 
     async fn meet(&self, request: Request<pb::Nodes>) -> Result<Response<pb::Nodes>, Status> {
-        let told = request.into_inner();
+        let received = request.into_inner();
         let records =
-            read_nodes(&told).map_err(|error| Status::invalid_argument(error.to_string()))?;
+            read_nodes(&received).map_err(|error| Status::invalid_argument(error.to_string()))?;
         let now = self.shared.clock.now();
         let mut roster = self.shared.roster();
         take_records(&mut roster, &records, now);
@@ -98,7 +102,7 @@
         }
         let records = roster.records();
         drop(roster);
-        quarantine::news::take(&self.shared, &told.quarantined, "that compares");
+        quarantine::news::take(&self.shared, &received.quarantined, "list exchange");
         Ok(Response::new(nodes(&records, quarantine::news::all(&self.shared))))
     }
 
@@ -113,16 +117,16 @@
     }
 }
 
-/// Tells a node what it does not know of the register. All of it goes to few nodes at a time, as it
-/// is large; differences are small and go at once.
+/// Sends a node what it does not know of the register. Differences are small and sent at once; the
+/// whole register is large and goes to few nodes at a time.
 async fn tell(
     shared: &Shared,
-    asked: &pb::KnowledgeRequest,
+    request: &pb::KnowledgeRequest,
     parts: &Parts<pb::Knowledge>,
 ) -> Result<(), Disconnected> {
     let known = shared.knowledge().mark();
-    let mark = read_mark(asked.mark, asked.era, known.era).unwrap_or_else(|error| {
-        log::warn!(node = asked.node, error:% = error; "mark of a node is not taken");
+    let mark = read_mark(request.mark, request.era, known.era).unwrap_or_else(|error| {
+        log::warn!(node = request.node, error:% = error; "invalid mark from a node");
         Mark::default()
     });
     let difference = shared.knowledge().since(mark);
@@ -132,10 +136,10 @@
     let bytes = difference.entries.iter().map(|object| object.content.len()).sum();
     match shared.register_transfers.wait(parts, bytes).await? {
         Grant::Slot(slot) => {
-            // Its turn may have come after further changes.
+            // The register may have changed while the call was queued.
             let difference = shared.knowledge().since(mark);
             send_parts(shared, &difference, parts).await?;
-            slot.finish(parts, &asked.peer).await
+            slot.finish(parts, &request.peer).await
         }
         Grant::Referral(address) => {
             let elsewhere = Some(address.to_string());
@@ -144,8 +148,8 @@
     }
 }
 
-/// A difference for the wire, told unasked to those who know all up to `since`.
-pub fn news(difference: &Difference, since: Mark) -> pb::Knowledge {
+/// Encodes a difference to be announced to nodes that know everything up to `since`.
+pub fn to_announcement(difference: &Difference, since: Mark) -> pb::Knowledge {
     let era = difference.mark.era;
     pb::Knowledge {
         since: since.order,
@@ -161,39 +165,43 @@
     }
 }
 
-/// Takes in what another node tells unasked, if it follows on what this one knows. If not, this node
+/// Applies an announced difference if it continues from what this node knows. Otherwise this node
 /// is behind and asks.
-pub fn take_news(shared: &Shared, news: &pb::Knowledge) {
-    match read_news(shared, news) {
-        Ok(Some(told)) => take_difference(shared, told, None, "news"),
+pub fn apply_announcement(shared: &Shared, announcement: &pb::Knowledge) {
+    match decode_announcement(shared, announcement) {
+        Ok(Some(difference)) => take_difference(shared, difference, None, "news"),
         Ok(None) => {}
-        Err(error) => log::warn!(error:% = error; "news of the register is not taken"),
+        Err(error) => log::warn!(error:% = error; "invalid register announcement"),
     }
 }
 
-/// Reads news; nothing where it does not follow on what this node knows.
-fn read_news(shared: &Shared, news: &pb::Knowledge) -> Result<Option<Difference>, WireError> {
+/// Decodes an announced difference; `None` if it does not continue from what this node knows.
+fn decode_announcement(
+    shared: &Shared,
+    announcement: &pb::Knowledge,
+) -> Result<Option<Difference>, WireError> {
     let (mine, is_known) = {
         let knowledge = shared.knowledge();
         (knowledge.mark(), knowledge.is_known())
     };
-    let mark = read_mark(news.mark, news.era, mine.era)?;
-    let since = read_mark(news.since, news.since_era, mark.era)?;
-    if !is_known || news.whole || since > mine || mine >= mark {
+    let mark = read_mark(announcement.mark, announcement.era, mine.era)?;
+    let since = read_mark(announcement.since, announcement.since_era, mark.era)?;
+    if !is_known || announcement.whole || since > mine || mine >= mark {
         return Ok(None);
     }
-    let entries = news.runners.iter().cloned().map(|object| from_wire(object, mark.era));
+    let entries = announcement.runners.iter().cloned().map(|object| from_wire(object, mark.era));
     Ok(Some(Difference {
         whole: false,
         entries: entries.collect::<Result<_, _>>()?,
-        gone: news.gone.iter().map(SmolStr::new).collect(),
-        doubted: news.doubted.iter().map(SmolStr::new).collect(),
+        gone: announcement.gone.iter().map(SmolStr::new).collect(),
+        doubted: announcement.doubted.iter().map(SmolStr::new).collect(),
         mark,
     }))
 }
 
-/// Adds what runners have announced of themselves: it says nothing to a node that does not know them.
-fn with_signals(shared: &Shared, part: pb::Knowledge) -> pb::Knowledge {
+/// Adds what runners have announced themselves, which only makes sense to a node that knows the
+/// runners.
+fn with_announcements(shared: &Shared, part: pb::Knowledge) -> pb::Knowledge {
     let limits = shared.limiter.all();
     pb::Knowledge {
         rate_limits: limits.iter().map(announced).collect(),
@@ -209,7 +217,7 @@
 ) -> Result<(), Disconnected> {
     let mut left = difference.entries.as_slice();
     loop {
-        let (runners, rest) = left.split_at(first_part(left));
+        let (runners, rest) = left.split_at(next_part_length(left));
         left = rest;
         let last = left.is_empty();
         let gone = if last { difference.gone.as_slice() } else { &[] };
@@ -224,7 +232,7 @@
             last,
             ..Default::default()
         };
-        let part = if last && difference.whole { with_signals(shared, part) } else { part };
+        let part = if last && difference.whole { with_announcements(shared, part) } else { part };
         send(parts, part).await?;
         if last {
             return Ok(());
@@ -232,18 +240,18 @@
     }
 }
 
-/// How many of the entries make the first part.
-fn first_part(entries: &[Object]) -> usize {
+/// Returns how many of the entries make the next part.
+fn next_part_length(entries: &[Object]) -> usize {
     let mut bytes = 0;
     let fits = entries.iter().take_while(|object| {
-        let fits = bytes < PART;
+        let fits = bytes < PART_BYTES;
         bytes += object.content.len();
         fits
     });
     fits.count()
 }
 
-/// Answers other nodes until the process ends.
+/// Serves other nodes until the process ends.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     let service = FleetServer::new(Service { shared });
     let server = tonic::transport::Server::builder()
@@ -259,34 +267,35 @@
     let mut failures = Failures::default();
     loop {
         shared.behind.notified().await;
-        sleep(PATIENCE).await;
+        sleep(ASK_DELAY).await;
         let Some((contact, status)) = newest(&shared, &mut failures) else { continue };
         let began = Instant::now();
-        let told = rpc::referred(contact.peer, |peer| ask(&shared, peer)).await;
+        let received = rpc::follow_referrals(contact.peer, |peer| ask(&shared, peer)).await;
         let took = began.elapsed().as_millis() as u64;
-        match told {
-            Ok((peer, told)) => {
+        match received {
+            Ok((peer, received)) => {
                 log::info!(
                     node:% = contact.id, peer:% = peer, register:% = status.register,
-                    entries = told.difference.entries.len(), took_ms = took;
+                    entries = received.difference.entries.len(), took_ms = took;
                     "learned from another node"
                 );
                 failures.clear();
-                take(&shared, told, contact.id.as_str());
+                take(&shared, received, contact.id.as_str());
             }
             Err(error) => {
                 log::warn!(
-                    node:% = contact.id, error:% = error, took_ms = took; "not told by a node"
+                    node:% = contact.id, error:% = error, took_ms = took;
+                    "cannot learn the register from a node"
                 );
                 failures.note(contact.id);
             }
         }
-        sleep(PAUSE).await;
+        sleep(ASK_PAUSE).await;
     }
 }
 
-/// The node that knows the newest register; news of a runner that leaves must not wait for one that
-/// cannot be reached.
+/// Returns the node with the newest register that has not failed since the last answer: a change
+/// such as a leaving runner must not wait for a node that cannot be reached.
 fn newest(shared: &Shared, failures: &mut Failures) -> Option<(Contact, RosterStatus)> {
     let mine = shared.knowledge().mark();
     let roster = shared.roster();
@@ -298,15 +307,15 @@
     newest.map(|(contact, status)| (contact.clone(), status))
 }
 
-/// What another node has told of the register.
-struct Told {
+/// The register as received from another node.
+struct ReceivedRegister {
     difference: Difference,
-    /// What runners have announced of themselves.
+    /// Rate limits that runners have announced.
     limits: Vec<Announced>,
     leaving: Vec<Tag>,
 }
 
-async fn ask(shared: &Shared, peer: SocketAddr) -> Result<Reply<Told>, RpcError> {
+async fn ask(shared: &Shared, peer: SocketAddr) -> Result<Reply<ReceivedRegister>, RpcError> {
     let mut client = rpc::connect(peer).await?;
     let mine = shared.knowledge().mark();
     let known = pb::KnowledgeRequest {
@@ -317,39 +326,39 @@
     };
     let mut parts = rpc::Parts::begin(peer, client.tell(known)).await?;
     let malformed = |error: WireError| RpcError::Malformed { peer, detail: error.to_string() };
-    let (mut told, mut bytes) = (Difference::default(), 0);
+    let (mut changes, mut bytes) = (Difference::default(), 0);
     loop {
-        let part = parts.next(told.entries.is_empty()).await?;
+        let part = parts.next(changes.entries.is_empty()).await?;
         if let Some(address) = part.elsewhere {
             return Reply::referral(address, peer, shared.me.peer);
         }
         bytes += part.runners.iter().map(|object| object.content.len()).sum::<usize>();
         let mark = read_mark(part.mark, part.era, mine.era).map_err(malformed)?;
         for object in part.runners {
-            told.entries.push(from_wire(object, mark.era).map_err(malformed)?);
+            changes.entries.push(from_wire(object, mark.era).map_err(malformed)?);
         }
-        if bytes > LARGEST {
-            return Err(RpcError::TooLarge { peer, most: LARGEST });
+        if bytes > MAX_ANSWER_BYTES {
+            return Err(RpcError::TooLarge { peer, most: MAX_ANSWER_BYTES });
         }
         if part.last {
-            told.gone = part.gone.into_iter().map(SmolStr::new).collect();
-            told.doubted = part.doubted.into_iter().map(SmolStr::new).collect();
-            (told.mark, told.whole) = (mark, part.whole);
+            changes.gone = part.gone.into_iter().map(SmolStr::new).collect();
+            changes.doubted = part.doubted.into_iter().map(SmolStr::new).collect();
+            (changes.mark, changes.whole) = (mark, part.whole);
             let limits = read_all(&part.rate_limits).unwrap_or_else(|error| {
-                log::warn!(peer:% = peer, error:% = error; "rate limits of a node are not taken");
+                log::warn!(peer:% = peer, error:% = error; "invalid rate limits from a node");
                 Vec::new()
             });
             let leaving = part.leaving.into_iter().map(Tag).collect();
-            return Ok(Reply::Whole(Told { difference: told, limits, leaving }));
+            return Ok(Reply::Whole(ReceivedRegister { difference: changes, limits, leaving }));
         }
     }
 }
 
-fn take(shared: &Shared, told: Told, from: &str) {
-    // What a node that is served by the store has dropped is not in doubt any more.
-    if told.difference.mark > shared.knowledge().mark() {
-        take_difference(shared, told.difference, None, "node");
+fn take(shared: &Shared, received: ReceivedRegister, from: &str) {
+    // The sending node is served by the store: what it has removed is not in doubt any more.
+    if received.difference.mark > shared.knowledge().mark() {
+        take_difference(shared, received.difference, None, "node");
     }
-    shared.limiter.take(&told.limits, from);
-    shared.drains.take(&told.leaving, from);
+    shared.limiter.take(&received.limits, from);
+    shared.drains.take(&received.leaving, from);
 }
--- a/node/src/serve/rpc.rs
+++ b/node/src/serve/rpc.rs
@@ -1,7 +1,7 @@
-//! Calls to other nodes whose answers come in parts.
+//! Calls to other nodes with streamed answers.
 //!
-//! An answer has no timeout as a whole, since a large one on a thin link would miss it and be begun
-//! anew; only its silence has.
+//! An answer as a whole has no time-out, since a large one on a thin link would exceed it and be
+//! started over; only the time between its parts is limited.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,78 +15,80 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Response, Status, Streaming};
 
-/// How long a connection to another node may take: a packet lost once is sent again after 0.2 s.
+/// The time-out for connecting to another node: a lost packet is retransmitted after 0.2 s.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// How long the other side may be silent. A part takes 13 ms on a link of 10 Mbit/s, and a node that
-/// waits for its turn hears a sign three times in this.
-pub const SILENCE: Duration = Duration::from_millis(600);
-/// How long a node waits in the other's queue before it calls another, of which there are more by then.
+/// The idle time-out of an answer. A part takes 13 ms on a link of 10 Mbit/s, and a queued call
+/// gets three keep-alives in this time.
+pub const IDLE_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long a call stays in the other node's queue before another node is called; by then more
+/// nodes have a copy.
 const QUEUE_LIMIT: Duration = Duration::from_secs(1);
-/// How often one call may be referred: each time half as many wait, so 550 nodes need 10.
-const MOST_REFERRALS: usize = 12;
+/// The maximum number of referrals of one call: each halves the number of waiting nodes, so 550
+/// nodes need 10.
+const MAX_REFERRALS: usize = 12;
 
 /// Why a call to another node failed.
 #[derive(Debug, Error)]
 pub enum RpcError {
-    /// No connection.
+    /// The connection failed.
     #[error("connecting to {peer}: {detail}")]
     Connect {
         /// The node.
         peer: SocketAddr,
-        /// What went wrong.
+        /// The cause.
         detail: String,
     },
-    /// The node refused, or the connection broke.
+    /// The node refused the call, or the connection broke.
     #[error("asking {peer}: {status}")]
     Refused {
         /// The node.
         peer: SocketAddr,
-        /// What it or the connection said.
+        /// The status of the node or the connection.
         status: Box<Status>,
     },
-    /// Nothing came for too long.
-    #[error("asking {peer}: nothing heard for {SILENCE:?}")]
+    /// Nothing was received within the idle time-out.
+    #[error("asking {peer}: nothing heard for {IDLE_TIMEOUT:?}")]
     Silent {
         /// The node.
         peer: SocketAddr,
     },
-    /// The node did not begin its answer in time: others were served before.
+    /// The node did not start its answer in time, since it served others first.
     #[error("waiting at {peer}: not served within {QUEUE_LIMIT:?}")]
     QueueTimeout {
         /// The node.
         peer: SocketAddr,
     },
     /// The answer ended before its last part.
-    #[error("asking {peer}: the answer broke off")]
+    #[error("asking {peer}: the answer is truncated")]
     Broken {
         /// The node.
         peer: SocketAddr,
     },
-    /// The answer says what it may not.
+    /// The answer is invalid.
     #[error("asking {peer}: {detail}")]
     Malformed {
         /// The node.
         peer: SocketAddr,
-        /// What is wrong.
+        /// The cause.
         detail: String,
     },
-    /// The answer is larger than any should be.
-    #[error("asking {peer}: the answer is beyond {most} bytes")]
+    /// The answer exceeds the size limit.
+    #[error("asking {peer}: the answer exceeds {most} bytes")]
     TooLarge {
         /// The node.
         peer: SocketAddr,
         /// The limit, in bytes.
         most: usize,
     },
-    /// The node named no node that can be asked, or one too many.
-    #[error("asking {peer}: sent elsewhere, to {address}")]
+    /// The node referred the call to an unusable address, or after too many referrals.
+    #[error("asking {peer}: unusable referral to {address}")]
     Misdirected {
         /// The node.
         peer: SocketAddr,
-        /// The node that it named.
+        /// The address that it named.
         address: String,
     },
-    /// What came cannot be used.
+    /// The answer cannot be used.
     #[error("asking {peer}: what came is not used")]
     Unusable {
         /// The node.
@@ -95,7 +97,7 @@
 }
 
 impl RpcError {
-    /// The label of its metric.
+    /// The outcome as a metric label.
     pub fn outcome(&self) -> &'static str {
         match self {
             RpcError::Connect { .. } => "unreachable",
@@ -111,30 +113,31 @@
     }
 }
 
-/// The nodes that have been asked in vain since the last answer.
+/// The nodes whose calls have failed since the last successful one.
 ///
-/// A node may be heard and yet not be reached, or say that it has what it does not give, and each such
-/// costs up to a second. So all others are asked before one of these is asked again.
+/// A node may send heartbeats and yet be unreachable, or announce what it then does not deliver,
+/// and each such call costs up to a second. So all other nodes are asked before one of these is
+/// asked again.
 #[derive(Debug, Default)]
 pub struct Failures {
     nodes: SmallVec<[NodeId; 4]>,
-    in_a_row: u32,
+    consecutive: u32,
 }
 
 impl Failures {
-    /// Notes that a node was asked in vain. Gives how often in a row that has been so now.
+    /// Records a failed call. Returns the number of failures in a row.
     pub fn note(&mut self, node: NodeId) -> u32 {
         self.nodes.push(node);
-        self.in_a_row = self.in_a_row.saturating_add(1);
-        self.in_a_row
+        self.consecutive = self.consecutive.saturating_add(1);
+        self.consecutive
     }
 
-    /// Notes an answer.
+    /// Records a successful call.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Picks one of `nodes`: of those that have not failed, or of all if all have.
+    /// Picks one of `nodes`: of those that have not failed, or of all if all have failed.
     pub fn pick<'a, T, I: Iterator<Item = T>>(
         &mut self,
         nodes: impl Fn() -> I,
@@ -150,20 +153,20 @@
     }
 }
 
-/// What a node has replied.
+/// The answer of a node.
 #[derive(Debug)]
 pub enum Reply<T> {
-    /// The whole answer.
+    /// The complete answer.
     Whole(T),
-    /// Another node to call.
+    /// The call should go to another node.
     Referral(SocketAddr),
 }
 
 impl<T> Reply<T> {
-    /// Reads the node to ask in place of `peer`, which is neither `peer` nor the asking node `me`.
+    /// Parses a referral to another node than `peer` and the calling node `me`.
     ///
     /// # Errors
-    /// It cannot be asked.
+    /// The address cannot be called.
     pub fn referral(address: String, peer: SocketAddr, me: SocketAddr) -> Result<Self, RpcError> {
         match address.parse() {
             Ok(next) if next != me && next != peer => Ok(Reply::Referral(next)),
@@ -172,11 +175,11 @@
     }
 }
 
-/// Asks a node, and those that it sends this one to. Gives who told it in the end.
+/// Calls a node and follows its referrals. Returns the node that answered.
 ///
 /// # Errors
-/// One of them does not answer, or they send it on for too long.
-pub async fn referred<T, F>(
+/// One of the calls fails, or there are too many referrals.
+pub async fn follow_referrals<T, F>(
     first: SocketAddr,
     ask: impl Fn(SocketAddr) -> F,
 ) -> Result<(SocketAddr, T), RpcError>
@@ -184,7 +187,7 @@
     F: Future<Output = Result<Reply<T>, RpcError>>,
 {
     let mut peer = first;
-    for _ in 0..MOST_REFERRALS {
+    for _ in 0..MAX_REFERRALS {
         match ask(peer).await? {
             Reply::Whole(told) => return Ok((peer, told)),
             Reply::Referral(next) => peer = next,
@@ -196,7 +199,7 @@
 /// Connects to a node.
 ///
 /// # Errors
-/// It cannot be reached.
+/// The node cannot be reached.
 pub async fn connect(peer: SocketAddr) -> Result<FleetClient<Channel>, RpcError> {
     let failed = |error: tonic::transport::Error| {
         let detail = error.to_string();
@@ -219,26 +222,27 @@
     /// Waits for the answer of `peer` to begin.
     ///
     /// # Errors
-    /// It does not.
+    /// The answer does not begin in time.
     pub async fn begin(
         peer: SocketAddr,
         call: impl Future<Output = Result<Response<Streaming<T>>, Status>>,
     ) -> Result<Self, RpcError> {
-        let answer = timeout(SILENCE, call).await.map_err(|_| RpcError::Silent { peer })?;
+        let answer = timeout(IDLE_TIMEOUT, call).await.map_err(|_| RpcError::Silent { peer })?;
         let answer = answer.map_err(|s| RpcError::Refused { peer, status: Box::new(s) })?;
         Ok(Self { peer, parts: answer.into_inner(), asked: Instant::now() })
     }
 
-    /// The next part. `waits` says that this node has got nothing yet but signs that it has to wait.
+    /// Receives the next part. `is_queued` says that only keep-alives have
+    /// been received so far.
     ///
     /// # Errors
-    /// There is none, it does not come, or the turn does not.
-    pub async fn next(&mut self, waits: bool) -> Result<T, RpcError> {
+    /// The answer has ended, or the next part or the turn in the queue does not come in time.
+    pub async fn next(&mut self, is_queued: bool) -> Result<T, RpcError> {
         let peer = self.peer;
-        if waits && self.asked.elapsed() > QUEUE_LIMIT {
+        if is_queued && self.asked.elapsed() > QUEUE_LIMIT {
             return Err(RpcError::QueueTimeout { peer });
         }
-        let part = timeout(SILENCE, self.parts.message()).await;
+        let part = timeout(IDLE_TIMEOUT, self.parts.message()).await;
         let part = part.map_err(|_| RpcError::Silent { peer })?;
         let part = part.map_err(|s| RpcError::Refused { peer, status: Box::new(s) })?;
         part.ok_or(RpcError::Broken { peer })
--- a/node/src/serve/transfer.rs
+++ b/node/src/serve/transfer.rs
@@ -1,7 +1,7 @@
-//! The queue for large transfers to other nodes, and the sending of their parts.
+//! Queueing of large transfers to other nodes, and sending their parts.
 //!
-//! Transfers that share a thin link would all miss their timeouts, so few run at once; nodes that wait
-//! are kept alive, or referred to nodes that have just received a copy.
+//! Concurrent transfers over a thin link would all exceed their time-outs, so few run at once;
+//! waiting nodes get keep-alives, or are referred to nodes that have just received a copy.
 
 use std::fmt;
 use std::future::Future;
@@ -16,9 +16,9 @@
 use tokio::time::timeout;
 use tonic::Status;
 
-use crate::serve::rpc::SILENCE;
+use crate::serve::rpc::IDLE_TIMEOUT;
 
-/// The keep-alive interval for a waiting node: well within its idle timeout.
+/// The keep-alive interval for a waiting node: well within its idle time-out.
 const KEEP_ALIVE: Duration = Duration::from_millis(200);
 
 /// The stream of an answer's parts to the calling node.
@@ -34,7 +34,7 @@
 /// # Errors
 /// The calling node has disconnected.
 pub async fn send<T>(parts: &Parts<T>, part: T) -> Result<(), Disconnected> {
-    match timeout(SILENCE, parts.send(Ok(part))).await {
+    match timeout(IDLE_TIMEOUT, parts.send(Ok(part))).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(_)) | Err(_) => Err(Disconnected),
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// What becomes of a queued transfer.
+/// The result of queueing a transfer.
 #[derive(Debug)]
 pub enum Grant {
     /// It may run now.
@@ -66,7 +66,7 @@
     Referral(SocketAddr),
 }
 
-/// The transfers that run and those that wait.
+/// The running and the waiting transfers.
 #[derive(Debug, Default)]
 pub struct Queue {
     fanout: Mutex<Fanout<oneshot::Sender<Grant>>>,
@@ -77,7 +77,7 @@
         self.fanout.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many nodes wait.
+    /// The number of waiting nodes.
     pub fn waiting(&self) -> usize {
         self.fanout().waiting()
     }
@@ -99,7 +99,7 @@
     }
 }
 
-/// The slot of a running transfer. Dropping it lets the next ones run.
+/// The slot of a running transfer. Dropping it starts the next ones.
 pub struct Slot {
     queue: Arc<Queue>,
     bytes: usize,
@@ -111,13 +111,13 @@
         Self { queue: queue.clone(), bytes, receiver: None }
     }
 
-    /// Waits until the calling node, which ends the call when it has all parts, does so. `receiver` is
-    /// where others can call that node from then on.
+    /// Waits until the calling node has received all parts and ends the call. From then on, others
+    /// can call that node at `receiver`.
     ///
     /// # Errors
     /// The calling node does not end the call.
     pub async fn finish<T>(mut self, parts: &Parts<T>, receiver: &str) -> Result<(), Disconnected> {
-        timeout(SILENCE, parts.closed()).await.map_err(|_| Disconnected)?;
+        timeout(IDLE_TIMEOUT, parts.closed()).await.map_err(|_| Disconnected)?;
         self.receiver = receiver.parse().ok();
         Ok(())
     }
@@ -141,7 +141,7 @@
                 Turn::Given => Grant::Slot(Slot::new(&self.queue, self.bytes)),
                 Turn::Elsewhere(address) => Grant::Referral(address),
             };
-            // A caller that has just disconnected drops its slot, which the next one gets.
+            // A caller that has just disconnected drops its slot, which passes on to the next one.
             drop(waiter.send(grant));
         }
     }
