--- a/node/src/serve/crash.rs
+++ b/node/src/serve/crash.rs
@@ -1,8 +1,8 @@
-//! The crash detector: whether the runner of a call that broke off has crashed.
+//! Crash detection: whether the runner of a broken call has crashed.
 //!
-//! A call breaks off for many reasons: the network resets its connection, the runner spoils its
-//! answer, the runner leaves. Only a process that has ended refuses connections, so the runner's address
-//! is probed, once for all calls of this node that broke off there.
+//! A call breaks for many reasons: the network resets its connection, the runner sends a malformed
+//! answer, the runner leaves. Only a process that has ended refuses connections, so the runner's
+//! address is probed, once for all calls of this node that broke there.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,63 +19,63 @@
 use crate::serve::shared::Shared;
 use crate::serve::ticket::Ticket;
 
-/// How often a runner's address is tried: a process that ends closes its connections a moment before
-/// or after it stops listening.
-const TRIES: u32 = 2;
-/// The pause between two tries.
-const PAUSE: Duration = Duration::from_millis(10);
-/// The most lives of runners whose end is remembered.
-const MOST: usize = 256;
+/// How often a runner's address is probed: a process that ends closes its connections slightly
+/// before or after it stops listening.
+const MAX_PROBES: u32 = 2;
+/// The pause between two probes.
+const PROBE_PAUSE: Duration = Duration::from_millis(10);
+/// The maximum number of runner incarnations whose end is remembered.
+const MAX_REMEMBERED: usize = 256;
 
-/// The lives of runners that are known to have crashed.
+/// The incarnations of runners that are known to have crashed.
 #[derive(Debug, Default)]
 pub struct Detector(Mutex<HashMap<Tag, Arc<OnceCell<bool>>>>);
 
 impl Detector {
-    fn cell(&self, life: Tag) -> Arc<OnceCell<bool>> {
+    fn cell(&self, incarnation: Tag) -> Arc<OnceCell<bool>> {
         let mut cells = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if cells.len() >= MOST && !cells.contains_key(&life) {
-            // What is forgotten is probed again.
+        if cells.len() >= MAX_REMEMBERED && !cells.contains_key(&incarnation) {
+            // Evicted incarnations are probed again.
             cells.clear();
         }
-        cells.entry(life).or_default().clone()
+        cells.entry(incarnation).or_default().clone()
     }
 
-    async fn has_ended(&self, shared: &Shared, life: Tag, address: SocketAddr) -> bool {
-        let cell = self.cell(life);
+    async fn has_ended(&self, shared: &Shared, incarnation: Tag, address: SocketAddr) -> bool {
+        let cell = self.cell(incarnation);
         let ended = *cell.get_or_init(|| is_refused(shared, address)).await;
         if !ended {
-            // It may end later.
-            self.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&life);
+            // It may still end later.
+            self.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&incarnation);
         }
         ended
     }
 }
 
 async fn is_refused(shared: &Shared, address: SocketAddr) -> bool {
-    for attempt in 1..=TRIES {
+    for attempt in 1..=MAX_PROBES {
         match shared.connections.probe(address).await {
             Probe::Refused => return true,
             Probe::Unknown => return false,
-            Probe::Accepted if attempt < TRIES => sleep(PAUSE).await,
+            Probe::Accepted if attempt < MAX_PROBES => sleep(PROBE_PAUSE).await,
             Probe::Accepted => {}
         }
     }
     false
 }
 
-/// Detects whether the runner of a call that broke off has crashed, and gives the life that has. The
-/// end of one that was leaving, or whose entry was gone, was planned.
+/// Checks whether the runner of a broken call has crashed, and returns the incarnation that has.
+/// The end of a runner that was leaving, or whose entry was removed, was planned.
 pub async fn detect(
     shared: &Shared,
     ticket: &Ticket,
     request: &Request,
     reach: Reach,
 ) -> Option<Tag> {
-    let (life, address) = ticket
+    let (incarnation, address) = ticket
         .with_runner(|r| (!r.is_leaving()).then(|| (r.entry.tag(), r.entry.address)))
         .flatten()?;
-    if !shared.crashes.has_ended(shared, life, address).await {
+    if !shared.crashes.has_ended(shared, incarnation, address).await {
         return None;
     }
     shared.metrics.ends.inc();
@@ -84,5 +84,5 @@
         events = reach.events, begun = reach.begun,
         held_ms = ticket.held().as_millis() as u64; "runner ended under a request"
     );
-    Some(life)
+    Some(incarnation)
 }
--- a/node/src/serve/inventory.rs
+++ b/node/src/serve/inventory.rs
@@ -1,12 +1,12 @@
-//! What runners keep of prompts, asked once when this node begins to schedule their pool.
+//! Queries the prompt caches of runners once, when this node begins to schedule their pool.
 //!
-//! What nodes believe of it lives in their memory and goes with them. After all of them have started
-//! anew every prompt looks as if it had to be read whole: requests are sent where their prompt is not
-//! kept, or refused because reading it would take too long, until each has been read once more. On a
-//! day that ends so, the part of long prompts that was read again went from a quarter to all, and was
-//! back after eight seconds.
+//! Nodes keep their view of these caches only in memory, so it is lost when they end. After a
+//! restart of all nodes each prompt would seem to be uncached: requests would go to runners that
+//! don't have their prompt, or be refused because reading it would take too long, until each prompt
+//! had been read once more. In a recorded day that ended so, the share of long prompts that were
+//! read again rose from a quarter to all, and recovered after eight seconds.
 //!
-//! Each runner is asked by the scheduler of its pool alone, since answering delays its work.
+//! Only the scheduler of a pool queries its runners, since answering delays their work.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,60 +21,60 @@
 use crate::serve::connection::CONNECT_LIMIT;
 use crate::serve::shared::Shared;
 
-/// How long an answer may take; later it tells what other requests have shown by then.
+/// The time-out of a query; a later answer only says what other requests have shown by then.
 const ANSWER_LIMIT: Duration = Duration::from_millis(500);
-/// The largest answer that is read: ten thousand parts.
-const LARGEST: usize = 1 << 20;
-/// The most parts of one runner that are counted, the largest first: as many prompts of 13,000 tokens
-/// as fit into the memory of the users' larger engines.
-const MOST_PARTS: usize = 64;
-/// The smallest part that is counted, in tokens: what a runner reads in one piece.
-const LEAST_TOKENS: u64 = 1_024;
+/// The maximum size of an answer: ten thousand parts.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// The maximum number of parts recorded per runner, largest first: as many prompts of 13,000 tokens
+/// as fit into the memory of the larger engines in use.
+const MAX_PARTS: usize = 64;
+/// The minimum size of a recorded part, in tokens: what a runner reads in one chunk.
+const MIN_TOKENS: u64 = 1_024;
 
-/// Asks the runners of a pool that this node has begun to schedule.
+/// Queries the runners of a pool that this node has begun to schedule.
 pub async fn run(shared: Arc<Shared>, service: ServiceId, pool: Pool) {
     let entries: Vec<(Entry, Stay)> = {
         let register = shared.register();
         let engines = register.of(&service).filter(|r| r.entry.stage.is_some() && r.pool == pool);
         engines.map(|r| (r.entry.clone(), r.stay())).collect()
     };
-    let asked =
+    let queries =
         entries.into_iter().map(|(entry, stay)| tokio::spawn(ask(shared.clone(), entry, stay)));
-    for one in asked.collect::<Vec<_>>() {
-        if let Err(error) = one.await {
-            log::error!(error:% = error; "asking what a runner keeps");
+    for query in queries.collect::<Vec<_>>() {
+        if let Err(error) = query.await {
+            log::error!(error:% = error; "cache query failed");
         }
     }
 }
 
 async fn ask(shared: Arc<Shared>, entry: Entry, stay: Stay) {
-    let asked = async {
+    let query = async {
         let request = ask_kept(&entry.id, entry.address);
         let sent = shared.connections.send(entry.address, request, CONNECT_LIMIT);
         let answer = sent.await.map_err(|e| e.to_string())?;
-        let (head, body) = answer.read(LARGEST).await.map_err(|e| e.to_string())?;
+        let (head, body) = answer.read(MAX_ANSWER_BYTES).await.map_err(|e| e.to_string())?;
         if !head.status.is_success() {
             return Err(format!("status {}", head.status));
         }
         read_kept(&body).map_err(|e| e.to_string())
     };
     let late = |_| Err(format!("no answer within {ANSWER_LIMIT:?}"));
-    match timeout(ANSWER_LIMIT, asked).await.unwrap_or_else(late) {
-        Ok(kept) => take(&shared, &stay, kept),
+    match timeout(ANSWER_LIMIT, query).await.unwrap_or_else(late) {
+        Ok(cached) => record_parts(&shared, &stay, cached),
         Err(error) => log::info!(runner:% = entry.id, error = error; "not told what is kept"),
     }
 }
 
-fn take(shared: &Shared, stay: &Stay, mut kept: Vec<Kept>) {
-    let parts = kept.len();
-    kept.retain(|kept| kept.tokens >= LEAST_TOKENS);
-    kept.sort_by_key(|kept| std::cmp::Reverse(kept.tokens));
-    kept.truncate(MOST_PARTS);
+fn record_parts(shared: &Shared, stay: &Stay, mut cached: Vec<Kept>) {
+    let parts = cached.len();
+    cached.retain(|cached| cached.tokens >= MIN_TOKENS);
+    cached.sort_by_key(|cached| std::cmp::Reverse(cached.tokens));
+    cached.truncate(MAX_PARTS);
     let now = shared.clock.now();
-    let kept = kept.iter().map(|kept| Part::kept(&kept.model, &kept.id, kept.tokens));
+    let cached = cached.iter().map(|cached| Part::kept(&cached.model, &cached.id, cached.tokens));
     let mut counted = 0;
     if let Some(runner) = shared.register().in_stay_mut(stay) {
-        for part in kept {
+        for part in cached {
             runner.cache.note_part(part, Progress::Read, now);
             counted += 1;
         }
