--- a/node/src/serve/connection.rs
+++ b/node/src/serve/connection.rs
@@ -1,8 +1,9 @@
-//! Connections to runners and to the store, kept for reuse.
+//! Pooled connections to runners and to the store.
 //!
-//! One request at a time goes over a connection. The connection that has been idle longest is taken
-//! first: a runner that sends a second answer late sends it while the connection is idle, and the
-//! client closes it then, before the stray bytes can meet another request.
+//! A connection carries one request at a time. The connection that has been idle longest is reused
+//! first: if a runner sends a second answer late, it arrives while the connection is idle, and the
+//! client closes the connection before the stray bytes can be taken for the answer to another
+//! request.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind;
@@ -27,43 +28,43 @@
 use crate::limit::Denied;
 use crate::serve::metrics::Metrics;
 
-/// Why there is no answer.
+/// Why a request got no answer.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// No connection could be made: nothing was sent.
+    /// The connection failed: nothing was sent.
     #[error("connecting to {peer}: {detail}")]
     Connect {
-        /// The other side.
+        /// The remote address.
         peer: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         detail: String,
     },
-    /// A kept connection had been closed before anything was sent.
+    /// A pooled connection had been closed before anything was sent.
     #[error("sending to {peer}: the connection had been closed")]
     Unsent {
-        /// The other side.
+        /// The remote address.
         peer: SocketAddr,
     },
-    /// The runner's rate limit leaves no room: nothing was sent.
+    /// The runner's rate limit denied the request: nothing was sent.
     #[error("sending to {peer}: {denied}")]
     RateLimited {
-        /// The other side.
+        /// The remote address.
         peer: SocketAddr,
-        /// When there may be room.
+        /// When the limit may permit it.
         denied: Denied,
     },
     /// The connection broke after something may have been sent.
-    #[error("answer of {peer} broke off: {detail}")]
+    #[error("connection to {peer} broke: {detail}")]
     Broken {
-        /// The other side.
+        /// The remote address.
         peer: SocketAddr,
-        /// What the client says.
+        /// The client's error.
         detail: String,
     },
 }
 
 impl SendError {
-    /// Whether it is certain that the other side has not got the request.
+    /// Returns whether the peer has certainly not received the request.
     pub fn proves_unsent(&self) -> bool {
         match self {
             SendError::Connect { .. }
@@ -73,25 +74,25 @@
         }
     }
 
-    /// Whether it says nothing against the other side, which was not tried.
+    /// Returns whether the request was denied locally, which says nothing about the peer.
     pub fn is_denied(&self) -> bool {
         matches!(self, SendError::RateLimited { .. })
     }
 }
 
-/// What came of trying an address.
+/// The result of probing an address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Probe {
-    /// Something listens there.
+    /// A process listens there.
     Accepted,
-    /// The machine is there, and nothing listens.
+    /// The machine is up, and no process listens.
     Refused,
-    /// There was no answer, which says nothing.
+    /// No answer, which is inconclusive.
     Unknown,
 }
 
-/// How long a connection to a runner may take. One way between data centres is at most a few
-/// milliseconds, and a runner takes one to accept.
+/// The time-out for connecting to a runner. The one-way latency between data centres is at most a
+/// few milliseconds, and a runner accepts within one.
 pub const CONNECT_LIMIT: Duration = Duration::from_millis(250);
 
 type Sender = SendRequest<Full<Bytes>>;
@@ -101,70 +102,70 @@
     until: std::time::Instant,
 }
 
-/// How long a connection is kept idle where the other side does not say. Shorter than any timeout
-/// seen, so that a request does not meet the other side's close.
-const DEFAULT_IDLE: Duration = Duration::from_secs(3);
-/// How much earlier than the other side a connection is given up.
+/// How long a connection is kept idle if the peer announces no time-out. Shorter than the peers'
+/// usual idle time-outs, so that a request does not race with the peer's close.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How much earlier than the peer's time-out an idle connection is closed.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
-/// How long the kernel waits for the acknowledgement of sent bytes before it gives a connection up:
-/// a silent path is noticed even when nothing is expected to come back.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
-/// How long a refusal of a connection may take: many times the way between data centres and back.
-const PROBE_LIMIT: Duration = Duration::from_millis(50);
-/// The most idle connections that are kept to one address.
-const MOST_IDLE: usize = 32;
+/// How long the kernel waits for sent bytes to be acknowledged before it aborts a connection: this
+/// detects a silent path even when no answer is expected.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
+/// The time-out of a probe: many times the round trip between data centres.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
+/// The maximum number of idle connections per address.
+const MAX_IDLE: usize = 32;
 
-/// All connections of this node.
+/// The connections of this node.
 pub struct Connections {
     idle: Mutex<HashMap<SocketAddr, VecDeque<Idle>>>,
     clock: Arc<dyn Clock>,
     metrics: Metrics,
 }
 
-/// An answer whose body is still to be read.
+/// An answer whose body has not been read yet.
 pub struct Answer {
     /// Its head.
     pub head: Parts,
     /// Its body.
     pub body: Incoming,
-    /// The connection it came over.
+    /// The connection that it came over.
     pub lease: Lease,
 }
 
-/// An answer's body did not come whole.
+/// The body of an answer is truncated.
 #[derive(Debug, Error)]
-#[error("the answer broke off: {0}")]
+#[error("answer truncated: {0}")]
 pub struct Incomplete(String);
 
 impl Answer {
-    /// Reads the whole body, up to `most` bytes, and gives the connection back.
+    /// Reads the whole body, up to `most` bytes, and returns the connection to the pool.
     ///
     /// # Errors
-    /// The body did not come whole, or is larger.
-    pub async fn read(self, most: usize) -> Result<(Parts, Bytes), Incomplete> {
-        let body = Limited::new(self.body, most).collect().await;
+    /// The body is truncated or larger.
+    pub async fn read(self, max_bytes: usize) -> Result<(Parts, Bytes), Incomplete> {
+        let body = Limited::new(self.body, max_bytes).collect().await;
         let body = body.map_err(|error| Incomplete(error.to_string()))?;
         self.lease.give_back();
         Ok((self.head, body.to_bytes()))
     }
 
-    /// Reads the whole body as [`Answer::read`] does, as long as pieces of it come no further apart
-    /// than `silence`: how long all of it takes depends on its size and the links.
+    /// Reads the whole body like [`Answer::read`], with a limit on the time between its pieces
+    /// instead of the whole: how long that takes depends on the size and the links.
     ///
     /// # Errors
-    /// The body did not come whole, is larger, or nothing came for too long.
-    pub async fn read_while_it_comes(
+    /// The body is truncated or larger, or nothing was received for too long.
+    pub async fn read_with_idle_timeout(
         self,
-        most: usize,
-        silence: Duration,
+        max_bytes: usize,
+        idle_timeout: Duration,
     ) -> Result<(Parts, Bytes), Incomplete> {
-        let (mut body, mut whole) = (Limited::new(self.body, most), BytesMut::new());
+        let (mut body, mut whole) = (Limited::new(self.body, max_bytes), BytesMut::new());
         loop {
-            let frame = timeout(silence, body.frame()).await;
-            let frame = frame.map_err(|_| Incomplete(format!("nothing came for {silence:?}")))?;
+            let frame = timeout(idle_timeout, body.frame()).await;
+            let frame = frame.map_err(|_| Incomplete(format!("no data for {idle_timeout:?}")))?;
             let Some(frame) = frame else { break };
             let frame = frame.map_err(|error| Incomplete(error.to_string()))?;
-            // Trailers say nothing here.
+            // Trailers are ignored.
             if let Ok(data) = frame.into_data() {
                 whole.extend_from_slice(&data);
             }
@@ -173,11 +174,11 @@
         Ok((self.head, whole.freeze()))
     }
 
-    /// Reads a body that nobody needs, so that the connection can be used again. One that does not
-    /// come whole closes it.
-    pub async fn discard(self, most: usize) {
-        if let Err(error) = self.read(most).await {
-            log::debug!(error:% = error; "discarding an answer");
+    /// Reads and drops the body, so that the connection can be reused. If the body is truncated,
+    /// the connection is closed.
+    pub async fn discard(self, max_bytes: usize) {
+        if let Err(error) = self.read(max_bytes).await {
+            log::debug!(error:% = error; "cannot discard answer");
         }
     }
 }
@@ -187,29 +188,29 @@
     connections: Arc<Connections>,
     address: SocketAddr,
     sender: Sender,
-    keep: Option<Duration>,
+    idle_timeout: Option<Duration>,
 }
 
 impl Lease {
-    /// Gives the connection back for reuse, once the whole answer has been read.
+    /// Returns the connection to the pool, once the whole answer has been read.
     pub fn give_back(self) {
-        let Some(keep) = self.keep.and_then(|keep| keep.checked_sub(IDLE_MARGIN)) else { return };
+        let Some(keep) = self.idle_timeout.and_then(|t| t.checked_sub(IDLE_MARGIN)) else { return };
         let until = self.connections.clock.now() + keep;
         let mut idle = self.connections.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let queue = idle.entry(self.address).or_default();
-        if queue.len() < MOST_IDLE {
+        if queue.len() < MAX_IDLE {
             queue.push_back(Idle { sender: self.sender, until });
         }
     }
 }
 
 impl Connections {
-    /// No connections yet.
+    /// Creates an empty pool.
     pub fn new(clock: Arc<dyn Clock>, metrics: Metrics) -> Self {
         Self { idle: Mutex::new(HashMap::new()), clock, metrics }
     }
 
-    /// Sends a request and waits for the head of its answer. `connecting` bounds the time for a new
+    /// Sends a request and waits for the head of its answer. `connect_timeout` applies to a new
     /// connection.
     ///
     /// # Errors
@@ -218,20 +219,20 @@
         self: &Arc<Self>,
         address: SocketAddr,
         request: Request<Bytes>,
-        connecting: Duration,
+        connect_timeout: Duration,
     ) -> Result<Answer, SendError> {
         let mut request = request.map(Full::new);
         while let Some(mut sender) = self.take_idle(address) {
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok(self.answer(address, sender, response)),
                 Err(mut error) => match error.take_message() {
-                    // Nothing of it had been sent: the next connection gets it.
+                    // Nothing of it was sent: it is retried on the next connection.
                     Some(unsent) => request = unsent,
                     None => return Err(broken(address, error.error())),
                 },
             }
         }
-        let mut sender = self.connect(address, connecting).await?;
+        let mut sender = self.connect(address, connect_timeout).await?;
         match sender.try_send_request(request).await {
             Ok(response) => Ok(self.answer(address, sender, response)),
             Err(mut error) => match error.take_message() {
@@ -248,8 +249,8 @@
         response: Response<Incoming>,
     ) -> Answer {
         let (head, body) = response.into_parts();
-        let keep = keep_alive(&head.headers, DEFAULT_IDLE);
-        let lease = Lease { connections: self.clone(), address, sender, keep };
+        let idle_timeout = keep_alive(&head.headers, DEFAULT_IDLE_TIMEOUT);
+        let lease = Lease { connections: self.clone(), address, sender, idle_timeout };
         Answer { head, body, lease }
     }
 
@@ -265,8 +266,8 @@
         None
     }
 
-    /// Closes idle connections whose time is over, and those to addresses not in `wanted`.
-    pub fn tidy(&self, wanted: impl Fn(&SocketAddr) -> bool) {
+    /// Closes expired idle connections, and those to addresses that are not `wanted`.
+    pub fn close_expired(&self, wanted: impl Fn(&SocketAddr) -> bool) {
         let now = self.clock.now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain(|address, queue| {
@@ -276,14 +277,14 @@
     }
 
     /// Closes the idle connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).remove(&address);
     }
 
-    /// Tries whether anything listens at an address.
+    /// Checks whether a process listens at an address.
     pub async fn probe(&self, address: SocketAddr) -> Probe {
         self.metrics.connections.inc();
-        match timeout(PROBE_LIMIT, TcpStream::connect(address)).await {
+        match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(_)) => Probe::Accepted,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Probe::Refused,
             Ok(Err(_)) | Err(_) => Probe::Unknown,
@@ -299,12 +300,12 @@
             Err(_) => return Err(failed(format!("no answer within {limit:?}"))),
         };
         prepare(&stream);
-        drop_unsent_at_close(&stream);
+        discard_unsent_on_close(&stream);
         let (sender, connection) =
             handshake(TokioIo::new(stream)).await.map_err(|e| failed(e.to_string()))?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!(peer:% = address, error:% = error; "a connection ended");
+                log::debug!(peer:% = address, error:% = error; "connection closed");
             }
         });
         Ok(sender)
@@ -315,23 +316,25 @@
     SendError::Broken { peer, detail: error.to_string() }
 }
 
-/// Has what has not been delivered dropped when the connection is closed.
+/// Makes closing the connection discard undelivered data.
 ///
-/// A call that is given up while the path to its peer is cut leaves its bytes with the system, which
-/// delivers them when the path is back: a runner got a request six seconds after its caller had left,
-/// and more than two after the runner had said that it leaves. Closing with a reset takes them back.
-fn drop_unsent_at_close(stream: &TcpStream) {
+/// If a call is abandoned while the path to its peer is down, its bytes stay in the kernel's send
+/// buffer and are delivered once the path recovers. Without this, a runner got a request six
+/// seconds after its caller had disconnected, and more than two after the runner had said that it
+/// leaves. Closing with a reset discards the buffer.
+fn discard_unsent_on_close(stream: &TcpStream) {
     if let Err(error) = SockRef::from(stream).set_linger(Some(Duration::ZERO)) {
-        log::debug!(error:% = error; "setting a connection's end");
+        log::debug!(error:% = error; "cannot set SO_LINGER");
     }
 }
 
-/// Sets a connection so that small writes leave at once and a silent path is noticed.
+/// Configures a connection to send small writes at once and to detect a silent path.
 pub fn prepare(stream: &TcpStream) {
     let socket = SockRef::from(stream);
-    let set =
-        stream.set_nodelay(true).and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED)));
+    let set = stream
+        .set_nodelay(true)
+        .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)));
     if let Err(error) = set {
-        log::debug!(error:% = error; "setting a connection's options");
+        log::debug!(error:% = error; "cannot set socket options");
     }
 }
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/follow.rs
@@ -34,7 +34,7 @@
 /// How many invalid entries of one batch are logged individually.
 const MAX_FOREIGN_LINES: usize = 8;
 /// How often expired entries and idle connections are removed.
-const TIDY_PERIOD: Duration = Duration::from_millis(250);
+const CLEAN_UP_PERIOD: Duration = Duration::from_millis(250);
 
 /// Watches the configuration until the process ends.
 pub async fn configuration(shared: Arc<Shared>) {
@@ -168,7 +168,7 @@
                 log_change(&id, changed, at, source);
                 if changed == Changed::Reborn {
                     // The process at the other end of these connections has ended.
-                    shared.connections.forget(address);
+                    shared.connections.close_idle(address);
                 }
                 changed
             }
@@ -297,9 +297,9 @@
 }
 
 /// Removes expired runners and idle connections until the process ends.
-pub async fn tidy(shared: Arc<Shared>) {
+pub async fn clean_up(shared: Arc<Shared>) {
     loop {
-        sleep(TIDY_PERIOD).await;
+        sleep(CLEAN_UP_PERIOD).await;
         let now = shared.clock.now();
         let expired = shared.register().expire(now);
         if !expired.is_empty() {
@@ -325,7 +325,7 @@
         shared.metrics.runners.with_label_values(&["draining"]).set(draining);
         let store = shared.settings.store;
         let platform = shared.settings.platform;
-        shared.connections.tidy(|address| {
+        shared.connections.close_expired(|address| {
             *address == store || Some(*address) == platform || addresses.contains(address)
         });
     }
--- a/node/src/serve/follower.rs
+++ b/node/src/serve/follower.rs
@@ -162,8 +162,8 @@
     /// Logs a failure and backs off. All is listed again afterwards: a list is answered at once,
     /// while a watch over a silent path would hang for its whole wait.
     pub(super) async fn back_off(&mut self, error: &StoreError) {
-        let forgotten = error.is_forgotten();
-        if !forgotten {
+        let history_lost = error.is_forgotten();
+        if !history_lost {
             self.shared.note_unserved();
         }
         self.from = None;
@@ -171,11 +171,11 @@
         let draw: f64 = self.shared.rng().random();
         let pause = pause(self.failures, draw);
         // A store that has compacted its history is not down.
-        let first = !forgotten && self.shared.outage().note_failure(self.shared.clock.now());
-        if first || forgotten {
+        let first = !history_lost && self.shared.outage().note_failure(self.shared.clock.now());
+        if first || history_lost {
             log::warn!(
                 what:% = self.what, error:% = error, pause_ms = pause.as_millis() as u64;
-                "store {}", if forgotten { "no longer has the history" } else { "lost" }
+                "store {}", if history_lost { "no longer has the history" } else { "lost" }
             );
         } else {
             log::debug!(
@@ -184,7 +184,7 @@
             );
         }
         self.shared.note_behind();
-        sleep(if forgotten { pause / FORGOTTEN_BACK_OFF_DIVISOR } else { pause }).await;
+        sleep(if history_lost { pause / FORGOTTEN_BACK_OFF_DIVISOR } else { pause }).await;
     }
 }
 
--- a/node/src/serve/run.rs
+++ b/node/src/serve/run.rs
@@ -136,7 +136,7 @@
     tokio::spawn(quarantine::store::run(shared.clone()));
     tokio::spawn(quarantine::store::write_again(shared.clone()));
     tokio::spawn(join::join(shared.clone(), socket.clone()));
-    tokio::spawn(follow::tidy(shared.clone()));
+    tokio::spawn(follow::clean_up(shared.clone()));
     tokio::spawn(order::run(shared.clone()));
     let exchange = duty::start(&shared, socket);
     log::info!(
--- a/node/src/serve/store.rs
+++ b/node/src/serve/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store, each bounded in time and counted.
+//! The client of the platform's store; each call has a time-out and is counted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 use crate::serve::connection::{Connections, Incomplete, SendError};
 use crate::serve::metrics::Metrics;
 
-/// Why a call gave nothing.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The store answered, and refused.
+    /// The store refused the call.
     #[error("{purpose}: {refused}")]
     Refused {
-        /// What the call was for.
+        /// The purpose of the call.
         purpose: Purpose,
         /// The refusal.
         refused: Refused,
@@ -30,52 +30,53 @@
     /// The store did not answer.
     #[error("{purpose}: {source}")]
     Send {
-        /// What the call was for.
+        /// The purpose of the call.
         purpose: Purpose,
-        /// What went wrong.
+        /// The cause.
         source: SendError,
     },
-    /// The answer did not come whole.
+    /// The answer is truncated.
     #[error("{purpose}: {source}")]
     Broken {
-        /// What the call was for.
+        /// The purpose of the call.
         purpose: Purpose,
-        /// What went wrong.
+        /// The cause.
         source: Incomplete,
     },
-    /// The answer is of an era that it must not be used of.
+    /// The answer is of an era that must not be used.
     #[error("{purpose}: {source}")]
     Era {
-        /// What the call was for.
+        /// The purpose of the call.
         purpose: Purpose,
         /// What is wrong with the era.
         source: EraError,
     },
-    /// The store came back from a copy between what the call builds on and its answer. A write may have
-    /// replaced other content than was meant.
+    /// The store was restored from a copy between the revision that the call builds on and its
+    /// answer. A write may have replaced other content than intended.
     #[error(
-        "{purpose}: the store came back from a copy; the call built on {was}, the answer is of era {era}"
+        "{purpose}: the store was restored from a copy; the call built on {was}, the answer is of era {era}"
     )]
     Crossed {
-        /// What the call was for.
+        /// The purpose of the call.
         purpose: Purpose,
-        /// What it built on.
+        /// The revision that it built on.
         was: Point,
         /// The era of the answer.
         era: Era,
     },
-    /// The answer did not come in time.
+    /// The answer did not begin in time.
     #[error("{purpose}: no answer within {limit:?}")]
     Late {
-        /// What the call was for.
+        /// The purpose of the call.
         purpose: Purpose,
-        /// The time it had.
+        /// The time-out.
         limit: Duration,
     },
 }
 
 impl StoreError {
-    /// Whether the store has forgotten the history that was asked for, or has another one by now.
+    /// Returns whether the store no longer has the requested history, or has another history by
+    /// now.
     pub fn is_forgotten(&self) -> bool {
         match self {
             StoreError::Refused { refused, .. } => *refused == Refused::Forgotten,
@@ -85,43 +86,43 @@
     }
 }
 
-/// What a call is for.
+/// The purpose of a call.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Purpose {
     /// Reading the configuration.
     Configuration,
-    /// Waiting for another configuration.
+    /// Watching the configuration.
     ConfigurationWatch,
-    /// Making sure that no newer configuration exists.
+    /// Checking that no newer configuration exists.
     ConfigurationCheck,
     /// Reading the register of runners.
     Register,
-    /// Waiting for a change of the register.
+    /// Watching the register.
     RegisterWatch,
-    /// Reading who the nodes are.
+    /// Reading the entries of the nodes.
     Nodes,
     /// Writing this node's entry.
     NodeWrite,
-    /// Reading or writing the lease on the duties of one node at a time.
+    /// Reading or writing the duties lease.
     Lease,
-    /// Reading or writing what is not run.
+    /// Reading or writing quarantined requests.
     Quarantine,
     /// Reading or writing settled usage.
     Usage,
 }
 
-/// How long the store may take to begin its answer to a call other than a watch, and to go on with
-/// any. It answers in 4 ms (users' sheets), and in 60 to 75 times that when it is slow. The whole of
-/// an answer has no limit: a megabyte takes 0.84 s on a link of 10 Mbit/s, and a read that is given up
-/// and begun anew never ends there.
-const CALL_LIMIT: Duration = Duration::from_millis(700);
-/// How long a connection to the store may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// What a watch may take beyond its wait.
+/// The time-out for the start of an answer, except to a watch, and between its pieces. The store
+/// answers in 4 ms (platform data sheets), and in 60 to 75 times that when it is slow. An answer as
+/// a whole has no time-out: a megabyte takes 0.84 s on a link of 10 Mbit/s, and there a read that
+/// is aborted and restarted would never complete.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// The time-out for connecting to the store.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The time that a watch may take beyond its wait.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
-/// The largest answer: a page of about a megabyte, with room.
-const LARGEST: usize = 8 << 20;
+/// The maximum size of an answer: a page of about a megabyte, with room to spare.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// The client.
 pub struct Client {
@@ -132,7 +133,7 @@
 }
 
 impl Client {
-    /// A client for the store at `address`.
+    /// Creates a client for the store at `address`.
     pub fn new(
         address: SocketAddr,
         connections: Arc<Connections>,
@@ -142,8 +143,8 @@
         Self { address, connections, history, metrics }
     }
 
-    /// Reads all objects of a kind, page by page, and the revision of the first page. Changes made
-    /// while the pages are read come again through the watch that follows.
+    /// Lists all objects of a kind, page by page, and returns the revision of the first page.
+    /// Changes made between the pages are reported again by the watch that follows.
     ///
     /// # Errors
     /// A page cannot be read.
@@ -157,9 +158,9 @@
         let mut after = None;
         loop {
             let request = store::list(self.address, kind, after.as_deref());
-            let page: Page = self.call(purpose, request, CALL_LIMIT, store::read_page).await?;
+            let page: Page = self.call(purpose, request, CALL_TIMEOUT, store::read_page).await?;
             let first = *as_of.get_or_insert(page.as_of);
-            self.same_era(purpose, first, page.as_of.era)?;
+            self.check_era(purpose, first, page.as_of.era)?;
             objects.extend(page.objects);
             match page.next {
                 Some(next) => after = Some(next),
@@ -178,14 +179,14 @@
         kind: &str,
     ) -> Result<Vec<Object>, StoreError> {
         let request = store::list(self.address, kind, None);
-        let page: Page = self.call(purpose, request, CALL_LIMIT, store::read_page).await?;
+        let page: Page = self.call(purpose, request, CALL_TIMEOUT, store::read_page).await?;
         Ok(page.objects)
     }
 
     /// Waits for changes of a kind after `from`.
     ///
     /// # Errors
-    /// The watch was cut, refused, or too late.
+    /// The watch was cut off, refused, or timed out.
     pub async fn watch(
         &self,
         purpose: Purpose,
@@ -193,21 +194,21 @@
         from: Point,
         wait: Duration,
     ) -> Result<Changes, StoreError> {
-        self.same_era(purpose, from, self.history.era())?;
+        self.check_era(purpose, from, self.history.era())?;
         let request = store::watch(self.address, kind, from, wait);
         let limit = wait + WATCH_SLACK;
         let changes = self.call(purpose, request, limit, store::read_changes).await?;
-        self.same_era(purpose, from, changes.as_of.era)?;
+        self.check_era(purpose, from, changes.as_of.era)?;
         Ok(changes)
     }
 
-    /// Makes sure that an answer of `era` goes on from `was`: revisions are given out again in another
-    /// era.
-    fn same_era(&self, purpose: Purpose, was: Point, era: Era) -> Result<(), StoreError> {
+    /// Checks that an answer of `era` continues from `was`: another era assigns the same revisions
+    /// again.
+    fn check_era(&self, purpose: Purpose, was: Point, era: Era) -> Result<(), StoreError> {
         if was.era == era { Ok(()) } else { Err(StoreError::Crossed { purpose, was, era }) }
     }
 
-    /// Writes an object, new or in place of whatever is there.
+    /// Writes an object, whether it exists or not.
     ///
     /// # Errors
     /// It cannot be written.
@@ -226,20 +227,20 @@
         self.replace(purpose, kind, name, object.at, content).await.map(|_| ())
     }
 
-    /// Removes an object, if it is there.
+    /// Removes an object if it exists.
     ///
     /// # Errors
     /// It cannot be removed.
     pub async fn remove(&self, purpose: Purpose, kind: &str, name: &str) -> Result<(), StoreError> {
         let Some(object) = self.get(purpose, kind, name).await? else { return Ok(()) };
         let request = store::remove(self.address, kind, name, object.at);
-        match self.call(purpose, request, CALL_LIMIT, store::read_done).await {
+        match self.call(purpose, request, CALL_TIMEOUT, store::read_done).await {
             Err(StoreError::Refused { refused: Refused::Missing, .. }) => Ok(()),
             other => other,
         }
     }
 
-    /// Reads one object; none if there is none.
+    /// Reads one object; `None` if it does not exist.
     ///
     /// # Errors
     /// It cannot be read.
@@ -250,17 +251,17 @@
         name: &str,
     ) -> Result<Option<Object>, StoreError> {
         let request = store::get(self.address, kind, name);
-        match self.call(purpose, request, CALL_LIMIT, store::read_object).await {
+        match self.call(purpose, request, CALL_TIMEOUT, store::read_object).await {
             Ok(object) => Ok(Some(object)),
             Err(StoreError::Refused { refused: Refused::Missing, .. }) => Ok(None),
             Err(error) => Err(error),
         }
     }
 
-    /// Writes an object that must not be there yet.
+    /// Creates an object that must not exist yet.
     ///
     /// # Errors
-    /// It is there, or cannot be written.
+    /// It exists, or cannot be written.
     pub async fn create(
         &self,
         purpose: Purpose,
@@ -270,16 +271,16 @@
     ) -> Result<Object, StoreError> {
         let was = Point::new(self.history.era(), 0);
         let request = store::create(self.address, kind, name, content);
-        let object = self.call(purpose, request, CALL_LIMIT, store::read_object).await?;
-        self.same_era(purpose, was, object.at.era)?;
+        let object = self.call(purpose, request, CALL_TIMEOUT, store::read_object).await?;
+        self.check_era(purpose, was, object.at.era)?;
         Ok(object)
     }
 
-    /// Replaces an object whose last change must still be `was`.
+    /// Replaces an object that must still be at revision `was`.
     ///
     /// # Errors
-    /// It is another one by now, or cannot be written. After [`StoreError::Crossed`] it may have been
-    /// written in place of another one.
+    /// The object has changed, or cannot be written. After [`StoreError::Crossed`] it may have
+    /// replaced another one.
     pub async fn replace(
         &self,
         purpose: Purpose,
@@ -292,8 +293,8 @@
             return Err(StoreError::Refused { purpose, refused: Refused::Conflict(None) });
         }
         let request = store::replace(self.address, kind, name, was, content);
-        let object = self.call(purpose, request, CALL_LIMIT, store::read_object).await?;
-        self.same_era(purpose, was, object.at.era)?;
+        let object = self.call(purpose, request, CALL_TIMEOUT, store::read_object).await?;
+        self.check_era(purpose, was, object.at.era)?;
         Ok(object)
     }
 
@@ -325,10 +326,10 @@
         request: Request<Bytes>,
         limit: Duration,
     ) -> Result<(Era, StatusCode, Bytes), StoreError> {
-        let sent = self.connections.send(self.address, request, CONNECT_LIMIT);
+        let sent = self.connections.send(self.address, request, CONNECT_TIMEOUT);
         let answer = timeout(limit, sent).await.map_err(|_| StoreError::Late { purpose, limit })?;
         let answer = answer.map_err(|source| StoreError::Send { purpose, source })?;
-        let read = answer.read_while_it_comes(LARGEST, CALL_LIMIT).await;
+        let read = answer.read_with_idle_timeout(MAX_ANSWER_BYTES, CALL_TIMEOUT).await;
         let (head, body) = read.map_err(|source| StoreError::Broken { purpose, source })?;
         let era = self.history.note_answer(&head.headers);
         let era = era.map_err(|source| StoreError::Era { purpose, source })?;
