--- a/node/src/serve/copy.rs
+++ b/node/src/serve/copy.rs
@@ -1,7 +1,8 @@
-//! Copies of a new configuration from node to node.
+//! Distribution of a new configuration from node to node.
 //!
-//! A beat says that a node has a newer configuration. The others ask one that has it; it gives few
-//! copies at a time and sends those that wait to nodes that have just got one (`lib::fleet::fanout`).
+//! Heartbeats say which nodes have a newer configuration. The other nodes ask one of these; it
+//! sends few copies at a time and refers waiting nodes to nodes that have just received one
+//! (`lib::fleet::fanout`).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,51 +29,52 @@
 use crate::serve::shared::Shared;
 use crate::serve::transfer::{Disconnected, Grant, Parts, Queue, keep_alive, send};
 
-/// How long a node that is behind waits for the store's own word.
-const PATIENCE: Duration = Duration::from_millis(40);
-/// The size of a piece, in bytes: small enough for other traffic to pass between two of them.
-const PIECE: usize = 16 << 10;
-/// The largest copy: a configuration of a megabyte that packing does not shorten, with room.
-const LARGEST: usize = 2 << 20;
+/// How long a node that is behind waits for an answer of the store.
+const ASK_DELAY: Duration = Duration::from_millis(40);
+/// The size of a part, in bytes: small enough for other traffic to pass between two of them.
+const PART_BYTES: usize = 16 << 10;
+/// The maximum size of a copy: an incompressible configuration of a megabyte, with room to spare.
+const MAX_COPY_BYTES: usize = 2 << 20;
 
-/// A configuration as it is given to others.
+/// A configuration as sent to other nodes.
 #[derive(Debug)]
-struct Original {
+struct Offered {
     version: ConfigVersion,
     name: SmolStr,
     at: Point,
-    packed: Bytes,
+    compressed: Bytes,
 }
 
-/// What a node gives to others.
+/// The configuration that a node offers to other nodes.
 #[derive(Debug, Default)]
 pub struct Copies {
-    newest: watch::Sender<Option<Arc<Original>>>,
+    newest: watch::Sender<Option<Arc<Offered>>>,
     transfers: Arc<Queue>,
 }
 
 impl Copies {
-    /// Has a configuration given to those that ask from now on, packed as it came if it did.
-    pub fn offer(&self, version: ConfigVersion, object: Object, packed: Option<Bytes>) {
+    /// Offers a configuration from now on. `packed` is its compressed content, if it was received
+    /// so.
+    pub fn offer(&self, version: ConfigVersion, object: Object, compressed: Option<Bytes>) {
         let Object { name, at, content } = object;
-        let packed = packed.unwrap_or_else(|| pack(&content));
-        self.newest.send_replace(Some(Arc::new(Original { version, name, at, packed })));
+        let compressed = compressed.unwrap_or_else(|| pack(&content));
+        self.newest.send_replace(Some(Arc::new(Offered { version, name, at, compressed })));
     }
 }
 
 /// Answers a node that asks for a newer configuration, in parts.
 pub fn answer(
     shared: Arc<Shared>,
-    asked: pb::CopyRequest,
+    request: pb::CopyRequest,
 ) -> mpsc::Receiver<Result<pb::CopyPart, Status>> {
     let (parts, receiver) = mpsc::channel(1);
     tokio::spawn(async move {
         let began = Instant::now();
-        let given = give(&shared, &asked, &parts).await;
-        let outcome = given.unwrap_or("not_taken");
+        let result = send_copy(&shared, &request, &parts).await;
+        let outcome = result.unwrap_or("not_taken");
         shared.metrics.copies.with_label_values(&["sent", outcome]).inc();
         log::info!(
-            node = asked.node, has = asked.version, outcome = outcome,
+            node = request.node, has = request.version, outcome = outcome,
             waiting = shared.copies.transfers.waiting(),
             took_ms = began.elapsed().as_millis() as u64; "asked for the configuration"
         );
@@ -80,22 +82,22 @@
     receiver
 }
 
-/// Gives a copy, and says what became of it in one word.
-async fn give(
+/// Sends a copy, and returns the outcome as a metric label.
+async fn send_copy(
     shared: &Shared,
-    asked: &pb::CopyRequest,
+    request: &pb::CopyRequest,
     parts: &Parts<pb::CopyPart>,
 ) -> Result<&'static str, Disconnected> {
     let mut newest = shared.copies.newest.subscribe();
-    let is_newer = |original: &Option<Arc<Original>>| {
-        original.as_ref().is_some_and(|original| original.version.0 > asked.version)
+    let is_newer = |offered: &Option<Arc<Offered>>| {
+        offered.as_ref().is_some_and(|offered| offered.version.0 > request.version)
     };
-    // A node is also asked while its own copy is on its way.
-    let comes = async { newest.wait_for(is_newer).await.ok().and_then(|newest| newest.clone()) };
-    let Some(original) = keep_alive(parts, comes).await? else { return Ok("nothing") };
-    // All nodes ask in the same instant. Copies that share a thin link would all come late, and those
-    // that are given up are lost, so few go at once.
-    let slot = match shared.copies.transfers.wait(parts, original.packed.len()).await? {
+    // A node is also asked while its own copy is still being transferred.
+    let arrival = async { newest.wait_for(is_newer).await.ok().and_then(|newest| newest.clone()) };
+    let Some(offered) = keep_alive(parts, arrival).await? else { return Ok("nothing") };
+    // All nodes ask at the same moment. Concurrent copies over a thin link would all be late, and
+    // abandoned ones are wasted, so few are sent at once.
+    let slot = match shared.copies.transfers.wait(parts, offered.compressed.len()).await? {
         Grant::Slot(slot) => slot,
         Grant::Referral(address) => {
             let elsewhere = Some(address.to_string());
@@ -103,30 +105,30 @@
             return Ok("sent_elsewhere");
         }
     };
-    // Its turn may have come after a newer one.
-    let original = shared.copies.newest.borrow().clone().unwrap_or(original);
-    send_parts(shared, &original, parts).await?;
-    slot.finish(parts, &asked.peer).await?;
+    // A newer configuration may have arrived while the call was queued.
+    let offered = shared.copies.newest.borrow().clone().unwrap_or(offered);
+    send_parts(shared, &offered, parts).await?;
+    slot.finish(parts, &request.peer).await?;
     Ok("given")
 }
 
 async fn send_parts(
     shared: &Shared,
-    original: &Original,
+    offered: &Offered,
     parts: &Parts<pb::CopyPart>,
 ) -> Result<(), Disconnected> {
     let sent = shared.metrics.copy_bytes.with_label_values(&["sent"]);
-    let mut content = original.packed.clone();
+    let mut content = offered.compressed.clone();
     loop {
-        let piece = content.split_to(content.len().min(PIECE));
-        sent.inc_by(piece.len() as u64);
+        let part = content.split_to(content.len().min(PART_BYTES));
+        sent.inc_by(part.len() as u64);
         let last = content.is_empty();
         let end = last.then(|| pb::CopyEnd {
-            name: original.name.to_string(),
-            revision: original.at.revision.0,
-            era: Some(original.at.era.0),
+            name: offered.name.to_string(),
+            revision: offered.at.revision.0,
+            era: Some(offered.at.era.0),
         });
-        send(parts, pb::CopyPart { elsewhere: None, content: piece.into(), end }).await?;
+        send(parts, pb::CopyPart { elsewhere: None, content: part.into(), end }).await?;
         if last {
             return Ok(());
         }
@@ -137,16 +139,16 @@
 pub async fn learn(shared: Arc<Shared>) {
     loop {
         shared.outdated.notified().await;
-        sleep(PATIENCE).await;
+        sleep(ASK_DELAY).await;
         let mut failures = Failures::default();
-        while let Some(holder) = holder(&shared, &mut failures) {
+        while let Some(source) = pick_source(&shared, &mut failures) {
             let began = Instant::now();
-            let fetched = fetch(&shared, holder.peer).await;
+            let fetched = fetch(&shared, source.peer).await;
             let took = began.elapsed().as_millis() as u64;
             let outcome = match fetched {
                 Ok((peer, bytes)) => {
                     log::info!(
-                        node:% = holder.id, peer:% = peer, bytes = bytes, took_ms = took;
+                        node:% = source.id, peer:% = peer, bytes = bytes, took_ms = took;
                         "configuration copied"
                     );
                     failures.clear();
@@ -154,12 +156,12 @@
                 }
                 Err(error) => {
                     log::warn!(
-                        node:% = holder.id, error:% = error, took_ms = took;
+                        node:% = source.id, error:% = error, took_ms = took;
                         "configuration not copied"
                     );
-                    let in_a_row = failures.note(holder.id);
+                    let consecutive = failures.note(source.id);
                     let draw: f64 = shared.rng().random();
-                    sleep(pause(in_a_row, draw)).await;
+                    sleep(pause(consecutive, draw)).await;
                     error.outcome()
                 }
             };
@@ -168,28 +170,28 @@
     }
 }
 
-/// A node that has a newer configuration: any, so that those who have it share the work.
-fn holder(shared: &Shared, failures: &mut Failures) -> Option<Contact> {
+/// Picks a random node that has a newer configuration, so that those nodes share the load.
+fn pick_source(shared: &Shared, failures: &mut Failures) -> Option<Contact> {
     let mine = shared.status().version;
     let roster = shared.roster();
-    let holder = failures.pick(
+    let source = failures.pick(
         || roster.with_newer_configuration(mine),
-        |holder| &holder.id,
-        |holders| holders.choose(&mut *shared.rng()),
+        |source| &source.id,
+        |sources| sources.choose(&mut *shared.rng()),
     );
-    holder.cloned()
+    source.cloned()
 }
 
-/// Copies the configuration from a node or from whom it names, and puts it in force. Gives who gave
-/// it in the end, and its size.
+/// Copies the configuration from a node or from a node it refers to, and installs it. Returns the
+/// node that sent it, and the compressed size.
 async fn fetch(shared: &Shared, first: SocketAddr) -> Result<(SocketAddr, usize), RpcError> {
-    let (peer, (end, packed)) = rpc::follow_referrals(first, |peer| ask(shared, peer)).await?;
-    let bytes = packed.len();
-    take(shared, end, packed).ok_or(RpcError::Unusable { peer })?;
+    let (peer, (end, compressed)) = rpc::follow_referrals(first, |peer| ask(shared, peer)).await?;
+    let bytes = compressed.len();
+    install_copy(shared, end, compressed).ok_or(RpcError::Unusable { peer })?;
     Ok((peer, bytes))
 }
 
-/// The object's name and revision, and its packed content.
+/// The object's name and revision, and its compressed content.
 type Fetched = (pb::CopyEnd, Bytes);
 
 async fn ask(shared: &Shared, peer: SocketAddr) -> Result<Reply<Fetched>, RpcError> {
@@ -207,8 +209,8 @@
             return Reply::referral(address, peer, shared.me.peer);
         }
         content.extend_from_slice(&part.content);
-        if content.len() > LARGEST {
-            return Err(RpcError::TooLarge { peer, most: LARGEST });
+        if content.len() > MAX_COPY_BYTES {
+            return Err(RpcError::TooLarge { peer, most: MAX_COPY_BYTES });
         }
         if let Some(end) = part.end {
             let received = shared.metrics.copy_bytes.with_label_values(&["received"]);
@@ -218,12 +220,15 @@
     }
 }
 
-/// Takes out what came packed and puts it in force; nothing if that cannot be done.
-fn take(shared: &Shared, end: pb::CopyEnd, packed: Bytes) -> Option<()> {
-    let content = match unpack(&packed) {
+/// Decompresses a copy and installs it; `None` if that fails.
+fn install_copy(shared: &Shared, end: pb::CopyEnd, compressed: Bytes) -> Option<()> {
+    let content = match unpack(&compressed) {
         Ok(content) => content,
         Err(error) => {
-            log::error!(revision = end.revision, error:% = error; "copy cannot be taken out");
+            log::error!(
+                revision = end.revision, error:% = error;
+                "cannot decompress configuration copy"
+            );
             return None;
         }
     };
@@ -231,11 +236,11 @@
     let at = match read_point(end.revision, end.era, shared.history.era()) {
         Ok(at) => at,
         Err(error) => {
-            log::error!(revision = end.revision, error:% = error; "copy is not taken");
+            log::error!(revision = end.revision, error:% = error; "invalid configuration copy");
             return None;
         }
     };
     let name = SmolStr::new(end.name);
-    install(shared, Object { name, at, content }, Some(packed), "node");
+    install(shared, Object { name, at, content }, Some(compressed), "node");
     (shared.status().version > was).then_some(())
 }
--- a/node/tests/pack.rs
+++ b/node/tests/pack.rs
@@ -1,36 +1,47 @@
-//! Configurations packed for their way between nodes.
+//! Compression of configurations for transfer between nodes.
 
 use std::time::Instant;
 
-use sardinepick_node::serve::pack::{LARGEST, pack, unpack};
+use sardinepick_node::serve::pack::{MAX_CONTENT_BYTES, pack, unpack};
 use sardinepick_testutils::fleet::deployment::large_configuration;
 
-/// A configuration of a megabyte took 0.84 s a copy on a link of 10 Mbit/s, and the last of 87 nodes
-/// has it after six copies one after the other: 5 s, where 3 s are allowed.
+/// Guards against configurations that spread too slowly: uncompressed, a megabyte takes 0.84 s on a
+/// link of 10 Mbit/s, and the last of 87 nodes gets it after six copies in a row, in 5 s instead of
+/// the allowed 3 s.
 #[test]
-fn pack_large_configuration_under_fifth() {
+fn compress_large_configuration_under_fifth() {
     let content = large_configuration(2, 4_000).to_string();
     let began = Instant::now();
-    let packed = pack(content.as_bytes());
-    let (packing, began) = (began.elapsed(), Instant::now());
-    assert_eq!(unpack(&packed).expect("whole"), content);
-    println!("{} to {} bytes, {packing:?}, {:?}", content.len(), packed.len(), began.elapsed());
-    assert!(packed.len() * 5 < content.len(), "{} of {} bytes", packed.len(), content.len());
+    let compressed = pack(content.as_bytes());
+    let (compression_time, began) = (began.elapsed(), Instant::now());
+    assert_eq!(unpack(&compressed).expect("valid data"), content);
+    println!(
+        "{} to {} bytes, {compression_time:?}, {:?}",
+        content.len(),
+        compressed.len(),
+        began.elapsed()
+    );
+    assert!(
+        compressed.len() * 5 < content.len(),
+        "{} of {} bytes",
+        compressed.len(),
+        content.len()
+    );
 }
 
 #[test]
-fn unpack_broken_error() {
-    let packed = pack(large_configuration(2, 100).to_string().as_bytes());
-    assert!(unpack(&packed[..packed.len() / 2]).is_err(), "half of it");
-    assert!(unpack(b"{\"version\":2}").is_err(), "never packed");
-    let mut changed = packed.to_vec();
+fn decompress_corrupt_error() {
+    let compressed = pack(large_configuration(2, 100).to_string().as_bytes());
+    assert!(unpack(&compressed[..compressed.len() / 2]).is_err(), "truncated");
+    assert!(unpack(b"{\"version\":2}").is_err(), "not compressed");
+    let mut changed = compressed.to_vec();
     let last = changed.len() - 1;
     changed[last] ^= 1;
-    assert!(unpack(&changed).is_err(), "a bit changed on the way");
+    assert!(unpack(&changed).is_err(), "one bit flipped");
 }
 
 #[test]
-fn unpack_far_too_much_error() {
-    let packed = pack(&vec![b' '; usize::try_from(LARGEST).expect("a size") + 1]);
-    assert!(unpack(&packed).is_err(), "{} bytes", packed.len());
+fn decompress_too_large_error() {
+    let compressed = pack(&vec![b' '; usize::try_from(MAX_CONTENT_BYTES).expect("a size") + 1]);
+    assert!(unpack(&compressed).is_err(), "{} bytes", compressed.len());
 }
