--- a/node/src/serve/copy.rs
+++ b/node/src/serve/copy.rs
@@ -24,7 +24,7 @@
 use tonic::Status;
 
 use crate::serve::follow::install;
-use crate::serve::pack::{pack, unpack};
+use crate::serve::pack::{compress, decompress};
 use crate::serve::rpc::{self, Failures, Reply, RpcError};
 use crate::serve::shared::Shared;
 use crate::serve::transfer::{Disconnected, Grant, Parts, Queue, keep_alive, send};
@@ -57,7 +57,7 @@
     /// so.
     pub fn offer(&self, version: ConfigVersion, object: Object, compressed: Option<Bytes>) {
         let Object { name, at, content } = object;
-        let compressed = compressed.unwrap_or_else(|| pack(&content));
+        let compressed = compressed.unwrap_or_else(|| compress(&content));
         self.newest.send_replace(Some(Arc::new(Offered { version, name, at, compressed })));
     }
 }
@@ -222,7 +222,7 @@
 
 /// Decompresses a copy and installs it; `None` if that fails.
 fn install_copy(shared: &Shared, end: pb::CopyEnd, compressed: Bytes) -> Option<()> {
-    let content = match unpack(&compressed) {
+    let content = match decompress(&compressed) {
         Ok(content) => content,
         Err(error) => {
             log::error!(
--- a/node/src/serve/pack.rs
+++ b/node/src/serve/pack.rs
@@ -19,7 +19,7 @@
 ///
 /// # Panics
 /// Never: writing to a vector cannot fail.
-pub fn pack(content: &[u8]) -> Bytes {
+pub fn compress(content: &[u8]) -> Bytes {
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(content).expect("writing to a vector cannot fail");
     Bytes::from(encoder.finish().expect("writing to a vector cannot fail"))
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// The data is corrupt, or decompresses to more than [`MAX_CONTENT_BYTES`].
-pub fn unpack(compressed: &[u8]) -> io::Result<Bytes> {
+pub fn decompress(compressed: &[u8]) -> io::Result<Bytes> {
     let mut content = Vec::new();
     ZlibDecoder::new(compressed).take(MAX_CONTENT_BYTES + 1).read_to_end(&mut content)?;
     if content.len() as u64 > MAX_CONTENT_BYTES {
--- a/node/tests/pack.rs
+++ b/node/tests/pack.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use sardinepick_node::serve::pack::{MAX_CONTENT_BYTES, pack, unpack};
+use sardinepick_node::serve::pack::{MAX_CONTENT_BYTES, compress, decompress};
 use sardinepick_testutils::fleet::deployment::large_configuration;
 
 /// Guards against configurations that spread too slowly: uncompressed, a megabyte takes 0.84 s on a
@@ -12,9 +12,9 @@
 fn compress_large_configuration_under_fifth() {
     let content = large_configuration(2, 4_000).to_string();
     let began = Instant::now();
-    let compressed = pack(content.as_bytes());
+    let compressed = compress(content.as_bytes());
     let (compression_time, began) = (began.elapsed(), Instant::now());
-    assert_eq!(unpack(&compressed).expect("valid data"), content);
+    assert_eq!(decompress(&compressed).expect("valid data"), content);
     println!(
         "{} to {} bytes, {compression_time:?}, {:?}",
         content.len(),
@@ -31,17 +31,17 @@
 
 #[test]
 fn decompress_corrupt_error() {
-    let compressed = pack(large_configuration(2, 100).to_string().as_bytes());
-    assert!(unpack(&compressed[..compressed.len() / 2]).is_err(), "truncated");
-    assert!(unpack(b"{\"version\":2}").is_err(), "not compressed");
+    let compressed = compress(large_configuration(2, 100).to_string().as_bytes());
+    assert!(decompress(&compressed[..compressed.len() / 2]).is_err(), "truncated");
+    assert!(decompress(b"{\"version\":2}").is_err(), "not compressed");
     let mut changed = compressed.to_vec();
     let last = changed.len() - 1;
     changed[last] ^= 1;
-    assert!(unpack(&changed).is_err(), "one bit flipped");
+    assert!(decompress(&changed).is_err(), "one bit flipped");
 }
 
 #[test]
 fn decompress_too_large_error() {
-    let compressed = pack(&vec![b' '; usize::try_from(MAX_CONTENT_BYTES).expect("a size") + 1]);
-    assert!(unpack(&compressed).is_err(), "{} bytes", compressed.len());
+    let compressed = compress(&vec![b' '; usize::try_from(MAX_CONTENT_BYTES).expect("a size") + 1]);
+    assert!(decompress(&compressed).is_err(), "{} bytes", compressed.len());
 }
--- a/node/tests/thin_links.rs
+++ b/node/tests/thin_links.rs
@@ -2,7 +2,7 @@
 
 use sardinepick_lib::fleet::runner::State;
 use sardinepick_lib::id::ConfigVersion;
-use sardinepick_node::serve::pack::pack;
+use sardinepick_node::serve::pack::compress;
 use sardinepick_node::serve::run::Running;
 use sardinepick_testutils::cluster::wait_until;
 use sardinepick_testutils::fleet::deployment::{Deployment, HOME, PLAIN, large_configuration};
@@ -58,7 +58,7 @@
     })
     .await;
     let sent = carried() - before;
-    let copy = pack(next.to_string().as_bytes()).len() as u64;
+    let copy = compress(next.to_string().as_bytes()).len() as u64;
     let whole = copy * NODES as u64;
     assert!(
         sent <= whole,
