--- a/node/src/serve/beat.rs
+++ b/node/src/serve/beat.rs
@@ -246,7 +246,7 @@
         shared.beat_now.notify_one();
     }
     if differs {
-        tokio::spawn(join::compare(shared.clone(), received.sender.contact.peer));
+        tokio::spawn(join::exchange_members(shared.clone(), received.sender.contact.peer));
     }
     if received.answer || mistaken.is_some() {
         // The asking node may not know any other node yet.
--- a/node/src/serve/join.rs
+++ b/node/src/serve/join.rs
@@ -1,8 +1,8 @@
 //! Joining the cluster, and exchanging member lists with other nodes.
 //!
-//! A node that starts calls its seeds. Only if none answers it reads the platform's store, where the
-//! few nodes that watch the store have written their addresses; so a start costs no call there as a
-//! rule, and two where it costs any.
+//! A starting node calls its seeds. Only if none answers it reads the platform's store, where the
+//! few nodes that watch the store have written their addresses. So a start usually costs no store
+//! call, and two otherwise.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,15 +24,15 @@
 use crate::serve::shared::Shared;
 use crate::serve::store::{Purpose, StoreError};
 
-/// How often the seeds are asked before the store is: they may be starting too.
-const ROUNDS: u32 = 8;
+/// How often the seeds are asked before the store is read: the seeds may be starting too.
+const SEED_ROUNDS: u32 = 8;
 /// The pause between two rounds.
 const ROUND_PAUSE: Duration = Duration::from_millis(200);
-/// How long after it has found others a node takes itself to know them: what is new reaches all within
-/// a tenth of a second, and what is lost on the way is made up for within a second.
-const ACQUAINTED: Duration = Duration::from_millis(700);
-/// How many nodes of the store's list are asked. Of those that wrote there some may be gone.
-const MOST_ASKED: usize = 8;
+/// How long after it has found others a node considers its membership view complete: updates reach
+/// all nodes within a tenth of a second, and lost ones are made up for within a second.
+const SETTLE_TIME: Duration = Duration::from_millis(700);
+/// How many nodes from the store are asked. Some of the nodes with an entry there may be gone.
+const MAX_ASKED: usize = 8;
 
 /// Why member lists could not be exchanged.
 #[derive(Debug, Error)]
@@ -41,35 +41,35 @@
     #[error(transparent)]
     Rpc(#[from] RpcError),
     /// Its reply is malformed.
-    #[error("comparing lists with {peer}: {detail}")]
+    #[error("exchanging member lists with {peer}: {detail}")]
     Malformed {
         /// The node.
         peer: SocketAddr,
-        /// What is wrong.
+        /// The cause.
         detail: String,
     },
 }
 
 /// Exchanges member lists with another node, if it answers.
-pub async fn compare(shared: Arc<Shared>, peer: SocketAddr) {
-    match try_compare(&shared, peer).await {
-        Ok(known) => log::info!(peer:% = peer, nodes = known; "lists of nodes compared"),
-        Err(error) => log::info!(peer:% = peer, error:% = error; "lists of nodes not compared"),
+pub async fn exchange_members(shared: Arc<Shared>, peer: SocketAddr) {
+    match try_exchange_members(&shared, peer).await {
+        Ok(known) => log::info!(peer:% = peer, nodes = known; "member lists exchanged"),
+        Err(error) => log::info!(peer:% = peer, error:% = error; "cannot exchange member lists"),
     }
 }
 
-async fn try_compare(shared: &Shared, peer: SocketAddr) -> Result<usize, JoinError> {
+async fn try_exchange_members(shared: &Shared, peer: SocketAddr) -> Result<usize, JoinError> {
     let mut client = rpc::connect(peer).await?;
     let mine = nodes(&shared.roster().records(), quarantine::news::all(shared));
     let answer = timeout(IDLE_TIMEOUT, client.meet(mine)).await;
     let answer = answer.map_err(|_| RpcError::Silent { peer })?;
     let answer = answer.map_err(|s| RpcError::Refused { peer, status: Box::new(s) })?;
-    let useless = |error: sardinepick_wire::error::WireError| JoinError::Malformed {
+    let malformed = |error: sardinepick_wire::error::WireError| JoinError::Malformed {
         peer,
         detail: error.to_string(),
     };
     let answer = answer.into_inner();
-    let records = read_nodes(&answer).map_err(useless)?;
+    let records = read_nodes(&answer).map_err(malformed)?;
     quarantine::news::take(shared, &answer.quarantined, &peer.to_string());
     let now = shared.clock.now();
     let mut roster = shared.roster();
@@ -83,8 +83,8 @@
     loop {
         let found = ask_seeds(&shared, &socket).await || ask_listed(&shared).await;
         if found {
-            // Where all have started together, the first that answers knows few.
-            sleep(ACQUAINTED).await;
+            // If all nodes start together, the first one that answers knows few others.
+            sleep(SETTLE_TIME).await;
         }
         shared.acquainted.send_replace(true);
         if found {
@@ -93,21 +93,21 @@
         failures += 1;
         let draw: f64 = shared.rng().random();
         sleep(pause(failures, draw)).await;
-        // Whoever started meanwhile has found this node in the store.
+        // Nodes that started meanwhile have found this node in the store.
         if shared.roster().ids().next().is_some() {
             return;
         }
     }
 }
 
-/// Asks the seeds by beats, which cost them little also where hundreds of nodes start together, and
-/// compares lists with one of the nodes that they name. Whether one has been found.
+/// Asks the seeds by heartbeats, which are cheap even if hundreds of nodes start together, and
+/// exchanges lists with one of the nodes that they name. Returns whether one has answered.
 async fn ask_seeds(shared: &Arc<Shared>, socket: &UdpSocket) -> bool {
     let seeds: Vec<SocketAddr> = shared.settings.other_seeds().collect();
     if seeds.is_empty() {
         return false;
     }
-    for _ in 0..ROUNDS {
+    for _ in 0..SEED_ROUNDS {
         beat::ask(shared, socket, &seeds).await;
         sleep(ROUND_PAUSE).await;
         let named = shared.roster().some(&mut *shared.rng());
@@ -121,15 +121,15 @@
     false
 }
 
-/// Compares lists with some nodes at once, until one has answered: of those that are gone each would
-/// take half a second.
+/// Exchanges lists with several nodes concurrently, until one has answered: one after the other,
+/// each node that is gone would cost half a second.
 async fn ask_any(shared: &Shared, peers: &[SocketAddr]) -> bool {
-    let asked = peers.iter().map(|peer| Box::pin(try_compare(shared, *peer)));
-    let asked: Vec<_> = asked.collect();
-    if asked.is_empty() {
+    let exchanges = peers.iter().map(|peer| Box::pin(try_exchange_members(shared, *peer)));
+    let exchanges: Vec<_> = exchanges.collect();
+    if exchanges.is_empty() {
         return false;
     }
-    match select_ok(asked).await {
+    match select_ok(exchanges).await {
         Ok((known, _)) => {
             log::info!(nodes = known; "joined");
             shared.beat_now.notify_one();
@@ -142,12 +142,12 @@
     }
 }
 
-/// Reads one page of the store's list, asks those that it names, and writes this node's entry beside
-/// theirs if none answers. Whether one has.
+/// Reads one page of node entries from the store and asks those nodes; if none answers, writes this
+/// node's entry too. Returns whether one has answered.
 async fn ask_listed(shared: &Shared) -> bool {
     let found = try_ask_listed(shared).await;
     found.unwrap_or_else(|error| {
-        log::info!(error:% = error; "nodes not found by the store");
+        log::info!(error:% = error; "cannot find nodes through the store");
         false
     })
 }
@@ -164,12 +164,12 @@
             }
             Err(error) => {
                 shared.metrics.foreign.with_label_values(&["node", error.reason()]).inc();
-                log::warn!(node:% = object.name, error:% = error; "node's entry is not taken");
+                log::warn!(node:% = object.name, error:% = error; "invalid node entry");
             }
         }
     }
     peers.shuffle(&mut *shared.rng());
-    peers.truncate(MOST_ASKED);
+    peers.truncate(MAX_ASKED);
     if ask_any(shared, &peers).await {
         return Ok(true);
     }
@@ -177,10 +177,10 @@
     Ok(false)
 }
 
-/// Writes how this node is reached, for those that find nobody else.
+/// Writes this node's address to the store, for nodes that cannot reach any other.
 ///
 /// # Errors
-/// The store does not take it.
+/// The store call fails.
 pub async fn write_entry(shared: &Shared) -> Result<(), StoreError> {
     let content = encode_node(&shared.me);
     shared.store.put(Purpose::NodeWrite, NODES, shared.me.id.as_str(), &content).await
