--- a/node/src/serve/answer.rs
+++ b/node/src/serve/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: those that pass a runner's on, and a node's own.
+//! Responses to callers: those forwarded from a runner, and the node's own.
 
 use std::time::Duration;
 
@@ -12,48 +12,49 @@
 use strum::{Display, IntoStaticStr};
 use thiserror::Error;
 
-/// An answer broke off after its head had gone to the caller. The caller's connection is cut, so
-/// that the part it has cannot be taken for the whole.
+/// A response broke off after its head had been sent to the caller. The caller's connection is
+/// aborted, so that the partial response cannot be taken for the complete one.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the answer broke off")]
 pub struct Cut;
 
-/// The body of an answer.
+/// The body of a response.
 pub type Body = UnsyncBoxBody<Bytes, Cut>;
 
-/// A body that is whole already.
+/// Returns a body that is already complete.
 pub fn whole(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Why a node answers for itself.
+/// Why a node answers a request itself.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Refusal {
-    /// It did not run and will not, for the gate's reason; come back after this time.
+    /// It has not run and will not, for this reason; the caller may retry after this time.
     NotRun(Reason, Duration),
-    /// It may have run; the runner's answer did not come whole.
+    /// It may have run; the runner's response was incomplete.
     Broken,
-    /// It may have run; its time is over.
+    /// It may have run; its deadline has passed.
     Late,
-    /// It did not run and its time is over.
+    /// It has not run, and its deadline has passed.
     Expired,
-    /// Each runner that ran it ended; it is run no more.
+    /// Each runner that ran it crashed; it is not run again.
     Quarantined,
-    /// No route leads there.
+    /// No route matches.
     NoRoute,
-    /// Its route needs a key and it has none.
+    /// Its route requires a key and it has none.
     NoKey,
     /// No client account has its key.
     UnknownKey,
-    /// It is larger than the limits allow.
+    /// It exceeds the size limits.
     TooLarge,
-    /// It lacks its id, or its body did not come whole.
+    /// It has no id, or its body is incomplete.
     Malformed,
 }
 
 impl Refusal {
-    /// The status. Those that promise that a request has not run are given only where that is so.
+    /// Returns the status. Statuses that promise that a request has not run are used only where
+    /// that is certain.
     pub fn status(self) -> StatusCode {
         match self {
             Refusal::NotRun(..) => StatusCode::SERVICE_UNAVAILABLE,
@@ -63,12 +64,12 @@
             Refusal::NoRoute => StatusCode::NOT_FOUND,
             Refusal::NoKey | Refusal::UnknownKey => StatusCode::UNAUTHORIZED,
             Refusal::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            // One that callers do not repeat: to come back cannot help.
+            // A status that callers do not retry, since a retry cannot succeed.
             Refusal::Malformed | Refusal::Quarantined => StatusCode::BAD_REQUEST,
         }
     }
 
-    /// The reason for logs and metrics.
+    /// Returns the reason as a log and metric value.
     pub fn reason(self) -> &'static str {
         match self {
             Refusal::NotRun(reason, _) => reason.into(),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The answer.
+    /// Returns the response.
     pub fn answer(self) -> Response<Body> {
         let text = match self {
             Refusal::NotRun(..) => "not run; come back later\n",
@@ -101,7 +102,7 @@
     }
 }
 
-/// Passes a runner's answer on, with its status and headers as they came.
+/// Forwards a runner's response with its status and headers.
 pub fn pass_on(head: &Parts, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
@@ -109,7 +110,7 @@
     response
 }
 
-/// JSON of the node's own.
+/// A JSON response.
 pub fn json(text: String) -> Response<Body> {
     let mut response = Response::new(whole(text));
     let kind = HeaderValue::from_static("application/json");
@@ -117,7 +118,7 @@
     response
 }
 
-/// An empty answer.
+/// A response without a body.
 pub fn empty(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(whole(Bytes::new()));
     *response.status_mut() = status;
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -1,4 +1,5 @@
-//! Listening for callers, for the platform's questions, and for those who read the node's state.
+//! The HTTP listeners: for callers, for the platform's readiness checks, for look-ups, and for
+//! metrics and state.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -21,44 +22,43 @@
 use crate::serve::shared::Shared;
 use crate::serve::{quarantine, request};
 
-/// How long callers may keep an answer where to connect. Some keep it three times as long. A stopping
-/// node must have lost them all early enough to finish what they sent last.
-const VALIDITY: Duration = Duration::from_secs(1);
-/// The most addresses in an answer (platform's protocol).
-const MOST_ADDRESSES: usize = 64;
-/// How long to wait after a connection could not be accepted: without descriptors every try fails
-/// at once.
+/// How long callers may cache a look-up answer. Some cache it three times as long. They must have
+/// dropped a stopping node early enough for it to finish their last requests.
+const LOOKUP_TTL: Duration = Duration::from_secs(1);
+/// The maximum number of addresses in a look-up answer (platform protocol).
+const MAX_ADDRESSES: usize = 64;
+/// The pause after a failed `accept`: without free file descriptors, each attempt fails at once.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// The least buffer for the head of a request; hyper takes no smaller one.
-const LEAST_HEAD: usize = 8 << 10;
+/// The minimum read buffer for the head of a request; hyper accepts no smaller one.
+const MIN_HEAD_BUFFER: usize = 8 << 10;
 
-/// Where requests that are not run are released, each by its fingerprint.
-const QUARANTINE: &str = "/quarantine/";
+/// The path prefix for releasing quarantined requests, followed by the fingerprint.
+const QUARANTINE_PREFIX: &str = "/quarantine/";
 
-/// What a listener is for.
+/// The purpose of a listener.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Port {
     /// Requests of callers.
     Front,
-    /// Whether the node takes callers.
+    /// Readiness checks.
     Ready,
-    /// Where callers connect.
+    /// Look-ups of front addresses.
     Lookup,
     /// Metrics and state.
     Metrics,
 }
 
-/// Tells connections to close: once it is true, each closes as soon as it is idle.
+/// Signals connections to close: once it is true, each connection closes as soon as it is idle.
 #[derive(Clone, Debug)]
 pub struct Closing(watch::Receiver<bool>);
 
 impl Closing {
-    /// Follows a switch.
+    /// Subscribes to a signal.
     pub fn of(switch: &watch::Sender<bool>) -> Self {
         Self(switch.subscribe())
     }
 
-    /// Waits until connections are to close; for ever if the switch is gone without saying so.
+    /// Waits until connections are to close; forever if the sender is dropped without the signal.
     async fn wait(&mut self) {
         if self.0.wait_for(|closing| *closing).await.is_err() {
             std::future::pending::<()>().await;
@@ -78,7 +78,7 @@
                 tokio::spawn(serve(shared.clone(), port, stream, closing.clone()));
             }
             Err(error) => {
-                log::warn!(error:% = error; "accepting a connection");
+                log::warn!(error:% = error; "cannot accept connection");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -95,10 +95,11 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        // The time for a head also bounds how long a connection is idle before it, so the longer
-        // of the two is taken: callers use connections again up to four fifths of the idle time.
+        // The header time-out also limits how long a connection may be idle before the head, so it
+        // is the longer of the two: callers reuse connections for up to four fifths of the idle
+        // time-out.
         .header_read_timeout(limits.idle_timeout.max(limits.head_timeout))
-        .max_buf_size(limits.head.max(LEAST_HEAD) * 2);
+        .max_buf_size(limits.head.max(MIN_HEAD_BUFFER) * 2);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let result = tokio::select! {
@@ -109,7 +110,7 @@
         }
     };
     if let Err(error) = result {
-        log::debug!(port:? = port, error:% = error; "a connection ended");
+        log::debug!(port:? = port, error:% = error; "connection closed");
     }
 }
 
@@ -125,23 +126,25 @@
             Response::new(whole(shared.metrics.text()))
         }
         Port::Metrics if request.uri().path() == "/state" => json(state(shared)),
-        Port::Metrics if request.uri().path().starts_with(QUARANTINE) => release(shared, &request),
+        Port::Metrics if request.uri().path().starts_with(QUARANTINE_PREFIX) => {
+            release(shared, &request)
+        }
         Port::Ready | Port::Lookup | Port::Metrics => empty(StatusCode::NOT_FOUND),
     };
     if *shared.standing.borrow() == Standing::Leaving {
-        // The caller's next request should go elsewhere.
+        // Tells the caller to send its next request to another node.
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
     response
 }
 
-/// Has a request that is not run be run again: `DELETE` of its fingerprint.
+/// Releases a quarantined request: `DELETE` of its fingerprint.
 fn release(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
     if request.method() != Method::DELETE {
         return empty(StatusCode::METHOD_NOT_ALLOWED);
     }
-    let text = request.uri().path().trim_start_matches(QUARANTINE);
+    let text = request.uri().path().trim_start_matches(QUARANTINE_PREFIX);
     match text.parse() {
         Ok(fingerprint) if quarantine::release(shared, &fingerprint) => empty(StatusCode::OK),
         Ok(_) => empty(StatusCode::NOT_FOUND),
@@ -157,7 +160,7 @@
     let lookup = match read_lookup(request.uri()) {
         Ok(lookup) => lookup,
         Err(error) => {
-            log::info!(error:% = error; "look-up refused");
+            log::info!(error:% = error; "invalid look-up");
             return Refusal::Malformed.answer();
         }
     };
@@ -169,15 +172,15 @@
         let roster = shared.roster();
         addresses.extend(roster.fronts().iter().map(|contact| contact.front));
     }
-    addresses.truncate(MOST_ADDRESSES);
+    addresses.truncate(MAX_ADDRESSES);
     if addresses.is_empty() {
-        log::info!(host:% = lookup.host; "look-up without an address");
+        log::info!(host:% = lookup.host; "no ready node for look-up");
         return empty(StatusCode::SERVICE_UNAVAILABLE);
     }
-    json(lookup_answer(&addresses, VALIDITY.min(shared.settings.longest_validity)))
+    json(lookup_answer(&addresses, LOOKUP_TTL.min(shared.settings.longest_validity)))
 }
 
-/// What the node believes, for people.
+/// The node's state, for operators.
 fn state(shared: &Shared) -> String {
     let now = shared.clock.now();
     let status = shared.status();
@@ -225,7 +228,7 @@
     directory.into_iter().flat_map(Directory::accounts).map(line).collect()
 }
 
-/// Who has the duties of one node at a time, and the windows of usage that this node has ended.
+/// The holder of the duties lease, and the usage windows that this node has closed.
 fn duties(shared: &Shared) -> serde_json::Value {
     let lease = shared.tenure.status();
     let line = |(window, outcome): (Window, &str)| serde_json::json!({"window": window, "outcome": outcome});
--- a/node/src/serve/metrics.rs
+++ b/node/src/serve/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a serving node, in the form that Prometheus reads.
+//! Prometheus metrics of a serving node.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -14,117 +14,118 @@
     registry: Registry,
     /// Requests by route, kind, outcome and reason.
     pub requests: IntCounterVec,
-    /// Seconds until the first byte of the answer's content, by kind and outcome.
+    /// Time to the first byte of the response body in seconds, by kind and outcome.
     pub first: HistogramVec,
-    /// Seconds between events of a stream.
+    /// Time between events of a stream, in seconds.
     pub pause: HistogramVec,
-    /// Calls to runners by runner and how they ended.
+    /// Calls to runners by runner, step and outcome.
     pub calls: IntCounterVec,
-    /// Generations by the way they took.
+    /// Generations by plan.
     pub plans: IntCounterVec,
-    /// Permits to send to runners with a rate limit, by what came of them and who decided.
+    /// Permits for requests to rate-limited runners, by outcome and by which node decided.
     pub permits: IntCounterVec,
-    /// Runners that leave by their own word, by where that was heard.
+    /// Runners that announce that they leave, by source of the announcement.
     pub drains: IntCounterVec,
-    /// Answers by which runners refuse requests of this node for a time, by what came of them.
+    /// Back-off answers of runners, by outcome.
     pub back_offs: IntCounterVec,
-    /// Rate limits of runners by how they changed.
+    /// Changes of runners' rate limits, by kind.
     pub limits: IntCounterVec,
-    /// Extra arrivals by what the budget said.
+    /// Arrivals beyond the first, by whether the retry budget granted them.
     pub extras: IntCounterVec,
-    /// Calls under which a runner ended.
+    /// Calls during which a runner crashed.
     pub ends: IntCounter,
-    /// Requests that are not run, by what becomes of them.
+    /// Quarantined requests by event.
     pub quarantine: IntCounterVec,
-    /// Connections made.
+    /// Connections opened.
     pub connections: IntCounter,
-    /// Calls to the store by purpose and how they ended.
+    /// Calls to the store by purpose and outcome.
     pub store_calls: IntCounterVec,
-    /// Keys that no known account has, by what ruled out that they are new.
+    /// Requests with an unknown key, by how it was ruled out that the key is new.
     pub unknown_keys: IntCounterVec,
-    /// Changes of the lease on the duties, by what became of it.
+    /// Changes of the duties lease, by outcome.
     pub leases: IntCounterVec,
-    /// Calls to the platform by the holder of the duties, by what they are and what came of them.
+    /// Platform calls by the holder of the duties lease, by call and outcome.
     pub duty_calls: IntCounterVec,
-    /// Runners of services that are ordered: how many are needed, and how many of each kind are there.
+    /// Runners of services with scaling: needed, and present by kind.
     pub scaled: IntGaugeVec,
-    /// Windows of usage by what became of them.
+    /// Usage windows by outcome.
     pub windows: IntCounterVec,
-    /// Bytes of usage between nodes by direction.
+    /// Bytes of usage messages by direction.
     pub usage_bytes: IntCounterVec,
-    /// Bytes of beats by direction.
+    /// Bytes of heartbeats by direction.
     pub beat_bytes: IntCounterVec,
-    /// Bytes between nodes and schedulers by direction.
+    /// Bytes of scheduler messages by direction.
     pub schedule_bytes: IntCounterVec,
-    /// Placements by who decided: the scheduler, this node as one, or this node alone.
+    /// Placements by who decided: the pool's scheduler, this node as scheduler, or this node alone.
     pub decided: IntCounterVec,
-    /// How long a scheduler took to answer, in seconds.
+    /// Latency of scheduler answers in seconds.
     pub asked: HistogramVec,
-    /// Log lines that were dropped because their reader was slow.
+    /// Log lines dropped because of a slow reader.
     pub lines_dropped: IntCounter,
-    /// Requests under way.
+    /// Requests in progress.
     pub under_way: IntGauge,
     /// The version of the configuration in force.
     pub version: IntGauge,
     /// The era of the store.
     pub era: IntGauge,
-    /// Eras that were shown, by what became of it.
+    /// Announcements of new store eras, by outcome.
     pub eras: IntCounterVec,
-    /// Runners known, by state.
+    /// Known runners by state.
     pub runners: IntGaugeVec,
-    /// Other nodes heard lately.
+    /// Other nodes that are currently up.
     pub nodes: IntGauge,
-    /// When the store last answered, in seconds since 1970, by what was followed.
+    /// Unix time of the last answer of the store, by watched kind.
     pub answered: IntGaugeVec,
-    /// Configurations that nodes copy from each other, by direction and how it ended.
+    /// Configurations copied between nodes, by direction and outcome.
     pub copies: IntCounterVec,
-    /// Bytes of these copies, by direction.
+    /// Bytes of configuration copies, by direction.
     pub copy_bytes: IntCounterVec,
-    /// Objects in the store that are of another writer, by what they stand for and what is wrong.
+    /// Invalid objects in the store, by kind and reason.
     pub foreign: IntCounterVec,
     dropped: Dropped,
 }
 
-const FIRST_BUCKETS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0];
-const ASKED_BUCKETS: [f64; 7] = [0.001, 0.002, 0.004, 0.008, 0.016, 0.03, 0.06];
-const PAUSE_BUCKETS: [f64; 8] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 2.0];
+const FIRST_BYTE_BUCKETS: [f64; 12] =
+    [0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0];
+const SCHEDULER_BUCKETS: [f64; 7] = [0.001, 0.002, 0.004, 0.008, 0.016, 0.03, 0.06];
+const EVENT_PAUSE_BUCKETS: [f64; 8] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 2.0];
 
-/// Makes and registers metrics.
-struct Maker(Registry);
+/// Creates and registers metrics.
+struct Builder(Registry);
 
-impl Maker {
-    /// A registration fails only for a wrong or repeated name, and the names are all below.
-    fn keep<T: Collector + Clone + 'static>(&self, made: prometheus::Result<T>) -> T {
-        let made = made.expect("the names of metrics are right");
-        self.0.register(Box::new(made.clone())).expect("each metric has a name of its own");
-        made
+impl Builder {
+    /// Registration fails only for an invalid or duplicate name, and all names are constants below.
+    fn register<T: Collector + Clone + 'static>(&self, metric: prometheus::Result<T>) -> T {
+        let metric = metric.expect("metric names are valid");
+        self.0.register(Box::new(metric.clone())).expect("metric names are unique");
+        metric
     }
 
     fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
-        self.keep(IntCounterVec::new(Opts::new(name, help), labels))
+        self.register(IntCounterVec::new(Opts::new(name, help), labels))
     }
 
     fn counter(&self, name: &str, help: &str) -> IntCounter {
-        self.keep(IntCounter::new(name, help))
+        self.register(IntCounter::new(name, help))
     }
 
     fn gauge(&self, name: &str, help: &str) -> IntGauge {
-        self.keep(IntGauge::new(name, help))
+        self.register(IntGauge::new(name, help))
     }
 
     fn gauges(&self, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
-        self.keep(IntGaugeVec::new(Opts::new(name, help), labels))
+        self.register(IntGaugeVec::new(Opts::new(name, help), labels))
     }
 
     fn times(&self, name: &str, help: &str, buckets: &[f64], labels: &[&str]) -> HistogramVec {
         let opts = HistogramOpts::new(name, help).buckets(buckets.to_vec());
-        self.keep(HistogramVec::new(opts, labels))
+        self.register(HistogramVec::new(opts, labels))
     }
 }
 
 impl Default for Metrics {
     fn default() -> Self {
-        let m = Maker(Registry::new());
+        let m = Builder(Registry::new());
         Self {
             requests: m.counters(
                 "sardinepick_requests_total",
@@ -134,13 +135,13 @@
             first: m.times(
                 "sardinepick_first_byte_seconds",
                 "Seconds until the first of an answer's content",
-                &FIRST_BUCKETS,
+                &FIRST_BYTE_BUCKETS,
                 &["kind", "outcome"],
             ),
             pause: m.times(
                 "sardinepick_event_pause_seconds",
                 "Seconds between events of a stream",
-                &PAUSE_BUCKETS,
+                &EVENT_PAUSE_BUCKETS,
                 &["route"],
             ),
             calls: m.counters(
@@ -231,7 +232,7 @@
             asked: m.times(
                 "sardinepick_asked_seconds",
                 "Seconds until a scheduler's answer",
-                &ASKED_BUCKETS,
+                &SCHEDULER_BUCKETS,
                 &["step"],
             ),
             lines_dropped: m.counter("sardinepick_log_lines_dropped_total", "Log lines dropped"),
@@ -272,18 +273,18 @@
 }
 
 impl Metrics {
-    /// Metrics that also tell how many log lines were dropped.
+    /// Creates metrics that include the number of dropped log lines.
     pub fn new(dropped: Dropped) -> Self {
         Self { dropped, ..Self::default() }
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub fn text(&self) -> Vec<u8> {
-        let told = self.lines_dropped.get();
-        self.lines_dropped.inc_by(self.dropped.count().saturating_sub(told));
+        let counted = self.lines_dropped.get();
+        self.lines_dropped.inc_by(self.dropped.count().saturating_sub(counted));
         let mut out = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut out) {
-            log::error!(error:% = error; "writing metrics");
+            log::error!(error:% = error; "cannot encode metrics");
         }
         out
     }
