--- a/node/src/serve/duty.rs
+++ b/node/src/serve/duty.rs
@@ -1,4 +1,4 @@
-//! Starting what carries out the duties that one node at a time has.
+//! Starts the tasks for the duties that only one node at a time has.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,10 +14,11 @@
 use crate::usage::exchange::Exchange;
 use crate::usage::report::Reporter;
 
-/// How often the lease is looked after.
-const PERIOD: Duration = Duration::from_millis(200);
+/// How often the duties lease is renewed or contended for.
+const LEASE_PERIOD: Duration = Duration::from_millis(200);
 
-/// Starts the duties. Gives what sends this node's counts, for a last time as it stops.
+/// Starts the tasks. Returns the exchange that sends this node's usage counts, for a last round
+/// when the node stops.
 pub fn start(shared: &Arc<Shared>, socket: Arc<UdpSocket>) -> Exchange {
     let views: Views = {
         let shared = shared.clone();
@@ -27,7 +28,7 @@
         (shared.usage.clone(), shared.tenure.clone(), shared.metrics.clone());
     let exchange =
         Exchange { usage: usage.clone(), views: views.clone(), socket, metrics: metrics.clone() };
-    tokio::spawn(keep(shared.clone()));
+    tokio::spawn(maintain_lease(shared.clone()));
     let Some(platform) = shared.settings.platform else { return exchange };
     let caller = Caller::new(
         shared.me.id.clone(),
@@ -64,21 +65,21 @@
     exchange
 }
 
-/// Looks after the lease until the process ends.
-async fn keep(shared: Arc<Shared>) {
+/// Maintains the duties lease until the process ends.
+async fn maintain_lease(shared: Arc<Shared>) {
     loop {
-        sleep(PERIOD).await;
+        sleep(LEASE_PERIOD).await;
         let view = shared.view();
-        let leads = shared.is_ready() && view.is_first(&shared.me.id);
+        let is_leader = shared.is_ready() && view.is_first(&shared.me.id);
         let is_gone = |holder: &_| view.is_gone(holder);
-        if !shared.tenure.keep(leads, is_gone).await {
-            // Another node takes the duties over.
+        if !shared.tenure.keep(is_leader, is_gone).await {
+            // Reported as not served by the store, so that another node takes over the duties.
             shared.note_unserved();
         }
     }
 }
 
-/// The services whose runners are ordered; none while the store is away, or the register not known.
+/// The services with scaling; `None` while the store is down or the register is not known.
 fn services(shared: &Shared) -> Option<Vec<Service>> {
     let configuration = shared.configuration.load_full()?;
     let now = shared.clock.now();
@@ -90,13 +91,13 @@
         let scaling = service.scaling.clone()?;
         let mut supply = vec![Supply::default(); scaling.prices.len()];
         for runner in shared.register().of(&service.name) {
-            let place = scaling.prices.iter().position(|(dc, _)| *dc == runner.entry.data_centre);
-            let Some(place) = place.filter(|_| !runner.is_leaving()) else {
+            let index = scaling.prices.iter().position(|(dc, _)| *dc == runner.entry.data_centre);
+            let Some(index) = index.filter(|_| !runner.is_leaving()) else {
                 continue;
             };
             let kind = usize::from(runner.entry.reclaimable);
-            supply[place].ready[kind] += 1;
-            supply[place].serving[kind] += u32::from(runner.takes_work(now));
+            supply[index].ready[kind] += 1;
+            supply[index].serving[kind] += u32::from(runner.takes_work(now));
         }
         let busy = shared.demand().get(&service.name).map_or(0.0, |demand| demand.busy(nodes));
         Some(Service { name: service.name.clone(), scaling, supply, busy })
--- a/node/src/serve/mod.rs
+++ b/node/src/serve/mod.rs
@@ -1,8 +1,8 @@
-//! Serving on a platform that keeps configuration and runners.
+//! Serving on a platform that stores the configuration and the register of runners.
 //!
-//! Every node is alike. It follows the platform's store, tells the other nodes what it has under
-//! way, and takes requests: a route, the gate, a choice of runners, and an answer that is whole, or
-//! a refusal that is true.
+//! All nodes are equal. Each watches the platform's store or learns from nodes that do, exchanges
+//! its load with the other nodes, and serves requests: it routes and admits them, chooses runners,
+//! and returns a complete response or an accurate refusal.
 
 pub mod answer;
 pub mod beat;
--- a/node/src/serve/run.rs
+++ b/node/src/serve/run.rs
@@ -19,34 +19,34 @@
 use crate::serve::{beat, copy, duty, follow, join, order, peer, quarantine, scheduler};
 use crate::usage::exchange::Exchange;
 
-/// Why a node does not start.
+/// Why a node could not start.
 #[derive(Debug, Error)]
 #[error("listening for {what} at {address}: {source}")]
 pub struct StartError {
-    /// What was to be listened for.
+    /// The purpose of the listener.
     what: &'static str,
     /// The address.
     address: SocketAddr,
-    /// What the system says.
+    /// The system's error.
     source: std::io::Error,
 }
 
-/// A node at work.
+/// A running node.
 pub struct Running {
-    /// What its parts share.
+    /// The state shared by its tasks.
     pub shared: Arc<Shared>,
     closing: watch::Sender<bool>,
     exchange: Exchange,
 }
 
-/// The part of the grace after which a stopping node closes its connections: by then no caller that
-/// heeds a look-up's validity, even three times over, connects to it any more, and more than half of
-/// the grace is left for what was sent last.
-const OPEN_PART: f64 = 0.42;
-/// The part of the grace after which the node ends whatever is under way.
-const END_PART: f64 = 0.96;
-/// How often a stopping node looks whether it is done.
-const STOP_PERIOD: Duration = Duration::from_millis(20);
+/// The fraction of the grace period after which a stopping node closes its connections. By then no
+/// caller connects to it any more that respects the look-up validity, even three times over, and
+/// more than half of the grace period is left for the last requests.
+const CLOSE_AFTER: f64 = 0.42;
+/// The fraction of the grace period after which the node aborts requests in progress.
+const ABORT_AFTER: f64 = 0.96;
+/// How often a stopping node checks for requests in progress.
+const STOP_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
 async fn listen(what: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
     TcpListener::bind(address).await.map_err(|source| StartError { what, address, source })
@@ -57,23 +57,23 @@
 pub struct Sockets {
     /// For callers.
     pub front: TcpListener,
-    /// For the platform's question whether the node takes callers.
+    /// For readiness checks.
     pub ready: TcpListener,
-    /// For callers that ask where to connect.
+    /// For look-ups.
     pub lookup: TcpListener,
     /// For metrics and state.
     pub metrics: TcpListener,
-    /// For the questions of other nodes.
+    /// For calls of other nodes.
     pub peers: TcpListener,
-    /// For beats.
+    /// For heartbeats and other datagrams.
     pub beats: UdpSocket,
 }
 
 impl Sockets {
-    /// The sockets at the addresses of the settings.
+    /// Binds the sockets to the addresses in the settings.
     ///
     /// # Errors
-    /// One of the addresses cannot be listened at.
+    /// An address cannot be bound.
     pub async fn bind(settings: &Settings) -> Result<Self, StartError> {
         let address = settings.peer;
         let beats = UdpSocket::bind(address).await;
@@ -91,7 +91,7 @@
 /// Starts a node.
 ///
 /// # Errors
-/// One of its addresses cannot be listened at.
+/// An address cannot be bound.
 pub async fn start(
     settings: Settings,
     clock: Arc<dyn Clock>,
@@ -101,7 +101,7 @@
     Ok(start_at(settings, clock, metrics, sockets))
 }
 
-/// Starts a node at sockets that are open already.
+/// Starts a node with sockets that are already bound.
 pub fn start_at(
     settings: Settings,
     clock: Arc<dyn Clock>,
@@ -118,10 +118,10 @@
     let shared = Arc::new(Shared::new(settings, clock, metrics));
     shared.scheduling.set_socket(socket.clone());
     shared.limiter.set_socket(socket.clone());
-    let (closing, staying) = (watch::Sender::new(false), watch::Sender::new(false));
+    let (closing, always_open) = (watch::Sender::new(false), watch::Sender::new(false));
     for (port, listener) in ports {
-        // The platform asks whether the node is ready until the very end.
-        let switch = if port == Port::Front { &closing } else { &staying };
+        // The platform checks readiness until the process ends.
+        let switch = if port == Port::Front { &closing } else { &always_open };
         tokio::spawn(listener::run(shared.clone(), port, listener, Closing::of(switch)));
     }
     tokio::spawn(peer::serve(shared.clone(), sockets.peers));
@@ -147,8 +147,8 @@
 }
 
 impl Running {
-    /// Reads the settings anew, and says in the log what of it takes effect. Addresses and names
-    /// stay as they are until the next start: connections and other nodes hold on to them.
+    /// Reloads the settings and logs which of them take effect. Addresses and names only change at
+    /// the next start, since connections and other nodes depend on them.
     pub fn reload(&self, file: &Path) {
         match Settings::read(file) {
             Ok(settings) => {
@@ -157,13 +157,13 @@
                 let pending = rest != self.shared.settings;
                 log::info!(log_level:% = log::max_level(), at_next_start = pending; "reloaded");
             }
-            Err(error) => log::error!(error:% = error; "settings are not taken"),
+            Err(error) => log::error!(error:% = error; "invalid settings"),
         }
     }
 
-    /// Stops gracefully: leaves the look-ups, goes on serving those who still come, closes
-    /// connections as they fall idle, and ends when nothing is under way or the grace is over.
-    /// Gives the number of requests that were cut.
+    /// Stops gracefully: removes the node from look-ups, keeps serving requests that still arrive,
+    /// closes connections as they become idle, and returns when no request is in progress or the
+    /// grace period is over. Returns the number of aborted requests.
     pub async fn stop(self) -> u64 {
         let shared = self.shared;
         let grace = shared.settings.grace;
@@ -172,11 +172,11 @@
         log::info!(node:% = shared.me.id, under_way = under_way(); "leaving");
         shared.standing.send_replace(Standing::Leaving);
         shared.beat_now.notify_one();
-        sleep_until(began + grace.mul_f64(OPEN_PART)).await;
+        sleep_until(began + grace.mul_f64(CLOSE_AFTER)).await;
         self.closing.send_replace(true);
-        let end = began + grace.mul_f64(END_PART);
+        let end = began + grace.mul_f64(ABORT_AFTER);
         while Instant::now() < end {
-            sleep(STOP_PERIOD).await;
+            sleep(STOP_CHECK_PERIOD).await;
             if under_way() == 0 {
                 break;
             }
--- a/node/src/serve/settings.rs
+++ b/node/src/serve/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node that serves on the platform.
+//! The settings of a serving node.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,35 +21,35 @@
     pub name: NodeId,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Where callers reach it.
+    /// The address for callers.
     pub front: SocketAddr,
-    /// Where it is asked whether it takes callers.
+    /// The address for the platform's readiness checks.
     pub ready: SocketAddr,
-    /// Where callers ask where to connect.
+    /// The address for look-ups.
     pub lookup: SocketAddr,
-    /// Where other nodes reach it.
+    /// The address for other nodes.
     pub peer: SocketAddr,
-    /// Where its metrics and its state are read.
+    /// The address for metrics and state.
     pub metrics: SocketAddr,
-    /// Where other nodes may be reached while the store is away.
+    /// Peer addresses of nodes to join, also while the store is down.
     pub seeds: Vec<SocketAddr>,
     /// The platform's store.
     pub store: SocketAddr,
-    /// The bounds of the retry budget of a service, over all nodes.
+    /// The bounds of a service's retry budget, across all nodes.
     pub budget: Bounds,
-    /// How long a node may take to stop.
+    /// How long a node may take to shut down.
     pub grace: Duration,
-    /// The longest time for which callers heed an answer where to connect.
+    /// The longest time for which callers may cache a look-up answer.
     pub longest_validity: Duration,
-    /// How far apart the calls of two holders of the duties must be.
+    /// The minimum time between the calls of two successive holders of the duties lease.
     pub turns: Duration,
-    /// Where calls to the platform go that one node at a time makes; none where there are none.
+    /// The address for platform calls by the holder of the duties lease; `None` if there are none.
     pub platform: Option<SocketAddr>,
-    /// The length of the windows in which usage is reported; none where it is not.
+    /// The length of usage windows; `None` if usage is not reported.
     pub usage_window: Option<Duration>,
-    /// The least severe log lines that are written.
+    /// The least severe level that is logged.
     pub log_level: LevelFilter,
-    /// How they are written.
+    /// The log format.
     pub log_format: LogFormat,
 }
 
@@ -70,27 +70,26 @@
 const MILLIS_FORM: &str = "a whole number of milliseconds from 1 to 3600000";
 const SECONDS_FORM: &str = "a number of seconds from 0.1 to 3600";
 
-/// Bounds for where the platform sets none: a fifth of the requests and ten besides, in ten
-/// seconds.
-const DEFAULT_BOUNDS: Bounds =
+/// The default retry budget: a fifth of the requests plus ten, per ten seconds.
+const DEFAULT_RETRY_BUDGET: Bounds =
     Bounds { ratio: 0.2, allowance: 10.0, window: Duration::from_secs(10) };
-/// The time to stop where the platform sets none.
+/// The default shutdown time.
 const DEFAULT_GRACE: Duration = Duration::from_secs(8);
-/// The time between two holders' orders where the platform sets none.
-const DEFAULT_TURNS: Duration = Duration::from_secs(3);
-/// The validity of a look-up where the platform sets none.
+/// The default time between the calls of two holders of the duties lease.
+const DEFAULT_TURN: Duration = Duration::from_secs(3);
+/// The default limit for caching look-up answers.
 const DEFAULT_VALIDITY: Duration = Duration::from_secs(5);
 
 fn seconds(text: &str) -> Option<Duration> {
     within(text, 0.1, 3600.0).map(Duration::from_secs_f64)
 }
 
-fn given<T: FromStr>(text: &str) -> Option<T> {
+fn parse_value<T: FromStr>(text: &str) -> Option<T> {
     parsed(text)
 }
 
 impl Settings {
-    /// The seeds but for this node itself.
+    /// The seeds other than this node.
     pub fn other_seeds(&self) -> impl Iterator<Item = SocketAddr> {
         self.seeds.iter().copied().filter(|seed| *seed != self.peer)
     }
@@ -98,16 +97,16 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// Everything that is wrong with it, at once.
+    /// All errors in the file, at once.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let (file, text) = read_file(path)?;
         Self::parse(&file, &text)
     }
 
-    /// Checks the text of a file.
+    /// Parses and checks the text of a file.
     ///
     /// # Errors
-    /// Everything that is wrong with it, at once.
+    /// All errors in the text, at once.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let sections: &Sections = &SECTIONS;
         parse_sections(file, text, sections, collect)
@@ -115,8 +114,8 @@
 }
 
 fn collect(r: &mut Reader<'_>) -> Option<Settings> {
-    let name = r.required("node", "name", ID_FORM, given);
-    let data_centre = r.required("node", "data_centre", ID_FORM, given);
+    let name = r.required("node", "name", ID_FORM, parse_value);
+    let data_centre = r.required("node", "data_centre", ID_FORM, parse_value);
     let mut address = |key| r.required("node", key, ADDRESS_FORM, usable_address);
     let (front, ready, lookup) = (address("front"), address("ready"), address("lookup"));
     let (peer, metrics) = (address("peer"), address("metrics"));
@@ -143,13 +142,13 @@
         seeds: seeds.unwrap_or_default(),
         store: store?,
         budget: Bounds {
-            ratio: ratio.unwrap_or(DEFAULT_BOUNDS.ratio),
-            allowance: allowance.unwrap_or(DEFAULT_BOUNDS.allowance),
-            window: window.unwrap_or(DEFAULT_BOUNDS.window),
+            ratio: ratio.unwrap_or(DEFAULT_RETRY_BUDGET.ratio),
+            allowance: allowance.unwrap_or(DEFAULT_RETRY_BUDGET.allowance),
+            window: window.unwrap_or(DEFAULT_RETRY_BUDGET.window),
         },
         grace: grace.unwrap_or(DEFAULT_GRACE),
         longest_validity: validity.unwrap_or(DEFAULT_VALIDITY),
-        turns: turns.map_or(DEFAULT_TURNS, Duration::from_millis),
+        turns: turns.map_or(DEFAULT_TURN, Duration::from_millis),
         platform,
         usage_window,
         log_level: log_level.unwrap_or(LevelFilter::Info),
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a serving node share.
+//! The state shared by the tasks of a serving node.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -48,60 +48,60 @@
 use crate::serve::transfer::Queue;
 use crate::usage::Usage;
 
-/// What is usual on a route, learned from its requests.
+/// Statistics of a route's requests.
 #[derive(Debug, Default)]
-struct Usual {
+struct RouteStats {
     sizes: Sizes,
     deadlines: Deadlines,
 }
 
-/// What the parts share.
+/// The shared state.
 pub struct Shared {
     /// The settings.
     pub settings: Settings,
     /// The clock, which counts suspension.
     pub clock: Arc<dyn Clock>,
-    /// This node as others know it.
+    /// This node's identity and addresses, as announced to other nodes.
     pub me: Contact,
     /// Metrics.
     pub metrics: Metrics,
-    /// The configuration in force. A request takes it once and keeps it to its end.
+    /// The configuration in force. A request loads it once and uses it to its end.
     pub configuration: ArcSwapOption<Configuration>,
     /// Connections to runners and the store.
     pub connections: Arc<Connections>,
-    /// The era of the store.
+    /// The tracker of the store's era.
     pub history: Arc<Tracker>,
-    /// The store.
+    /// The store client.
     pub store: Arc<Client>,
-    /// How this node stands towards callers.
+    /// Whether this node is starting, ready or leaving.
     pub standing: watch::Sender<Standing>,
-    /// Whether this node has met the others, or has found none.
+    /// Whether this node has completed its membership view, or has found no other node.
     pub acquainted: watch::Sender<bool>,
-    /// Signals that other nodes know the register better.
+    /// Signals that other nodes have a newer register.
     pub behind: Notify,
     /// Signals that other nodes have a newer configuration.
     pub outdated: Notify,
-    /// This node's part in the lease on the duties that one node at a time has.
+    /// This node's side of the duties lease, which one node holds at a time.
     pub tenure: Arc<Tenure>,
-    /// What this node counts of usage, and collects.
+    /// Usage counted and collected by this node.
     pub usage: Arc<Usage>,
-    /// Checks that the configuration is the newest.
+    /// Checks whether the configuration is the newest.
     pub checks: Checks,
-    /// Copies of the configuration for other nodes.
+    /// The configuration as offered to other nodes.
     pub copies: Copies,
-    /// Transfers of the whole register to other nodes.
+    /// The queue of transfers of the whole register to other nodes.
     pub register_transfers: Arc<Queue>,
-    /// What this node keeps of schedulers, and as one.
+    /// Scheduling state, as a client of schedulers and as a scheduler.
     pub scheduling: Scheduling,
-    /// The runners that have ended under calls.
+    /// Detects runners that crashed during calls.
     pub crashes: Detector,
-    /// Requests under which runners end.
+    /// Requests on which runners crash.
     pub keeper: Keeper,
-    /// Signals that a beat should go out now.
+    /// Signals that a heartbeat must be sent now.
     pub beat_now: Arc<Notify>,
     /// Rate limits of runners.
     pub limiter: Arc<Limiter>,
-    /// Runners that leave by their own word.
+    /// Runners that have announced that they leave.
     pub drains: Arc<Drains>,
     /// Sends requests to runners.
     pub dispatcher: Dispatcher,
@@ -112,23 +112,24 @@
     served: AtomicBool,
     budgets: Mutex<HashMap<ServiceId, Budget>>,
     demand: Mutex<HashMap<ServiceId, Demand>>,
-    usual: Mutex<HashMap<SmolStr, Usual>>,
+    route_stats: Mutex<HashMap<SmolStr, RouteStats>>,
     away: Mutex<Vec<Tag>>,
     rng: Mutex<StdRng>,
     began: Instant,
 }
 
-/// How many nodes follow the store. Each learns of a change by itself, so that one whose path is
-/// silent delays nobody; more cost a call for each change and node.
-const FOLLOWERS: usize = 3;
-/// How many nodes try at the most where the store does not serve those that come first. If it turns
-/// away a third of the nodes, the first twenty are all among them once in three billion times.
-const MOST_FOLLOWERS: usize = 20;
-/// The most routes whose sizes are kept.
-const MOST_ROUTES: usize = 1_000;
+/// How many nodes watch the store. Each learns of a change on its own, so a silent path of one of
+/// them delays no other node. More watchers would cost one call more for each change.
+const WATCHERS: usize = 3;
+/// The maximum number of nodes that try to watch the store if it refuses the first ones. If it
+/// refuses a third of the nodes, the chance that the first twenty are all among them is one in
+/// three billion.
+const MAX_WATCHERS: usize = 20;
+/// The maximum number of routes with statistics.
+const MAX_ROUTES: usize = 1_000;
 
 impl Shared {
-    /// A node that has not begun to work.
+    /// Creates the state of a node that has not started yet.
     pub fn new(settings: Settings, clock: Arc<dyn Clock>, metrics: Metrics) -> Self {
         let since = clock.wall().duration_since(UNIX_EPOCH).unwrap_or_default();
         let incarnation = Incarnation(u64::try_from(since.as_micros()).unwrap_or(u64::MAX));
@@ -156,7 +157,8 @@
         );
         let tenure = Arc::new(tenure);
         let collector = Collector { node: me.id.clone(), incarnation };
-        // What nobody reports would be counted without end.
+        // Usage is counted only if it can be reported; otherwise the counts would grow without
+        // limit.
         let window = settings.usage_window.filter(|_| settings.platform.is_some());
         let usage = Arc::new(Usage::new(collector, window, clock.clone()));
         let roster = Arc::new(Mutex::new(Roster::new(me.clone())));
@@ -209,7 +211,7 @@
             served: AtomicBool::new(true),
             budgets: Mutex::default(),
             demand: Mutex::default(),
-            usual: Mutex::default(),
+            route_stats: Mutex::default(),
             away: Mutex::default(),
             rng: Mutex::new(StdRng::seed_from_u64(seed)),
             settings,
@@ -217,39 +219,39 @@
         }
     }
 
-    /// The runners.
+    /// Locks the register of runners.
     pub fn register(&self) -> MutexGuard<'_, Register> {
         lock(&self.register)
     }
 
-    /// The other nodes.
+    /// Locks the membership view.
     pub fn roster(&self) -> MutexGuard<'_, Roster> {
         lock(&self.roster)
     }
 
-    /// What is known from the store.
+    /// Locks what is known from the store.
     pub fn knowledge(&self) -> MutexGuard<'_, Knowledge> {
         lock(&self.knowledge)
     }
 
-    /// Whether the store is away, as all that follow it have seen.
+    /// Locks the state of the current store outage, as seen by all watches.
     pub fn outage(&self) -> MutexGuard<'_, Outage> {
         lock(&self.outage)
     }
 
-    /// Until when an entry that is missing in the register is doubted, if it is: the store has been
-    /// away, or has come back from a copy.
+    /// Returns until when entries missing from the register are doubted instead of removed: the
+    /// store had an outage, or was restored from a copy. `None` if they are removed at once.
     pub fn doubt(&self) -> Option<Instant> {
         let now = self.clock.now();
         self.outage().doubt(now).max(self.history.doubt(now))
     }
 
-    /// Random numbers.
+    /// Locks the random number generator.
     pub fn rng(&self) -> MutexGuard<'_, StdRng> {
         lock(&self.rng)
     }
 
-    /// How this node stands and what it knows.
+    /// Returns the status announced to other nodes.
     pub fn status(&self) -> Status {
         Status {
             standing: *self.standing.borrow(),
@@ -259,42 +261,43 @@
         }
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether callers should be sent to this node.
     pub fn is_ready(&self) -> bool {
         *self.standing.borrow() == Standing::Ready
     }
 
-    /// Notes that the store has answered this node.
+    /// Records that the store has answered this node.
     pub fn note_served(&self) {
         self.set_served(true);
     }
 
-    /// Notes that the store has not answered this node.
+    /// Records that the store has not answered this node.
     pub fn note_unserved(&self) {
         self.set_served(false);
     }
 
-    /// The others hear of a change at once: where the store serves a follower no more, another has to
-    /// step in.
+    /// A change is announced to the other nodes at once: if the store no longer serves a watcher,
+    /// another node must take over.
     fn set_served(&self, served: bool) {
         if self.served.swap(served, Ordering::Relaxed) != served {
             self.beat_now.notify_one();
         }
     }
 
-    /// Whether this node follows the store itself: fewer than a few of those that come before it
-    /// are there and served by the store. Where one of those fails, the next steps in. While the store
-    /// serves nobody, those far behind leave it alone all the same: it counts their calls.
+    /// Returns whether this node must watch the store: fewer than [`WATCHERS`] nodes that rank
+    /// before it are up and served by the store. If one of these fails, the next node takes over.
+    /// Nodes beyond [`MAX_WATCHERS`] never watch, not even while the store serves no node, since
+    /// the store limits the number of calls.
     pub fn follows(&self) -> bool {
         let mine = rank::weight(SUBJECT, &self.me.id);
         let roster = self.roster();
         let before = |ids: &mut dyn Iterator<Item = &NodeId>| {
             ids.filter(|id| rank::weight(SUBJECT, id) > mine).count()
         };
-        before(&mut roster.served()) < FOLLOWERS && before(&mut roster.ids()) < MOST_FOLLOWERS
+        before(&mut roster.served()) < WATCHERS && before(&mut roster.ids()) < MAX_WATCHERS
     }
 
-    /// The nodes as duties need to know them.
+    /// Returns the membership view for the duties.
     pub fn view(&self) -> View {
         let now = self.clock.now();
         let time = self.usage.time_at(now);
@@ -302,9 +305,9 @@
         let me = roster.me();
         let ready = roster.present_records().chain([me]);
         let ready = ready.filter(|record| record.standing == Standing::Ready);
-        let mut first = rank::first(SUBJECT, ready, |record| &record.contact.id, MOST_FOLLOWERS);
-        // Where the store serves none of these it is away for all, and a change of the holder would only
-        // add a turn of waiting once it is back.
+        let mut first = rank::first(SUBJECT, ready, |record| &record.contact.id, MAX_WATCHERS);
+        // If the store serves none of these nodes, it is down for all. Changing the lease holder
+        // would only add a waiting period once the store is back.
         if first.iter().any(|record| record.served) {
             first.retain(|record| record.served);
         }
@@ -329,40 +332,41 @@
         }
     }
 
-    /// Queue from starting to ready once there is a configuration and a register.
+    /// Changes from starting to ready once there is a configuration and a register.
     pub fn note_knowledge(&self) {
         let known = self.configuration.load().is_some() && self.knowledge().is_known();
-        let turned = self.standing.send_if_modified(|standing| {
-            let turns = known && *standing == Standing::Starting;
-            if turns {
+        let became_ready = self.standing.send_if_modified(|standing| {
+            let becomes_ready = known && *standing == Standing::Starting;
+            if becomes_ready {
                 *standing = Standing::Ready;
             }
-            turns
+            becomes_ready
         });
-        if turned {
+        if became_ready {
             log::info!(node:% = self.me.id; "ready for callers");
             self.beat_now.notify_one();
         }
     }
 
-    /// Passes a change on at once.
+    /// Announces a change to the other nodes at once.
     pub fn note_news(&self) {
         self.beat_now.notify_one();
     }
 
-    /// Notes that other nodes may know more than this one.
+    /// Signals that other nodes may have newer state than this one.
     pub fn note_behind(&self) {
         self.behind.notify_one();
         self.outdated.notify_one();
     }
 
-    /// Notes a request for a service, which earns a part of an extra arrival.
+    /// Records a request for a service, which adds to its retry budget.
     pub fn note_request(&self, service: &ServiceId) {
         let now = self.clock.now();
         self.with_budget(service, |budget| budget.note_request(now));
     }
 
-    /// Takes an extra arrival out of the budget of a service.
+    /// Takes an extra arrival from the retry budget of a service, and returns whether it was
+    /// granted.
     pub fn take_extra(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
         let nodes = self.roster().known() + 1;
@@ -378,40 +382,41 @@
             let budget = Budget::new(self.settings.budget, self.began);
             budgets.insert(service.clone(), budget);
         }
-        change(budgets.get_mut(service).expect("it was just put there"))
+        change(budgets.get_mut(service).expect("the budget was just inserted"))
     }
 
-    /// What is asked of the services, as this node sees it.
+    /// Locks the demand for each service, as seen by this node.
     pub fn demand(&self) -> MutexGuard<'_, HashMap<ServiceId, Demand>> {
         lock(&self.demand)
     }
 
-    /// Notes the size of a request on a route, in tokens, and gives it against the route's mean.
+    /// Records the size of a request on a route, in tokens, and returns it relative to the route's
+    /// mean.
     pub fn note_size(&self, route: &SmolStr, tokens: u64) -> f64 {
-        self.with_usual(route, |usual| usual.sizes.note(tokens))
+        self.with_route_stats(route, |stats| stats.sizes.note(tokens))
     }
 
-    /// Notes the deadline of a request on a route, and gives how long its caller has probably waited
-    /// since its first attempt.
+    /// Records the deadline of a request on a route, and returns the estimated time that its caller
+    /// has waited since the first attempt.
     pub fn note_deadline(&self, route: &SmolStr, deadline: Duration) -> Duration {
-        self.with_usual(route, |usual| usual.deadlines.note(deadline))
+        self.with_route_stats(route, |stats| stats.deadlines.note(deadline))
     }
 
-    fn with_usual<T>(&self, route: &SmolStr, change: impl FnOnce(&mut Usual) -> T) -> T {
-        let mut usual = lock(&self.usual);
-        // Routes come and go with configurations; what is forgotten is soon learned again.
-        if !usual.contains_key(route) && usual.len() >= MOST_ROUTES {
-            usual.clear();
+    fn with_route_stats<T>(&self, route: &SmolStr, change: impl FnOnce(&mut RouteStats) -> T) -> T {
+        let mut stats = lock(&self.route_stats);
+        // Routes come and go with configurations; dropped statistics are soon rebuilt.
+        if !stats.contains_key(route) && stats.len() >= MAX_ROUTES {
+            stats.clear();
         }
-        change(usual.entry(route.clone()).or_default())
+        change(stats.entry(route.clone()).or_default())
     }
 
-    /// Runners that are on their way to another stage by this node's orders.
+    /// Returns the runners that are changing their stage by this node's orders.
     pub fn away(&self) -> Vec<Tag> {
         lock(&self.away).clone()
     }
 
-    /// Replaces the runners that are on their way; all nodes hear of a new one at once.
+    /// Replaces the runners that are changing their stage, and announces a change at once.
     pub fn set_away(&self, tags: Vec<Tag>) {
         let mut away = lock(&self.away);
         if *away != tags {
