--- a/node/tests/knowledge.rs
+++ b/node/tests/knowledge.rs
@@ -1,5 +1,5 @@
-//! What nodes tell each other of the register: a node that takes in differences knows what the one
-//! that told them knows, whatever was missed between.
+//! Differences of the register between nodes: a node that applies them has the same state as the
+//! sender, whatever it has missed in between.
 
 use proptest::prelude::*;
 use sardinepick_lib::fleet::mark::Mark;
@@ -17,13 +17,13 @@
     Object { name: named(name), at: Point::without_era(revision), content }
 }
 
-fn take(knowledge: &mut Knowledge, told: Difference) {
-    let mut gone = told.gone;
-    if told.whole {
-        let named: Vec<SmolStr> = told.entries.iter().map(|o| o.name.clone()).collect();
+fn take(knowledge: &mut Knowledge, difference: Difference) {
+    let mut gone = difference.gone;
+    if difference.whole {
+        let named: Vec<SmolStr> = difference.entries.iter().map(|o| o.name.clone()).collect();
         gone.extend(names(knowledge).into_iter().filter(|name| !named.contains(name)));
     }
-    knowledge.take(told.entries, &gone, told.mark);
+    knowledge.take(difference.entries, &gone, difference.mark);
 }
 
 fn names(knowledge: &Knowledge) -> Vec<SmolStr> {
@@ -36,18 +36,18 @@
 proptest! {
     #[test]
     fn since_any_gaps_same_register(steps in proptest::collection::vec((0u8..9, 0u8..6), 1..80)) {
-        let (mut teller, mut learner) = (Knowledge::default(), Knowledge::default());
+        let (mut sender, mut receiver) = (Knowledge::default(), Knowledge::default());
         for (at, (name, kind)) in steps.into_iter().enumerate() {
             let revision = 10 + at as u64 * 2;
             match kind {
-                0 | 1 => teller.take(vec![object(name, revision)], &[], Mark::of(Point::without_era(revision))),
-                2 => teller.take(Vec::new(), &[named(name)], Mark::of(Point::without_era(revision))),
-                3 => teller.take_lapsed(&[named(name)]),
+                0 | 1 => sender.take(vec![object(name, revision)], &[], Mark::of(Point::without_era(revision))),
+                2 => sender.take(Vec::new(), &[named(name)], Mark::of(Point::without_era(revision))),
+                3 => sender.take_lapsed(&[named(name)]),
                 _ => {
-                    let told = teller.since(learner.mark());
-                    take(&mut learner, told);
-                    prop_assert_eq!(learner.mark(), teller.mark());
-                    prop_assert_eq!(names(&learner), names(&teller));
+                    let difference = sender.since(receiver.mark());
+                    take(&mut receiver, difference);
+                    prop_assert_eq!(receiver.mark(), sender.mark());
+                    prop_assert_eq!(names(&receiver), names(&sender));
                 }
             }
         }
@@ -56,42 +56,45 @@
 
 #[test]
 fn since_far_behind_everything() {
-    let mut teller = Knowledge::default();
+    let mut sender = Knowledge::default();
     for at in 0..2_000u64 {
-        teller.take(vec![object(1, at * 2 + 1)], &[], Mark::of(Point::without_era(at * 2 + 1)));
-        teller.take(Vec::new(), &[named(1)], Mark::of(Point::without_era(at * 2 + 2)));
+        sender.take(vec![object(1, at * 2 + 1)], &[], Mark::of(Point::without_era(at * 2 + 1)));
+        sender.take(Vec::new(), &[named(1)], Mark::of(Point::without_era(at * 2 + 2)));
     }
-    teller.take(vec![object(2, 5_000)], &[], Mark::of(Point::without_era(5_000)));
-    assert!(teller.since(Mark::of(Point::without_era(5))).whole);
-    let near = teller.since(Mark::of(Point::without_era(3_990)));
+    sender.take(vec![object(2, 5_000)], &[], Mark::of(Point::without_era(5_000)));
+    assert!(sender.since(Mark::of(Point::without_era(5))).whole);
+    let near = sender.since(Mark::of(Point::without_era(3_990)));
     assert!(!near.whole && near.entries.len() == 1 && near.gone.len() == 5);
 }
 
-/// Symptom: nodes give work to a runner that has left. Sequence: the store was away; a node
-/// that follows it finds an entry missing, doubts that, and tells the others how new its register is;
-/// they know as new a register and ask nobody else. Cause: it told the mark and not the doubt.
+/// Guards against requests to a runner that has left. After a store outage, a node that watches the
+/// store finds an entry missing and doubts it. If it announces its new mark without the doubt, the
+/// other nodes consider their register up to date and ask no other node.
 #[test]
 fn since_doubt_told_with_its_mark() {
-    let mut teller = Knowledge::default();
-    teller.take(vec![object(1, 5), object(2, 6)], &[], Mark::of(Point::without_era(6)));
-    teller.take_with_doubt(Vec::new(), &[], &[named(1)], Mark::of(Point::without_era(9)));
-    let told = teller.since(Mark::of(Point::without_era(6)));
-    assert_eq!((told.doubted, told.mark), (vec![named(1)], Mark::of(Point::without_era(9))));
-    assert_eq!(teller.since(Mark::default()).doubted, [named(1)]);
-    assert!(teller.since(Mark::of(Point::without_era(9))).doubted.is_empty());
-    teller.take(vec![object(1, 12)], &[], Mark::of(Point::without_era(12)));
-    assert!(teller.since(Mark::default()).doubted.is_empty(), "it has come back");
+    let mut sender = Knowledge::default();
+    sender.take(vec![object(1, 5), object(2, 6)], &[], Mark::of(Point::without_era(6)));
+    sender.take_with_doubt(Vec::new(), &[], &[named(1)], Mark::of(Point::without_era(9)));
+    let difference = sender.since(Mark::of(Point::without_era(6)));
+    assert_eq!(
+        (difference.doubted, difference.mark),
+        (vec![named(1)], Mark::of(Point::without_era(9)))
+    );
+    assert_eq!(sender.since(Mark::default()).doubted, [named(1)]);
+    assert!(sender.since(Mark::of(Point::without_era(9))).doubted.is_empty());
+    sender.take(vec![object(1, 12)], &[], Mark::of(Point::without_era(12)));
+    assert!(sender.since(Mark::default()).doubted.is_empty(), "the entry is back");
 }
 
-/// Guards against a change under an earlier mark, as of a store that came back from a copy, that is told
-/// to nobody.
+/// Guards against a change with an earlier mark, as from a store that was restored from a copy,
+/// that is never sent to other nodes.
 #[test]
 fn since_change_under_earlier_mark_told() {
-    let mut teller = Knowledge::default();
-    teller.take(vec![object(1, 5), object(2, 100)], &[], Mark::of(Point::without_era(100)));
-    let known = teller.mark();
-    teller.take(vec![object(1, 60)], &[], Mark::of(Point::without_era(60)));
-    let told = teller.since(known);
-    assert_eq!(told.entries, [object(1, 60)]);
-    assert!(told.mark > known, "a node that hears of the mark has to ask");
+    let mut sender = Knowledge::default();
+    sender.take(vec![object(1, 5), object(2, 100)], &[], Mark::of(Point::without_era(100)));
+    let known = sender.mark();
+    sender.take(vec![object(1, 60)], &[], Mark::of(Point::without_era(60)));
+    let difference = sender.since(known);
+    assert_eq!(difference.entries, [object(1, 60)]);
+    assert!(difference.mark > known, "the announced mark makes a node ask");
 }
--- a/node/tests/lives.rs
+++ b/node/tests/lives.rs
@@ -1,4 +1,4 @@
-//! Runners that start again under their ids, and entries of other writers in the register.
+//! Runners that restart under the same id, and invalid entries of other writers in the register.
 
 use std::time::Duration;
 
@@ -27,40 +27,41 @@
     register.get(&id(runner)).is_some_and(|known| known.entry.address == runner.address())
 }
 
-async fn start_again(set: &mut Deployment, at: usize) {
+async fn restart(set: &mut Deployment, at: usize) {
     let address = free_address(own_ip());
-    let reborn = set.runners[at].start_again(address).await.expect("a free address");
-    set.runners[at] = reborn;
+    let restarted = set.runners[at].start_again(address).await.expect("a free address");
+    set.runners[at] = restarted;
     let (node, runner) = (&set.nodes[0].shared, &set.runners[at]);
-    wait_until("the node knows the new life", async || address_known(node, runner)).await;
+    wait_until("the node knows the new incarnation", async || address_known(node, runner)).await;
 }
 
-/// Symptom: requests are sent where their prompt is believed to be kept, and it is read again there.
-/// Sequence: a runner reads a prompt, dies, and starts again under its id. Cause: what was believed
-/// of it went by its id alone.
+/// Guards against cached prompts that are assumed at a runner after its restart. A runner reads a
+/// prompt, dies, and restarts under the same id. If its cache is tracked by the id alone, requests
+/// are sent there for prompts that it must read again.
 #[tokio::test]
-async fn runner_started_again_keeps_nothing() {
+async fn restarted_runner_has_empty_cache() {
     let mut set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let ask = Ask { headers: &GENERATION, ..Ask::new("/count/a", "s1") };
     assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::OK));
     let shared = set.nodes[0].shared.clone();
-    let kept = |runner: &Runner| shared.register().get(&id(runner)).map(|r| r.cache.tokens());
-    assert!(kept(&set.runners[0]).is_some_and(|tokens| tokens >= 1_460));
-    start_again(&mut set, 0).await;
-    assert_eq!(kept(&set.runners[0]), Some(0));
+    let cached_tokens =
+        |runner: &Runner| shared.register().get(&id(runner)).map(|r| r.cache.tokens());
+    assert!(cached_tokens(&set.runners[0]).is_some_and(|tokens| tokens >= 1_460));
+    restart(&mut set, 0).await;
+    assert_eq!(cached_tokens(&set.runners[0]), Some(0));
     let ask = Ask { headers: &GENERATION, ..Ask::new("/count/a", "s2") };
     assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::OK));
 }
 
-/// Symptom: a runner that has just started again is left alone, or believed to be idle while it
-/// works. Sequence: requests hang at its former life and break off when it dies; they end after the
-/// new life is known. Cause: their ends and failures were counted to the new life.
+/// Guards against a restarted runner that is avoided, or believed idle while it works. Requests
+/// hang at the previous incarnation and break off when it dies, after the new incarnation is known.
+/// Their ends and failures must not be counted against the new incarnation.
 #[tokio::test]
-async fn former_life_ends_nothing_of_the_new() {
+async fn previous_incarnation_does_not_affect_new_one() {
     let mut set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     set.runners[0].set_faults(Faults { hangs: true, ..Faults::default() });
     let shared = set.nodes[0].shared.clone();
-    let former = set.runners[0].clone();
+    let previous = set.runners[0].clone();
     let front = set.front(0);
     let asks: Vec<_> = (0..4)
         .map(|n| {
@@ -69,41 +70,41 @@
             tokio::spawn(async move { caller.send(front, &Ask::new("/eggs/order", &name)).await })
         })
         .collect();
-    wait_until("they hang", async || former.seen().len() == 4).await;
-    // The entry of the new life comes before the connections to the former one break off.
+    wait_until("all requests hang", async || previous.seen().len() == 4).await;
+    // The entry of the new incarnation is written before the connections to the previous one break.
     let address = free_address(own_ip());
-    let mut entry = former.entry();
+    let mut entry = previous.entry();
     entry["born"] = json!(entry["born"].as_u64().expect("a number") + 1);
     entry["address"] = json!(address.to_string());
-    set.store.put("servers", &former.id, &entry);
-    wait_until("the node knows the new life", async || {
-        shared.register().get(&id(&former)).is_some_and(|r| r.entry.address == address)
+    set.store.put("servers", &previous.id, &entry);
+    wait_until("the node knows the new incarnation", async || {
+        shared.register().get(&id(&previous)).is_some_and(|r| r.entry.address == address)
     })
     .await;
-    set.runners[0] = former.start_again(address).await.expect("a free address");
+    set.runners[0] = previous.start_again(address).await.expect("a free address");
     for ask in asks {
-        let told = ask.await.expect("it ends");
-        assert_eq!(told.status, Some(StatusCode::BAD_GATEWAY), "what may have run is not denied");
+        let answer = ask.await.expect("the request ends");
+        assert_eq!(answer.status, Some(StatusCode::BAD_GATEWAY), "the request may have run");
     }
     {
         let register = shared.register();
-        let runner = register.get(&id(&former)).expect("known");
+        let runner = register.get(&id(&previous)).expect("known");
         assert!(runner.own.is_empty() && runner.health.failing() == 0.0);
     }
     assert_eq!(set.ask("/eggs/order", "egg-9").await.status, Some(StatusCode::OK));
     assert_eq!(set.runners[0].ran("egg-9"), 1);
 }
 
-/// Symptom: requests go to an address where nobody is. Sequence: a runner starts again elsewhere; a
-/// write of its former life arrives after that. Cause: the latest write was taken for the latest
-/// life.
+/// Guards against requests to an address where no runner listens. A runner restarts at another
+/// address, and a write of its previous incarnation arrives late. The latest write need not be of
+/// the latest incarnation.
 #[tokio::test]
-async fn former_life_late_entry_changes_nothing() {
+async fn late_entry_of_previous_incarnation_ignored() {
     let mut set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     let late = set.runners[0].entry();
-    start_again(&mut set, 0).await;
+    restart(&mut set, 0).await;
     set.store.put("servers", &set.runners[0].id, &late);
-    // A change that the node takes after the late one.
+    // A change that the node applies after the late entry.
     set.runners[1].drain();
     let shared = set.nodes[0].shared.clone();
     wait_until("the node has seen both", async || {
@@ -119,11 +120,11 @@
     }
 }
 
-/// Symptom: for seconds after all nodes have started again, long prompts are read whole or refused.
-/// Sequence: a runner reads a prompt; all nodes end, and others start in their places. Cause: what
-/// runners keep was known to the nodes that ended alone.
+/// Guards against long prompts that are read whole or refused for seconds after all nodes have
+/// restarted. The caches of the runners are known only in the memory of the nodes, so new nodes
+/// must query them.
 #[tokio::test]
-async fn nodes_all_anew_kept_prompts_known() {
+async fn all_nodes_restarted_cached_prompts_known() {
     let mut set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let headers =
         [("model", "m"), ("token-count", "9400,80"), ("prompt-prefix", "5c1e:9000,e440:400")];
@@ -133,7 +134,7 @@
     set.add_node("edge-7", Vec::new()).await;
     let shared = set.nodes[0].shared.clone();
     let chain = Chain::new("m", [("5c1e", 9_000), ("other", 10)].into_iter());
-    wait_until("the new node knows what is kept", async || {
+    wait_until("the new node knows the cached prompts", async || {
         let register = shared.register();
         let runner = register.get(&id(&set.runners[0]));
         runner.is_some_and(|r| r.cache.fetchable(&chain) == 9_000)
@@ -141,15 +142,15 @@
     .await;
 }
 
-/// Entries that a runner does not write, each from a sound one by one change.
-fn foreign(sound: &Value) -> Vec<Value> {
+/// Invalid entries, each made from a valid one by one change.
+fn invalid_entries(valid: &Value) -> Vec<Value> {
     let changed = |field: &str, value: Value| {
-        let mut entry = sound.clone();
+        let mut entry = valid.clone();
         entry[field] = value;
         entry
     };
     let without = |field: &str| {
-        let mut entry = sound.clone();
+        let mut entry = valid.clone();
         entry.as_object_mut().expect("an object").remove(field);
         entry
     };
@@ -178,35 +179,37 @@
     ]
 }
 
-/// Symptom: a runner is used whose entry another writer has replaced, or the sound runners beside it
-/// are not. Sequence: something that is no runner's entry is written under its id. Cause: what could
-/// not be read was dropped, and what was known before it stayed.
+/// Guards against the use of a runner whose entry was replaced by an invalid one, and against valid
+/// entries that are ignored beside it. An invalid entry must remove what was known under its id.
 #[tokio::test]
-async fn entry_of_other_writer_names_no_runner() {
+async fn invalid_entry_removes_runner() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     let shared = set.nodes[0].shared.clone();
-    let taken = set.runners[0].clone();
-    for (n, entry) in foreign(&taken.entry()).into_iter().enumerate() {
-        set.store.put("servers", &taken.id, &entry);
-        wait_until("the runner is not used", async || shared.register().get(&id(&taken)).is_none())
-            .await;
+    let replaced = set.runners[0].clone();
+    for (n, entry) in invalid_entries(&replaced.entry()).into_iter().enumerate() {
+        set.store.put("servers", &replaced.id, &entry);
+        wait_until("the runner is not used", async || {
+            shared.register().get(&id(&replaced)).is_none()
+        })
+        .await;
         let name = format!("r{n}");
         assert_eq!(set.ask("/board/a", &name).await.status, Some(StatusCode::OK), "{entry:.80}");
         assert_eq!(set.runners[1].ran(&name), 1);
-        taken.write_entry();
-        wait_until("its own entry is taken again", async || address_known(&shared, &taken)).await;
+        replaced.write_entry();
+        wait_until("its own entry is used again", async || address_known(&shared, &replaced)).await;
     }
     let text = String::from_utf8(shared.metrics.text()).expect("metrics are text");
     assert!(text.contains(r#"sardinepick_foreign_objects_total{reason="state",what="runner"} 1"#));
 }
 
-/// The same for a node that reads the whole list, among entries under names that are no ids.
+/// The same for a node that lists all entries, including entries under invalid ids.
 #[tokio::test]
-async fn list_with_other_writers_sound_ones_hold() {
+async fn list_with_invalid_entries_valid_ones_used() {
     let mut set = Deployment::new().await.with_plain(3).await;
-    let sound = set.runners[0].entry();
-    // Without its birth an entry under another id is as good as one of a runner that does not tell.
-    let entries = foreign(&sound).into_iter().filter(|e| e["born"].is_u64() || !e["seq"].is_u64());
+    let valid = set.runners[0].entry();
+    // Without `born` an entry under another id looks like that of a runner that does not report it.
+    let entries =
+        invalid_entries(&valid).into_iter().filter(|e| e["born"].is_u64() || !e["seq"].is_u64());
     for (n, entry) in entries.enumerate() {
         set.store.put("servers", &format!("x-{n}"), &entry);
     }
@@ -218,11 +221,11 @@
     assert_eq!(set.ask("/board/a", "r1").await.status, Some(StatusCode::OK));
 }
 
-/// Symptom: an order is given to a runner while another may still be carried out there. Sequence: an
-/// order gets no answer; the runner starts again under its id, with its count of orders at zero
-/// again. Cause: the order in doubt was forgotten with the life that it was for.
+/// Guards against an order to a runner that may still carry out another one. An order gets no
+/// answer; the runner restarts under the same id, with its order count at zero again. The
+/// unanswered order must outlast the incarnation that it was for.
 #[tokio::test]
-async fn order_in_doubt_outlasts_the_life() {
+async fn order_in_doubt_outlasts_incarnation() {
     let mut set = Deployment::new().await.with_engines(1, 5).await.with_nodes(1).await;
     for runner in &set.runners {
         runner.set_faults(Faults { mute_orders: true, ..Faults::default() });
@@ -237,9 +240,11 @@
         set.runners.iter().any(|runner| !runner.orders().is_empty())
     })
     .await;
-    let at = set.runners.iter().position(|r| !r.orders().is_empty()).expect("one has an order");
-    start_again(&mut set, at).await;
-    // Long enough for several looks at the demand, and shorter than an order may be in doubt.
+    let at =
+        set.runners.iter().position(|r| !r.orders().is_empty()).expect("a runner has an order");
+    restart(&mut set, at).await;
+    // Long enough for several evaluations of the demand, and shorter than an order may stay in
+    // doubt.
     let until = tokio::time::Instant::now() + Duration::from_secs(3);
     for n in 0.. {
         if tokio::time::Instant::now() > until {
@@ -252,9 +257,9 @@
     assert_eq!(set.runners[at].orders(), []);
 }
 
-/// Symptom: most nodes do not get ready. Sequence: a deployment starts before its runners do; three
-/// nodes read an empty register from the store. Cause: an empty register was as new as none, so the
-/// others were not told of it.
+/// Guards against nodes that never become ready. A deployment starts before its runners, and three
+/// nodes read an empty register from the store. If an empty register does not count as newer than
+/// none, the other nodes never receive it.
 #[tokio::test]
 async fn nodes_without_runners_all_ready() {
     let set = Deployment::new().await.with_nodes(5).await;
@@ -263,15 +268,12 @@
     }
 }
 
-/// Symptom: a request reaches a runner 5 s after it said that it leaves. Sequence: the store was away;
-/// a runner says that it leaves and its entry is removed, and one answer of the store tells both. Cause:
-/// of the two the last alone was taken, and the runner doubted, as one whose entry only lapsed.
-///
-///     11.9090 i-00d25cd50b says that it leaves
-///     11.9149 spaarne-30  runner's entry lapsed while the store was away  i-00d25cd50b
-///     16.9450 i-00d25cd50b gets a request from hofvijver-7
+/// Guards against requests to a runner seconds after it said that it leaves. During a store outage
+/// a runner says that it leaves and its entry is removed; one answer of the store reports both. If
+/// only the removal is applied, the runner is doubted like one whose entry only lapsed, and got a
+/// request 5 s later.
 #[tokio::test]
-async fn difference_leaves_and_gone_together_not_doubted() {
+async fn difference_leaving_and_gone_together_not_doubted() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     let shared = &set.nodes[0].shared;
     let runner = &set.runners[0];
--- a/node/tests/scheduler.rs
+++ b/node/tests/scheduler.rs
@@ -1,5 +1,5 @@
-//! A scheduler that does not do as it should: the node that has the caller answers all the same, and
-//! has each request run at most once.
+//! Faulty pool schedulers: the node with the caller still answers, and has each request run at most
+//! once.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,34 +25,35 @@
 const GENERATION: [(&str, &str); 3] =
     [("model", "m"), ("token-count", "1460,80"), ("prompt-prefix", "5c1e:800,91bd:410,e440:250")];
 
-/// What the scheduler does when it is asked.
+/// The behaviour of the scheduler when it is asked.
 #[derive(Clone, Debug)]
-enum Conduct {
-    /// Nothing: it has died between two of its beats, or is cut off.
+enum Behaviour {
+    /// No answer: it has died between two heartbeats, or is partitioned.
     Silent,
-    /// It answers when the node has given it up.
+    /// It answers after the node's time-out.
     Late(RunnerId),
     /// It answers each question twice.
     Twice(RunnerId),
-    /// It names a runner that the node does not know.
-    Naming(RunnerId),
-    /// It knows no such service.
-    Unknowing,
-    /// Its answers are no datagrams of ours.
-    Garbling,
-    /// It refuses all.
+    /// It names this runner, whatever the node knows of it.
+    FixedRunner(RunnerId),
+    /// It does not know the service.
+    UnknownService,
+    /// Its answers are invalid datagrams.
+    Garbage,
+    /// It refuses all requests.
     Refusing,
 }
 
-/// A name for which the pools of all services fall to the false scheduler and not to the node.
-fn winning_name(node: &NodeId) -> NodeId {
+/// A node id that makes the faulty scheduler, and not the node, the scheduler of all services'
+/// pools.
+fn id_of_scheduler(node: &NodeId) -> NodeId {
     let services = [MODEL, PLAIN].map(|name| name.parse::<ServiceId>().expect("an id"));
-    let wins = |name: &NodeId| {
-        let holds = |service| holder(service, Pool(0), [node, name].into_iter()) == Some(name);
-        services.iter().all(holds)
+    let is_scheduler = |name: &NodeId| {
+        let schedules = |service| holder(service, Pool(0), [node, name].into_iter()) == Some(name);
+        services.iter().all(schedules)
     };
     let names = (0..100).map(|n| format!("false-{n}").parse::<NodeId>().expect("an id"));
-    names.into_iter().find(wins).expect("one of a hundred wins")
+    names.into_iter().find(is_scheduler).expect("one of a hundred ids ranks first")
 }
 
 fn placed(runner: &RunnerId) -> Decision {
@@ -62,31 +63,32 @@
     Decision::Placed { placement, class: Class::of_rank(1) }
 }
 
-fn answers(conduct: &Conduct, number: u64, step: &Step) -> Vec<Vec<u8>> {
+fn answers(behaviour: &Behaviour, number: u64, step: &Step) -> Vec<Vec<u8>> {
     let one = |decision| Schedule::Answer { number, decision }.encode();
     let decided = |runner: &RunnerId| match step {
         Step::Start(_) => one(Some(placed(runner))),
         Step::GoOn { .. } => one(Some(Decision::GoesOn(runner.clone()))),
     };
-    match conduct {
-        Conduct::Silent => Vec::new(),
-        Conduct::Late(runner) | Conduct::Naming(runner) => vec![decided(runner)],
-        Conduct::Twice(runner) => vec![decided(runner); 2],
-        Conduct::Unknowing => vec![one(None)],
-        Conduct::Garbling => vec![vec![0; 40], vec![0, 255, 255], Vec::new()],
-        Conduct::Refusing => vec![one(Some(Decision::NoRunner))],
+    match behaviour {
+        Behaviour::Silent => Vec::new(),
+        Behaviour::Late(runner) | Behaviour::FixedRunner(runner) => vec![decided(runner)],
+        Behaviour::Twice(runner) => vec![decided(runner); 2],
+        Behaviour::UnknownService => vec![one(None)],
+        Behaviour::Garbage => vec![vec![0; 40], vec![0, 255, 255], Vec::new()],
+        Behaviour::Refusing => vec![one(Some(Decision::NoRunner))],
     }
 }
 
-/// A node that beats as any other and schedules as `conduct` says. Tells of each question.
-async fn add_false(
+/// Adds a node that sends normal heartbeats and schedules as `behaviour` says. Reports each
+/// question.
+async fn add_faulty_scheduler(
     node: &NodeId,
     peer: SocketAddr,
-    conduct: Conduct,
+    behaviour: Behaviour,
 ) -> mpsc::UnboundedReceiver<()> {
     let address = free_address(own_ip());
     let socket = UdpSocket::bind(address).await.expect("a free address");
-    let beat = beat::ready(winning_name(node), address, ConfigVersion(0));
+    let beat = beat::ready(id_of_scheduler(node), address, ConfigVersion(0));
     let (asked, questions) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         let mut buffer = [0; 2_048];
@@ -99,10 +101,10 @@
                     let Ok(Schedule::Question { number, ask, .. }) =
                         Schedule::decode(&buffer[..length]) else { continue };
                     let _ = asked.send(());
-                    if let Conduct::Late(_) = conduct {
+                    if let Behaviour::Late(_) = behaviour {
                         sleep(Duration::from_millis(120)).await;
                     }
-                    for answer in answers(&conduct, number, &ask.step) {
+                    for answer in answers(&behaviour, number, &ask.step) {
                         let _ = socket.send_to(&answer, from).await;
                     }
                 }
@@ -112,33 +114,34 @@
     questions
 }
 
-/// Asks a node whose scheduler conducts itself so for some generations; gives how often it was asked.
-async fn served_despite(conduct: impl Fn(&[Runner]) -> Conduct) -> usize {
+/// Sends generations to a node whose scheduler has this behaviour; returns how often it was asked.
+async fn serve_with_scheduler(behaviour: impl Fn(&[Runner]) -> Behaviour) -> usize {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let shared = set.nodes[0].shared.clone();
-    let conduct = conduct(&set.runners);
-    let mut questions = add_false(&shared.me.id, shared.me.peer, conduct.clone()).await;
-    wait_until("the false scheduler is heard", async || shared.roster().fronts().len() == 1).await;
-    // Longer than the node keeps who schedules the pool.
+    let behaviour = behaviour(&set.runners);
+    let mut questions =
+        add_faulty_scheduler(&shared.me.id, shared.me.peer, behaviour.clone()).await;
+    wait_until("the faulty scheduler is known", async || shared.roster().fronts().len() == 1).await;
+    // Longer than the node caches the scheduler of a pool.
     sleep(Duration::from_millis(80)).await;
     for n in 0..6 {
-        // Of the two routes one may be gone on with and one not.
+        // One of the two routes is resumable.
         for path in ["/count/a", "/tally/a"] {
             let id = format!("s{n}{path}");
             let ask = Ask { headers: &GENERATION, ..Ask::new(path, &id) };
-            let told = set.send(0, &ask).await;
-            assert_eq!(told.status, Some(StatusCode::OK), "{conduct:?}");
-            assert!(told.whole, "{conduct:?}");
-            assert_eq!(set.ran(&id), 1, "{conduct:?}");
+            let answer = set.send(0, &ask).await;
+            assert_eq!(answer.status, Some(StatusCode::OK), "{behaviour:?}");
+            assert!(answer.whole, "{behaviour:?}");
+            assert_eq!(set.ran(&id), 1, "{behaviour:?}");
         }
     }
     let mut count = 0;
     while questions.try_recv().is_ok() {
         count += 1;
     }
-    assert!(count > 0, "it was asked");
+    assert!(count > 0, "the scheduler was asked");
     let places: u32 = shared.register().runners().map(|r| r.own.total()).sum();
-    assert_eq!(places, 0, "places come back: {conduct:?}");
+    assert_eq!(places, 0, "reservations are released: {behaviour:?}");
     count
 }
 
@@ -148,42 +151,47 @@
 
 #[tokio::test]
 async fn decide_scheduler_silent_node_places_and_passes_it_over() {
-    let asked = served_despite(|_| Conduct::Silent).await;
-    // Twice for the first, and then not for a while.
-    assert!(asked <= 6, "it was asked {asked} times in vain");
+    let asked = serve_with_scheduler(|_| Behaviour::Silent).await;
+    // Two questions for the first request, then none for a while.
+    assert!(asked <= 6, "asked {asked} times without an answer");
 }
 
 #[tokio::test]
 async fn decide_scheduler_late_run_once() {
-    served_despite(|runners| Conduct::Late(decoder(runners))).await;
+    serve_with_scheduler(|runners| Behaviour::Late(decoder(runners))).await;
 }
 
 #[tokio::test]
 async fn decide_scheduler_answers_twice_run_once() {
-    served_despite(|runners| Conduct::Twice(decoder(runners))).await;
+    serve_with_scheduler(|runners| Behaviour::Twice(decoder(runners))).await;
 }
 
 #[tokio::test]
 async fn decide_scheduler_names_unknown_runner_node_places() {
-    served_despite(|_| Conduct::Naming("i-none".parse().expect("an id"))).await;
+    serve_with_scheduler(|_| Behaviour::FixedRunner("i-none".parse().expect("an id"))).await;
 }
 
 #[tokio::test]
 async fn decide_scheduler_of_other_version_node_places() {
-    served_despite(|_| Conduct::Unknowing).await;
-    served_despite(|_| Conduct::Garbling).await;
+    serve_with_scheduler(|_| Behaviour::UnknownService).await;
+    serve_with_scheduler(|_| Behaviour::Garbage).await;
 }
 
-/// Symptom: a runner gets work after it has said that it leaves. Sequence: the node has heard of it,
-/// the scheduler of its pool has not, and names it. Cause: the node took its word.
+/// Guards against work for a runner that has said that it leaves. The node knows that, but the
+/// scheduler of the pool does not yet and names the runner; the node must not use the answer
+/// unchecked.
 #[tokio::test]
 async fn decide_scheduler_names_leaving_runner_node_places() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let shared = set.nodes[0].shared.clone();
     let leaving = decoder(&set.runners);
-    let _questions =
-        add_false(&shared.me.id, shared.me.peer, Conduct::Naming(leaving.clone())).await;
-    wait_until("the false scheduler is heard", async || shared.roster().fronts().len() == 1).await;
+    let _questions = add_faulty_scheduler(
+        &shared.me.id,
+        shared.me.peer,
+        Behaviour::FixedRunner(leaving.clone()),
+    )
+    .await;
+    wait_until("the faulty scheduler is known", async || shared.roster().fronts().len() == 1).await;
     set.runners[1].drain();
     wait_until("the node knows", async || {
         shared.register().get(&leaving).is_some_and(|r| !r.takes_work(shared.clock.now()))
@@ -191,21 +199,21 @@
     .await;
     for n in 0..6 {
         let id = format!("s{n}");
-        let told = set.send(0, &Ask { headers: &GENERATION, ..Ask::new("/count/a", &id) }).await;
-        assert_eq!(told.status, Some(StatusCode::OK));
-        assert_eq!(set.runners[1].ran(&id), 0, "it leaves");
+        let answer = set.send(0, &Ask { headers: &GENERATION, ..Ask::new("/count/a", &id) }).await;
+        assert_eq!(answer.status, Some(StatusCode::OK));
+        assert_eq!(set.runners[1].ran(&id), 0, "the runner is leaving");
     }
 }
 
-/// Symptom: callers are refused where a scheduler's register is empty. Sequence: it has just started,
-/// and knows no runner yet. Cause: its refusal was taken for the truth, though the node knows runners.
+/// Guards against refusals because of a scheduler with an empty register. A scheduler that has just
+/// started knows no runner yet; the node knows some, so it must not use that refusal.
 #[tokio::test]
 async fn decide_scheduler_knows_no_runner_node_places() {
-    served_despite(|_| Conduct::Refusing).await;
+    serve_with_scheduler(|_| Behaviour::Refusing).await;
 }
 
-/// Guards against requests to a limited runner without a permit, when the node that grants is silent
-/// or names that runner itself.
+/// Guards against requests to a rate-limited runner without a permit, when the granting node is
+/// silent or names that runner itself.
 #[tokio::test]
 async fn decide_scheduler_grants_nothing_other_runner_taken() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_plain(2).await;
@@ -221,18 +229,18 @@
         Announced { runner, rate: Rate::new(5.0), age: Duration::ZERO }
     });
     shared.limiter.take(&announced, "another node");
-    let conduct = Conduct::Naming(decoder(&set.runners));
-    let _questions = add_false(&shared.me.id, shared.me.peer, conduct).await;
-    wait_until("the false scheduler is heard", async || shared.roster().fronts().len() == 1).await;
+    let behaviour = Behaviour::FixedRunner(decoder(&set.runners));
+    let _questions = add_faulty_scheduler(&shared.me.id, shared.me.peer, behaviour).await;
+    wait_until("the faulty scheduler is known", async || shared.roster().fronts().len() == 1).await;
     sleep(Duration::from_millis(80)).await;
     let before = limited.each_ref().map(|runner| runner.seen().len());
     for n in 0..6 {
         for (path, headers) in [("/count/a", &GENERATION[..]), ("/board/a", &[])] {
             let id = format!("s{n}{path}");
-            let told = set.send(0, &Ask { headers, ..Ask::new(path, &id) }).await;
-            assert_eq!((told.status, set.ran(&id)), (Some(StatusCode::OK), 1), "{path}");
+            let answer = set.send(0, &Ask { headers, ..Ask::new(path, &id) }).await;
+            assert_eq!((answer.status, set.ran(&id)), (Some(StatusCode::OK), 1), "{path}");
         }
-        // Longer than it takes until a bucket that this node had would have a token.
+        // Longer than a token bucket of this node would need to gain a token.
         sleep(Duration::from_millis(60)).await;
     }
     assert_eq!(limited.each_ref().map(|runner| runner.seen().len()), before);
