--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -220,7 +220,7 @@
             }
         };
         let Some(epoch) = self.shared.tenure.authority_for(ORDER_LIMIT) else {
-            log::info!(runner:% = entry.id; "order not given: the duties lease has expired");
+            log::info!(runner:% = entry.id; "order not given: duties lease lost or about to expire");
             self.withdraw(entry);
             return;
         };
--- a/node/src/serve/store.rs
+++ b/node/src/serve/store.rs
@@ -54,7 +54,7 @@
     /// The store was restored from a copy between the revision that the call builds on and its
     /// answer. A write may have replaced other content than intended.
     #[error(
-        "{purpose}: the store was restored from a copy; the call built on {was}, the answer is of era {era}"
+        "{purpose}: the store came back from a copy; the call built on {was}, the answer is of era {era}"
     )]
     Crossed {
         /// The purpose of the call.
