--- a/node/src/serve/beat.rs
+++ b/node/src/serve/beat.rs
@@ -133,7 +133,7 @@
         sender: roster.me().clone(),
         status,
         answer: false,
-        away: shared.away(),
+        away: shared.switching(),
         digest: roster.digest(),
         records: Vec::new(),
         news: None,
@@ -189,7 +189,7 @@
                 let bytes = &buffer[..length];
                 match bytes.first() {
                     Some(&schedule::MARK) => {
-                        scheduler::take(&shared, from, bytes).await;
+                        scheduler::receive(&shared, from, bytes).await;
                         continue;
                     }
                     Some(&usage::MARK) => {
@@ -201,7 +201,7 @@
                 let counter = shared.metrics.beat_bytes.with_label_values(&["received"]);
                 counter.inc_by(length as u64);
                 match Beat::decode(bytes, shared.history.era()) {
-                    Ok(beat) => take(&shared, &socket, &beat).await,
+                    Ok(beat) => handle_beat(&shared, &socket, &beat).await,
                     Err(error) => log::warn!(peer:% = from, error:% = error; "invalid heartbeat"),
                 }
             }
@@ -210,16 +210,16 @@
     }
 }
 
-async fn take(shared: &Arc<Shared>, socket: &UdpSocket, received: &Beat) {
+async fn handle_beat(shared: &Arc<Shared>, socket: &UdpSocket, received: &Beat) {
     if received.sender.contact.id == shared.me.id {
         return;
     }
     let now = shared.clock.now();
     let (fresh, mistaken, differs) = {
         let mut roster = shared.roster();
-        take_records(&mut roster, std::slice::from_ref(&received.sender), now);
+        apply_records(&mut roster, std::slice::from_ref(&received.sender), now);
         roster.take_beat(&received.sender, received.status, now);
-        take_records(&mut roster, &received.records, now);
+        apply_records(&mut roster, &received.records, now);
         let differs = roster.note_digest(&received.sender.contact.id, received.digest, now);
         let mistaken = roster.is_mistaken(&received.sender).cloned();
         (roster.has_news(), mistaken, differs)
@@ -240,7 +240,7 @@
             || differs;
     let mine = shared.status();
     if received.status.register > mine.register || received.status.version > mine.version {
-        shared.note_behind();
+        shared.note_outdated();
     }
     if fresh {
         shared.beat_now.notify_one();
@@ -266,7 +266,7 @@
 }
 
 /// Applies records of nodes, and logs each that is news.
-pub fn take_records(
+pub fn apply_records(
     roster: &mut sardinepick_lib::fleet::roster::Roster,
     records: &[Record],
     now: std::time::Instant,
--- a/node/src/serve/copy.rs
+++ b/node/src/serve/copy.rs
@@ -72,7 +72,7 @@
         let began = Instant::now();
         let result = send_copy(&shared, &request, &parts).await;
         let outcome = result.unwrap_or("not_taken");
-        shared.metrics.copies.with_label_values(&["sent", outcome]).inc();
+        shared.metrics.configuration_copies.with_label_values(&["sent", outcome]).inc();
         log::info!(
             node = request.node, has = request.version, outcome = outcome,
             waiting = shared.copies.transfers.waiting(),
@@ -117,7 +117,7 @@
     offered: &Offered,
     parts: &Parts<pb::CopyPart>,
 ) -> Result<(), Disconnected> {
-    let sent = shared.metrics.copy_bytes.with_label_values(&["sent"]);
+    let sent = shared.metrics.configuration_copy_bytes.with_label_values(&["sent"]);
     let mut content = offered.compressed.clone();
     loop {
         let part = content.split_to(content.len().min(PART_BYTES));
@@ -138,7 +138,7 @@
 /// Asks other nodes for newer configurations, until the process ends.
 pub async fn learn(shared: Arc<Shared>) {
     loop {
-        shared.outdated.notified().await;
+        shared.configuration_outdated.notified().await;
         sleep(ASK_DELAY).await;
         let mut failures = Failures::default();
         while let Some(source) = pick_source(&shared, &mut failures) {
@@ -165,7 +165,7 @@
                     error.outcome()
                 }
             };
-            shared.metrics.copies.with_label_values(&["received", outcome]).inc();
+            shared.metrics.configuration_copies.with_label_values(&["received", outcome]).inc();
         }
     }
 }
@@ -213,7 +213,7 @@
             return Err(RpcError::TooLarge { peer, most: MAX_COPY_BYTES });
         }
         if let Some(end) = part.end {
-            let received = shared.metrics.copy_bytes.with_label_values(&["received"]);
+            let received = shared.metrics.configuration_copy_bytes.with_label_values(&["received"]);
             received.inc_by(content.len() as u64);
             return Ok(Reply::Whole((end, content.freeze())));
         }
--- a/node/src/serve/crash.rs
+++ b/node/src/serve/crash.rs
@@ -78,7 +78,7 @@
     if !shared.crashes.has_ended(shared, incarnation, address).await {
         return None;
     }
-    shared.metrics.ends.inc();
+    shared.metrics.runner_ends.inc();
     log::info!(
         request:% = request.id, fingerprint:% = request.fingerprint, runner:% = ticket.runner(),
         events = reach.events, begun = reach.begun,
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/follow.rs
@@ -141,7 +141,7 @@
             Ok((difference, as_of)) => {
                 follower.note_answer(as_of);
                 let doubt = shared.doubt();
-                take_difference(&shared, difference, doubt, "store");
+                apply_difference(&shared, difference, doubt, "store");
             }
             Err(error) => follower.back_off(&error).await,
         }
@@ -153,7 +153,7 @@
 ///
 /// Other writers can write there too. An invalid entry must not keep the runner in use whose entry
 /// it replaced, nor keep the valid entries beside it from being applied.
-fn take_entries(
+fn apply_entries(
     shared: &Shared,
     objects: Vec<Object>,
     source: &'static str,
@@ -251,7 +251,7 @@
 }
 
 /// Applies a change of the register. A heartbeat announces it to all nodes at once.
-pub fn take_difference(
+pub fn apply_difference(
     shared: &Shared,
     difference: Difference,
     doubt: Option<std::time::Instant>,
@@ -265,7 +265,7 @@
         let known = register.runners().map(|r| SmolStr::new(r.entry.id.as_str()));
         gone.extend(known.filter(|name| !named.contains(name)));
     }
-    let (entries, foreign) = take_entries(shared, difference.entries, source);
+    let (entries, foreign) = apply_entries(shared, difference.entries, source);
     let remove = |name: &SmolStr, doubt: Option<std::time::Instant>| {
         let Ok(id) = RunnerId::try_from(name.clone()) else { return Changed::None };
         let changed = shared.register().remove(&id, doubt);
@@ -289,7 +289,7 @@
         }
     }
     gone.extend(foreign);
-    shared.knowledge().take_with_doubt(entries, &gone, &doubted, difference.mark);
+    shared.knowledge().apply_with_doubts(entries, &gone, &doubted, difference.mark);
     shared.note_knowledge();
     if shared.knowledge().mark() > before {
         shared.note_news();
@@ -304,7 +304,7 @@
         let expired = shared.register().expire(now);
         if !expired.is_empty() {
             let names: Vec<_> = expired.iter().map(|id| SmolStr::new(id.as_str())).collect();
-            shared.knowledge().take_lapsed(&names);
+            shared.knowledge().apply_expired(&names);
             shared.note_news();
         }
         for id in expired {
--- a/node/src/serve/follower.rs
+++ b/node/src/serve/follower.rs
@@ -75,7 +75,7 @@
     fn must_watch(&self) -> bool {
         let shared = &self.shared;
         let is_seed = || shared.settings.seeds.contains(&shared.me.peer);
-        if *shared.acquainted.borrow() { shared.follows() } else { is_seed() }
+        if *shared.membership_settled.borrow() { shared.watches_store() } else { is_seed() }
     }
 
     /// Waits while other nodes watch the store for this one. What they report meanwhile carries no
@@ -151,7 +151,7 @@
         (self.from, self.last) = (Some(as_of), as_of);
         let since = self.shared.clock.wall().duration_since(UNIX_EPOCH).unwrap_or_default();
         let what: &str = self.what.into();
-        let answered = self.shared.metrics.answered.with_label_values(&[what]);
+        let answered = self.shared.metrics.store_answered.with_label_values(&[what]);
         answered.set(i64::try_from(since.as_secs()).unwrap_or(i64::MAX));
         let now = self.shared.clock.now();
         if let Some(away) = self.shared.outage().note_answer(now) {
@@ -183,7 +183,7 @@
                 "store unavailable"
             );
         }
-        self.shared.note_behind();
+        self.shared.note_outdated();
         sleep(if history_lost { pause / FORGOTTEN_BACK_OFF_DIVISOR } else { pause }).await;
     }
 }
--- a/node/src/serve/join.rs
+++ b/node/src/serve/join.rs
@@ -18,7 +18,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
-use crate::serve::beat::{self, take_records};
+use crate::serve::beat::{self, apply_records};
 use crate::serve::quarantine;
 use crate::serve::rpc::{self, IDLE_TIMEOUT, RpcError};
 use crate::serve::shared::Shared;
@@ -73,7 +73,7 @@
     quarantine::news::take(shared, &answer.quarantined, &peer.to_string());
     let now = shared.clock.now();
     let mut roster = shared.roster();
-    take_records(&mut roster, &records, now);
+    apply_records(&mut roster, &records, now);
     Ok(roster.known())
 }
 
@@ -86,7 +86,7 @@
             // If all nodes start together, the first one that answers knows few others.
             sleep(SETTLE_TIME).await;
         }
-        shared.acquainted.send_replace(true);
+        shared.membership_settled.send_replace(true);
         if found {
             return;
         }
--- a/node/src/serve/knowledge.rs
+++ b/node/src/serve/knowledge.rs
@@ -65,12 +65,12 @@
 
     /// Applies changes, all at once: a node that is sent the state up to a mark is sent everything
     /// that the mark covers.
-    pub fn take(&mut self, entries: Vec<Object>, gone: &[SmolStr], mark: Mark) {
-        self.take_with_doubt(entries, gone, &[], mark);
+    pub fn apply(&mut self, entries: Vec<Object>, gone: &[SmolStr], mark: Mark) {
+        self.apply_with_doubts(entries, gone, &[], mark);
     }
 
     /// Applies changes and newly doubted entries.
-    pub fn take_with_doubt(
+    pub fn apply_with_doubts(
         &mut self,
         entries: Vec<Object>,
         gone: &[SmolStr],
@@ -105,9 +105,9 @@
     }
 
     /// Removes expired entries, for which the store reports no change of its own.
-    pub fn take_lapsed(&mut self, gone: &[SmolStr]) {
+    pub fn apply_expired(&mut self, gone: &[SmolStr]) {
         let mark = self.mark.next();
-        self.take(Vec::new(), gone, mark);
+        self.apply(Vec::new(), gone, mark);
     }
 
     /// Returns the changes for a node whose state is as new as `since`.
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -30,7 +30,7 @@
 /// The pause after a failed `accept`: without free file descriptors, each attempt fails at once.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// The minimum read buffer for the head of a request; hyper accepts no smaller one.
-const MIN_HEAD_BUFFER: usize = 8 << 10;
+const MIN_HEAD_BUFFER_BYTES: usize = 8 << 10;
 
 /// The path prefix for releasing quarantined requests, followed by the fingerprint.
 const QUARANTINE_PREFIX: &str = "/quarantine/";
@@ -99,7 +99,7 @@
         // is the longer of the two: callers reuse connections for up to four fifths of the idle
         // time-out.
         .header_read_timeout(limits.idle_timeout.max(limits.head_timeout))
-        .max_buf_size(limits.head.max(MIN_HEAD_BUFFER) * 2);
+        .max_buf_size(limits.head.max(MIN_HEAD_BUFFER_BYTES) * 2);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let result = tokio::select! {
--- a/node/src/serve/metrics.rs
+++ b/node/src/serve/metrics.rs
@@ -19,7 +19,7 @@
     /// Time between events of a stream, in seconds.
     pub pause: HistogramVec,
     /// Calls to runners by runner, step and outcome.
-    pub calls: IntCounterVec,
+    pub runner_calls: IntCounterVec,
     /// Generations by plan.
     pub plans: IntCounterVec,
     /// Permits for requests to rate-limited runners, by outcome and by which node decided.
@@ -31,9 +31,9 @@
     /// Changes of runners' rate limits, by kind.
     pub limits: IntCounterVec,
     /// Arrivals beyond the first, by whether the retry budget granted them.
-    pub extras: IntCounterVec,
+    pub extra_arrivals: IntCounterVec,
     /// Calls during which a runner crashed.
-    pub ends: IntCounter,
+    pub runner_ends: IntCounter,
     /// Quarantined requests by event.
     pub quarantine: IntCounterVec,
     /// Connections opened.
@@ -59,7 +59,7 @@
     /// Placements by who decided: the pool's scheduler, this node as scheduler, or this node alone.
     pub decided: IntCounterVec,
     /// Latency of scheduler answers in seconds.
-    pub asked: HistogramVec,
+    pub scheduler_latency: HistogramVec,
     /// Log lines dropped because of a slow reader.
     pub lines_dropped: IntCounter,
     /// Requests in progress.
@@ -75,11 +75,11 @@
     /// Other nodes that are currently up.
     pub nodes: IntGauge,
     /// Unix time of the last answer of the store, by watched kind.
-    pub answered: IntGaugeVec,
+    pub store_answered: IntGaugeVec,
     /// Configurations copied between nodes, by direction and outcome.
-    pub copies: IntCounterVec,
+    pub configuration_copies: IntCounterVec,
     /// Bytes of configuration copies, by direction.
-    pub copy_bytes: IntCounterVec,
+    pub configuration_copy_bytes: IntCounterVec,
     /// Invalid objects in the store, by kind and reason.
     pub foreign: IntCounterVec,
     dropped: Dropped,
@@ -144,7 +144,7 @@
                 &EVENT_PAUSE_BUCKETS,
                 &["route"],
             ),
-            calls: m.counters(
+            runner_calls: m.counters(
                 "sardinepick_runner_calls_total",
                 "Calls to runners by how they ended",
                 &["runner", "step", "outcome"],
@@ -170,12 +170,13 @@
                 &["change"],
             ),
             plans: m.counters("sardinepick_plans_total", "Generations by their way", &["plan"]),
-            extras: m.counters(
+            extra_arrivals: m.counters(
                 "sardinepick_extra_arrivals_total",
                 "Arrivals beyond the first, by what the budget said",
                 &["service", "granted"],
             ),
-            ends: m.counter("sardinepick_runner_ends_total", "Calls under which a runner ended"),
+            runner_ends: m
+                .counter("sardinepick_runner_ends_total", "Calls under which a runner ended"),
             quarantine: m.counters(
                 "sardinepick_quarantine_total",
                 "Requests that are not run, by what becomes of them",
@@ -229,7 +230,7 @@
                 &["direction"],
             ),
             decided: m.counters("sardinepick_decided_total", "Placements by who decided", &["by"]),
-            asked: m.times(
+            scheduler_latency: m.times(
                 "sardinepick_asked_seconds",
                 "Seconds until a scheduler's answer",
                 &SCHEDULER_BUCKETS,
@@ -246,17 +247,17 @@
             ),
             runners: m.gauges("sardinepick_runners", "Runners known", &["state"]),
             nodes: m.gauge("sardinepick_nodes", "Other nodes heard lately"),
-            answered: m.gauges(
+            store_answered: m.gauges(
                 "sardinepick_store_answered_timestamp_seconds",
                 "When the store last answered",
                 &["what"],
             ),
-            copies: m.counters(
+            configuration_copies: m.counters(
                 "sardinepick_configuration_copies_total",
                 "Configurations copied between nodes",
                 &["direction", "outcome"],
             ),
-            copy_bytes: m.counters(
+            configuration_copy_bytes: m.counters(
                 "sardinepick_configuration_copy_bytes_total",
                 "Bytes of configurations copied between nodes",
                 &["direction"],
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -22,7 +22,7 @@
 use crate::serve::shared::Shared;
 
 /// How often the demand for stage changes is evaluated.
-const PERIOD: Duration = Duration::from_millis(250);
+const EVALUATION_PERIOD: Duration = Duration::from_millis(250);
 /// The time-out of an order.
 const ORDER_LIMIT: Duration = Duration::from_millis(500);
 /// How long the other nodes are given to learn that a runner must not get new work.
@@ -39,7 +39,7 @@
     to: Stage,
     /// Until when the runner counts as changing its stage.
     until: Instant,
-    /// Whether the runner has accepted it. Until then the runner keeps working in its old stage,
+    /// False if the runner has not answered the order. It then keeps working in its old stage,
     /// possibly for seconds.
     answered: bool,
     /// The incarnation of the runner that the order was for. An answered order ends with it; an
@@ -66,7 +66,7 @@
 pub async fn run(shared: Arc<Shared>) {
     let mut controller = StageController { shared, orders: HashMap::new(), last: HashMap::new() };
     loop {
-        sleep(PERIOD).await;
+        sleep(EVALUATION_PERIOD).await;
         controller.tick().await;
     }
 }
@@ -82,7 +82,7 @@
         }
         for (service, change) in wanted_changes {
             if self.shared.tenure.authority_for(ORDER_LIMIT).is_some() {
-                self.carry_out(&service, change).await;
+                self.apply_change(&service, change).await;
             }
         }
     }
@@ -91,22 +91,23 @@
     fn prune(&mut self, now: Instant) {
         let register = self.shared.register();
         self.orders.retain(|id, order| {
-            let dwells = now.saturating_duration_since(order.at) < DWELL;
-            let lives = register.get(id).is_some_and(|runner| runner.entry.born == order.born);
+            let is_recent = now.saturating_duration_since(order.at) < DWELL;
+            let same_incarnation =
+                register.get(id).is_some_and(|runner| runner.entry.born == order.born);
             // An unanswered order outlasts the runner's incarnation, and also a time without an
             // entry: the runner may restart under the same id and carry it out.
-            dwells && (lives || order.is_in_doubt(now))
+            is_recent && (same_incarnation || order.is_in_doubt(now))
         });
-        let away = |(id, order): (&RunnerId, &StageOrder)| {
+        let switching = |(id, order): (&RunnerId, &StageOrder)| {
             let entry = &register.get(id)?.entry;
-            let lives = entry.born == order.born && entry.stage != Some(order.to);
-            let away = order.answered && lives && now < order.until;
-            away.then(|| Tag::of(id, order.born))
+            let is_pending = entry.born == order.born && entry.stage != Some(order.to);
+            let switching = order.answered && is_pending && now < order.until;
+            switching.then(|| Tag::of(id, order.born))
         };
-        let tags: Vec<Tag> = self.orders.iter().filter_map(away).collect();
+        let tags: Vec<Tag> = self.orders.iter().filter_map(switching).collect();
         drop(register);
-        self.shared.register().reserve(&tags, now + PERIOD * 2);
-        self.shared.set_away(tags);
+        self.shared.register().reserve(&tags, now + EVALUATION_PERIOD * 2);
+        self.shared.set_switching(tags);
     }
 
     /// Returns the stage changes that the demand calls for, by service.
@@ -163,7 +164,7 @@
         (entry.stage != Some(order.to) && now < order.until).then_some(order.to)
     }
 
-    async fn carry_out(&mut self, service: &ServiceId, change: Change) {
+    async fn apply_change(&mut self, service: &ServiceId, change: Change) {
         let chosen = self.choose(service, change);
         if chosen.is_empty() {
             return;
@@ -183,7 +184,7 @@
         self.prune(now);
         sleep(PROPAGATION_DELAY).await;
         for entry in chosen {
-            self.give(&entry, change.to).await;
+            self.order_change(&entry, change.to).await;
         }
     }
 
@@ -195,18 +196,18 @@
             Stage::Decode => Stage::Prefill,
         };
         let register = self.shared.register();
-        let fits = |runner: &&Runner| {
+        let is_eligible = |runner: &&Runner| {
             let stage = runner.entry.stage == Some(from);
             stage && runner.takes_work(now) && !self.orders.contains_key(&runner.entry.id)
         };
-        let mut fitting: Vec<&Runner> = register.of(service).filter(fits).collect();
-        fitting.sort_by_key(|r| (r.load(now).total(), r.cache.tokens()));
-        fitting.iter().take(change.count).map(|r| r.entry.clone()).collect()
+        let mut eligible: Vec<&Runner> = register.of(service).filter(is_eligible).collect();
+        eligible.sort_by_key(|r| (r.load(now).total(), r.cache.tokens()));
+        eligible.iter().take(change.count).map(|r| r.entry.clone()).collect()
     }
 
-    async fn give(&mut self, entry: &Entry, to: Stage) {
+    async fn order_change(&mut self, entry: &Entry, to: Stage) {
         // The runner is asked for its current state instead of assuming it.
-        let report = match self.ask(entry).await {
+        let report = match self.fetch_report(entry).await {
             Ok(report) if !report.busy && matches_entry(&report, entry) => report,
             Ok(report) => {
                 log::info!(runner:% = entry.id, report:? = report; "order not given");
@@ -251,7 +252,7 @@
         }
     }
 
-    async fn ask(&self, entry: &Entry) -> Result<Report, String> {
+    async fn fetch_report(&self, entry: &Entry) -> Result<Report, String> {
         let asked = async {
             let outgoing = ask(&entry.id, entry.address);
             let sent = self.shared.connections.send(entry.address, outgoing, CONNECT_LIMIT);
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -27,9 +27,9 @@
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
 use tonic::{Request, Response, Status};
 
-use crate::serve::beat::take_records;
+use crate::serve::beat::apply_records;
 use crate::serve::copy;
-use crate::serve::follow::take_difference;
+use crate::serve::follow::apply_difference;
 use crate::serve::knowledge::Difference;
 use crate::serve::quarantine;
 use crate::serve::rpc::{self, Failures, Reply, RpcError};
@@ -96,7 +96,7 @@
             read_nodes(&received).map_err(|error| Status::invalid_argument(error.to_string()))?;
         let now = self.shared.clock.now();
         let mut roster = self.shared.roster();
-        take_records(&mut roster, &records, now);
+        apply_records(&mut roster, &records, now);
         if roster.has_news() {
             self.shared.beat_now.notify_one();
         }
@@ -169,7 +169,7 @@
 /// is behind and asks.
 pub fn apply_announcement(shared: &Shared, announcement: &pb::Knowledge) {
     match decode_announcement(shared, announcement) {
-        Ok(Some(difference)) => take_difference(shared, difference, None, "news"),
+        Ok(Some(difference)) => apply_difference(shared, difference, None, "news"),
         Ok(None) => {}
         Err(error) => log::warn!(error:% = error; "invalid register announcement"),
     }
@@ -266,7 +266,7 @@
 pub async fn learn(shared: Arc<Shared>) {
     let mut failures = Failures::default();
     loop {
-        shared.behind.notified().await;
+        shared.register_outdated.notified().await;
         sleep(ASK_DELAY).await;
         let Some((contact, status)) = newest(&shared, &mut failures) else { continue };
         let began = Instant::now();
@@ -280,7 +280,7 @@
                     "learned from another node"
                 );
                 failures.clear();
-                take(&shared, received, contact.id.as_str());
+                apply_received(&shared, received, contact.id.as_str());
             }
             Err(error) => {
                 log::warn!(
@@ -354,10 +354,10 @@
     }
 }
 
-fn take(shared: &Shared, received: ReceivedRegister, from: &str) {
+fn apply_received(shared: &Shared, received: ReceivedRegister, from: &str) {
     // The sending node is served by the store: what it has removed is not in doubt any more.
     if received.difference.mark > shared.knowledge().mark() {
-        take_difference(shared, received.difference, None, "node");
+        apply_difference(shared, received.difference, None, "node");
     }
     shared.limiter.take(&received.limits, from);
     shared.drains.take(&received.leaving, from);
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -57,7 +57,7 @@
     /// When its head had been read.
     pub arrived: Instant,
     /// Its deadline: the caller's, or the route's time-out if that is shorter.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Its size relative to the mean of its route.
     pub size: f64,
     /// The estimated time that its caller has waited since the first attempt.
@@ -69,7 +69,7 @@
 impl Request {
     /// Returns the time left until its deadline.
     pub fn left(&self, now: Instant) -> Duration {
-        self.until.saturating_duration_since(now)
+        self.deadline.saturating_duration_since(now)
     }
 
     /// Returns its terms for admission.
@@ -178,7 +178,7 @@
         uri: head.uri,
         body,
         arrived,
-        until: arrived + allowed,
+        deadline: arrived + allowed,
         route,
         configuration,
     };
--- a/node/src/serve/run.rs
+++ b/node/src/serve/run.rs
@@ -83,7 +83,7 @@
             lookup: listen("look-ups", settings.lookup).await?,
             metrics: listen("metrics", settings.metrics).await?,
             peers: listen("other nodes", address).await?,
-            beats: beats.map_err(|source| StartError { what: "beats", address, source })?,
+            beats: beats.map_err(|source| StartError { what: "heartbeats", address, source })?,
         })
     }
 }
--- a/node/src/serve/scheduler.rs
+++ b/node/src/serve/scheduler.rs
@@ -211,7 +211,11 @@
                 shared.scheduling.note_answered(&node);
                 let took = shared.clock.now().saturating_duration_since(began);
                 let step = if matches!(ask.step, Step::Start(_)) { "start" } else { "go_on" };
-                shared.metrics.asked.with_label_values(&[step]).observe(took.as_secs_f64());
+                shared
+                    .metrics
+                    .scheduler_latency
+                    .with_label_values(&[step])
+                    .observe(took.as_secs_f64());
                 match answer {
                     Some(decision) if is_usable(shared, &decision, &mut ask) => {
                         return (decision, "scheduler");
@@ -280,7 +284,7 @@
 }
 
 /// Handles a received schedule datagram.
-pub async fn take(shared: &Arc<Shared>, from: SocketAddr, bytes: &[u8]) {
+pub async fn receive(shared: &Arc<Shared>, from: SocketAddr, bytes: &[u8]) {
     shared.metrics.schedule_bytes.with_label_values(&["received"]).inc_by(bytes.len() as u64);
     match Schedule::decode(bytes) {
         Ok(Schedule::Question { number, node, ask }) => {
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -76,11 +76,11 @@
     /// Whether this node is starting, ready or leaving.
     pub standing: watch::Sender<Standing>,
     /// Whether this node has completed its membership view, or has found no other node.
-    pub acquainted: watch::Sender<bool>,
+    pub membership_settled: watch::Sender<bool>,
     /// Signals that other nodes have a newer register.
-    pub behind: Notify,
+    pub register_outdated: Notify,
     /// Signals that other nodes have a newer configuration.
-    pub outdated: Notify,
+    pub configuration_outdated: Notify,
     /// This node's side of the duties lease, which one node holds at a time.
     pub tenure: Arc<Tenure>,
     /// Usage counted and collected by this node.
@@ -113,7 +113,7 @@
     budgets: Mutex<HashMap<ServiceId, Budget>>,
     demand: Mutex<HashMap<ServiceId, Demand>>,
     route_stats: Mutex<HashMap<SmolStr, RouteStats>>,
-    away: Mutex<Vec<Tag>>,
+    switching: Mutex<Vec<Tag>>,
     rng: Mutex<StdRng>,
     began: Instant,
 }
@@ -195,9 +195,9 @@
             metrics,
             configuration: ArcSwapOption::empty(),
             standing: watch::channel(Standing::Starting).0,
-            acquainted: watch::channel(false).0,
-            behind: Notify::new(),
-            outdated: Notify::new(),
+            membership_settled: watch::channel(false).0,
+            register_outdated: Notify::new(),
+            configuration_outdated: Notify::new(),
             checks: Checks::default(),
             copies: Copies::default(),
             register_transfers: Arc::default(),
@@ -212,7 +212,7 @@
             budgets: Mutex::default(),
             demand: Mutex::default(),
             route_stats: Mutex::default(),
-            away: Mutex::default(),
+            switching: Mutex::default(),
             rng: Mutex::new(StdRng::seed_from_u64(seed)),
             settings,
             clock,
@@ -288,7 +288,7 @@
     /// before it are up and served by the store. If one of these fails, the next node takes over.
     /// Nodes beyond [`MAX_WATCHERS`] never watch, not even while the store serves no node, since
     /// the store limits the number of calls.
-    pub fn follows(&self) -> bool {
+    pub fn watches_store(&self) -> bool {
         let mine = rank::weight(SUBJECT, &self.me.id);
         let roster = self.roster();
         let before = |ids: &mut dyn Iterator<Item = &NodeId>| {
@@ -354,9 +354,9 @@
     }
 
     /// Signals that other nodes may have newer state than this one.
-    pub fn note_behind(&self) {
-        self.behind.notify_one();
-        self.outdated.notify_one();
+    pub fn note_outdated(&self) {
+        self.register_outdated.notify_one();
+        self.configuration_outdated.notify_one();
     }
 
     /// Records a request for a service, which adds to its retry budget.
@@ -372,7 +372,7 @@
         let nodes = self.roster().known() + 1;
         let granted = self.with_budget(service, |budget| budget.take(now, nodes));
         let label = if granted { "yes" } else { "no" };
-        self.metrics.extras.with_label_values(&[service.as_str(), label]).inc();
+        self.metrics.extra_arrivals.with_label_values(&[service.as_str(), label]).inc();
         granted
     }
 
@@ -412,15 +412,15 @@
     }
 
     /// Returns the runners that are changing their stage by this node's orders.
-    pub fn away(&self) -> Vec<Tag> {
-        lock(&self.away).clone()
+    pub fn switching(&self) -> Vec<Tag> {
+        lock(&self.switching).clone()
     }
 
     /// Replaces the runners that are changing their stage, and announces a change at once.
-    pub fn set_away(&self, tags: Vec<Tag>) {
-        let mut away = lock(&self.away);
-        if *away != tags {
-            *away = tags;
+    pub fn set_switching(&self, tags: Vec<Tag>) {
+        let mut switching = lock(&self.switching);
+        if *switching != tags {
+            *switching = tags;
             self.beat_now.notify_one();
         }
     }
--- a/node/src/serve/ticket.rs
+++ b/node/src/serve/ticket.rs
@@ -140,7 +140,7 @@
             Outcome::Gone => "gone",
         };
         let labels = [self.runner.as_str(), self.step.into(), label];
-        self.shared.metrics.calls.with_label_values(&labels).inc();
+        self.shared.metrics.runner_calls.with_label_values(&labels).inc();
     }
 }
 
--- a/node/tests/knowledge.rs
+++ b/node/tests/knowledge.rs
@@ -17,13 +17,13 @@
     Object { name: named(name), at: Point::without_era(revision), content }
 }
 
-fn take(knowledge: &mut Knowledge, difference: Difference) {
+fn apply(knowledge: &mut Knowledge, difference: Difference) {
     let mut gone = difference.gone;
     if difference.whole {
         let named: Vec<SmolStr> = difference.entries.iter().map(|o| o.name.clone()).collect();
         gone.extend(names(knowledge).into_iter().filter(|name| !named.contains(name)));
     }
-    knowledge.take(difference.entries, &gone, difference.mark);
+    knowledge.apply(difference.entries, &gone, difference.mark);
 }
 
 fn names(knowledge: &Knowledge) -> Vec<SmolStr> {
@@ -40,12 +40,12 @@
         for (at, (name, kind)) in steps.into_iter().enumerate() {
             let revision = 10 + at as u64 * 2;
             match kind {
-                0 | 1 => sender.take(vec![object(name, revision)], &[], Mark::of(Point::without_era(revision))),
-                2 => sender.take(Vec::new(), &[named(name)], Mark::of(Point::without_era(revision))),
-                3 => sender.take_lapsed(&[named(name)]),
+                0 | 1 => sender.apply(vec![object(name, revision)], &[], Mark::of(Point::without_era(revision))),
+                2 => sender.apply(Vec::new(), &[named(name)], Mark::of(Point::without_era(revision))),
+                3 => sender.apply_expired(&[named(name)]),
                 _ => {
                     let difference = sender.since(receiver.mark());
-                    take(&mut receiver, difference);
+                    apply(&mut receiver, difference);
                     prop_assert_eq!(receiver.mark(), sender.mark());
                     prop_assert_eq!(names(&receiver), names(&sender));
                 }
@@ -58,10 +58,10 @@
 fn since_far_behind_everything() {
     let mut sender = Knowledge::default();
     for at in 0..2_000u64 {
-        sender.take(vec![object(1, at * 2 + 1)], &[], Mark::of(Point::without_era(at * 2 + 1)));
-        sender.take(Vec::new(), &[named(1)], Mark::of(Point::without_era(at * 2 + 2)));
+        sender.apply(vec![object(1, at * 2 + 1)], &[], Mark::of(Point::without_era(at * 2 + 1)));
+        sender.apply(Vec::new(), &[named(1)], Mark::of(Point::without_era(at * 2 + 2)));
     }
-    sender.take(vec![object(2, 5_000)], &[], Mark::of(Point::without_era(5_000)));
+    sender.apply(vec![object(2, 5_000)], &[], Mark::of(Point::without_era(5_000)));
     assert!(sender.since(Mark::of(Point::without_era(5))).whole);
     let near = sender.since(Mark::of(Point::without_era(3_990)));
     assert!(!near.whole && near.entries.len() == 1 && near.gone.len() == 5);
@@ -73,8 +73,8 @@
 #[test]
 fn since_doubt_told_with_its_mark() {
     let mut sender = Knowledge::default();
-    sender.take(vec![object(1, 5), object(2, 6)], &[], Mark::of(Point::without_era(6)));
-    sender.take_with_doubt(Vec::new(), &[], &[named(1)], Mark::of(Point::without_era(9)));
+    sender.apply(vec![object(1, 5), object(2, 6)], &[], Mark::of(Point::without_era(6)));
+    sender.apply_with_doubts(Vec::new(), &[], &[named(1)], Mark::of(Point::without_era(9)));
     let difference = sender.since(Mark::of(Point::without_era(6)));
     assert_eq!(
         (difference.doubted, difference.mark),
@@ -82,7 +82,7 @@
     );
     assert_eq!(sender.since(Mark::default()).doubted, [named(1)]);
     assert!(sender.since(Mark::of(Point::without_era(9))).doubted.is_empty());
-    sender.take(vec![object(1, 12)], &[], Mark::of(Point::without_era(12)));
+    sender.apply(vec![object(1, 12)], &[], Mark::of(Point::without_era(12)));
     assert!(sender.since(Mark::default()).doubted.is_empty(), "the entry is back");
 }
 
@@ -91,9 +91,9 @@
 #[test]
 fn since_change_under_earlier_mark_told() {
     let mut sender = Knowledge::default();
-    sender.take(vec![object(1, 5), object(2, 100)], &[], Mark::of(Point::without_era(100)));
+    sender.apply(vec![object(1, 5), object(2, 100)], &[], Mark::of(Point::without_era(100)));
     let known = sender.mark();
-    sender.take(vec![object(1, 60)], &[], Mark::of(Point::without_era(60)));
+    sender.apply(vec![object(1, 60)], &[], Mark::of(Point::without_era(60)));
     let difference = sender.since(known);
     assert_eq!(difference.entries, [object(1, 60)]);
     assert!(difference.mark > known, "the announced mark makes a node ask");
--- a/node/tests/lives.rs
+++ b/node/tests/lives.rs
@@ -6,7 +6,7 @@
 use sardinepick_lib::fleet::cache::Chain;
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::RunnerId;
-use sardinepick_node::serve::follow::{difference, take_difference};
+use sardinepick_node::serve::follow::{apply_difference, difference};
 use sardinepick_node::serve::shared::Shared;
 use sardinepick_platform::store::{Change, Object};
 use sardinepick_testutils::cluster::{free_address, own_ip, wait_until};
@@ -287,6 +287,6 @@
     let changes = vec![Change::Put(leaves), Change::Gone(runner.id.clone().into())];
     let doubt = Some(shared.clock.now() + Duration::from_secs(60));
     let as_of = Point::new(shared.history.era(), 1_001);
-    take_difference(shared, difference(changes, as_of), doubt, "store");
+    apply_difference(shared, difference(changes, as_of), doubt, "store");
     assert!(shared.register().get(&id(runner)).is_none(), "it has said that it leaves");
 }
