--- a/node/src/drain/mod.rs
+++ b/node/src/drain/mod.rs
@@ -63,7 +63,7 @@
     }
 
     fn note_news(&self, tag: Tag, source: &str) {
-        self.metrics.drains.with_label_values(&[source]).inc();
+        self.metrics.leaving_runners.with_label_values(&[source]).inc();
         lock(&self.outbox).push(tag, self.clock.now());
         self.wake.notify_one();
     }
--- a/node/src/history/mod.rs
+++ b/node/src/history/mod.rs
@@ -185,7 +185,7 @@
                 return Err(EraError::Unconfirmed { shown, known });
             }
         }
-        self.metrics.era.set(i64::from(shown.0));
+        self.metrics.store_era.set(i64::from(shown.0));
         // Two changes close together may come here in the other order.
         self.changed.send_if_modified(|known| {
             let is_later = shown > *known;
@@ -196,7 +196,7 @@
     }
 
     fn count(&self, outcome: &str) {
-        self.metrics.eras.with_label_values(&[outcome]).inc();
+        self.metrics.store_eras.with_label_values(&[outcome]).inc();
     }
 
     fn is_log_due(&self) -> bool {
--- a/node/src/limit/mod.rs
+++ b/node/src/limit/mod.rs
@@ -208,7 +208,7 @@
             Ok(named) => named,
             Err(error) => {
                 if runner.limit.note_malformed() {
-                    self.metrics.limits.with_label_values(&["malformed"]).inc();
+                    self.metrics.rate_limit_changes.with_label_values(&["malformed"]).inc();
                     log::warn!(
                         request = request, runner:% = stay.id, error:% = error;
                         "rate limit is not taken"
@@ -230,7 +230,7 @@
             Change::Set(_) => "set",
             Change::Lifted => "lifted",
         };
-        self.metrics.limits.with_label_values(&[label]).inc();
+        self.metrics.rate_limit_changes.with_label_values(&[label]).inc();
         lock(&self.outbox).push(tag, self.clock.now());
         self.wake.notify_one();
     }
--- a/node/src/scale/mod.rs
+++ b/node/src/scale/mod.rs
@@ -92,7 +92,8 @@
     fn show(&self, service: &Service, need: u32) {
         let ready = |kind: usize| service.supply.iter().map(|s| s.ready[kind]).sum();
         for (what, count) in [("needed", need), ("regular", ready(0)), ("reclaimable", ready(1))] {
-            let gauge = self.metrics.scaled.with_label_values(&[service.name.as_str(), what]);
+            let gauge =
+                self.metrics.scaled_runners.with_label_values(&[service.name.as_str(), what]);
             gauge.set(i64::from(count));
         }
     }
--- a/node/src/serve/answer.rs
+++ b/node/src/serve/answer.rs
@@ -22,7 +22,7 @@
 pub type Body = UnsyncBoxBody<Bytes, Cut>;
 
 /// Returns a body that is already complete.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
@@ -91,7 +91,7 @@
             Refusal::TooLarge => "larger than the limits allow\n",
             Refusal::Malformed => "not a whole request with an id\n",
         };
-        let mut response = Response::new(whole(text));
+        let mut response = Response::new(full_body(text));
         *response.status_mut() = self.status();
         if let Refusal::NotRun(_, after) = self {
             response.headers_mut().insert(header::RETRY_AFTER, retry_after(after));
@@ -103,7 +103,7 @@
 }
 
 /// Forwards a runner's response with its status and headers.
-pub fn pass_on(head: &Parts, body: Body) -> Response<Body> {
+pub fn forward_response(head: &Parts, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = forwarded(&head.headers);
@@ -112,7 +112,7 @@
 
 /// A JSON response.
 pub fn json(text: String) -> Response<Body> {
-    let mut response = Response::new(whole(text));
+    let mut response = Response::new(full_body(text));
     let kind = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
     response
@@ -120,7 +120,7 @@
 
 /// A response without a body.
 pub fn empty(status: StatusCode) -> Response<Body> {
-    let mut response = Response::new(whole(Bytes::new()));
+    let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = status;
     response
 }
--- a/node/src/serve/connection.rs
+++ b/node/src/serve/connection.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns whether the request was denied locally, which says nothing about the peer.
-    pub fn is_denied(&self) -> bool {
+    pub fn is_rate_limited(&self) -> bool {
         matches!(self, SendError::RateLimited { .. })
     }
 }
@@ -145,7 +145,7 @@
     pub async fn read(self, max_bytes: usize) -> Result<(Parts, Bytes), Incomplete> {
         let body = Limited::new(self.body, max_bytes).collect().await;
         let body = body.map_err(|error| Incomplete(error.to_string()))?;
-        self.lease.give_back();
+        self.lease.return_to_pool();
         Ok((self.head, body.to_bytes()))
     }
 
@@ -170,7 +170,7 @@
                 whole.extend_from_slice(&data);
             }
         }
-        self.lease.give_back();
+        self.lease.return_to_pool();
         Ok((self.head, whole.freeze()))
     }
 
@@ -193,7 +193,7 @@
 
 impl Lease {
     /// Returns the connection to the pool, once the whole answer has been read.
-    pub fn give_back(self) {
+    pub fn return_to_pool(self) {
         let Some(keep) = self.idle_timeout.and_then(|t| t.checked_sub(IDLE_MARGIN)) else { return };
         let until = self.connections.clock.now() + keep;
         let mut idle = self.connections.idle.lock().unwrap_or_else(PoisonError::into_inner);
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/follow.rs
@@ -83,7 +83,11 @@
             next
         }
         Err(error) => {
-            shared.metrics.foreign.with_label_values(&["configuration", error.reason()]).inc();
+            shared
+                .metrics
+                .invalid_objects
+                .with_label_values(&["configuration", error.reason()])
+                .inc();
             log::error!(revision:% = object.at, error:% = error; "configuration is not taken");
             return;
         }
@@ -104,7 +108,7 @@
     for fault in next.accounts.iter().flat_map(Directory::faults) {
         log::error!(version:% = next.version, error:% = fault; "part of the accounts is not used");
     }
-    shared.metrics.version.set(i64::try_from(next.version.0).unwrap_or(i64::MAX));
+    shared.metrics.configuration_version.set(i64::try_from(next.version.0).unwrap_or(i64::MAX));
     let version = next.version;
     shared.configuration.store(Some(Arc::new(next)));
     // Plain keys stay at the nodes that read the store; the others need only their digests.
@@ -173,7 +177,7 @@
                 changed
             }
             Err(error) => {
-                shared.metrics.foreign.with_label_values(&["runner", error.reason()]).inc();
+                shared.metrics.invalid_objects.with_label_values(&["runner", error.reason()]).inc();
                 if foreign.len() < MAX_FOREIGN_LINES {
                     log::warn!(
                         name:% = object.name, revision:% = object.at, source = source,
--- a/node/src/serve/follower.rs
+++ b/node/src/serve/follower.rs
@@ -121,7 +121,7 @@
             self.shared.history.note_fall(was, as_of);
             let era = self.shared.history.era();
             if era != was.era {
-                return Err(StoreError::Crossed { purpose, was, era });
+                return Err(StoreError::EraChanged { purpose, was, era });
             }
         }
         Ok((objects, as_of))
@@ -139,7 +139,7 @@
         tokio::select! {
             changes = shared.store.watch(purpose, kind, from, WATCH_WAIT) => changes,
             era = next_era(&mut self.eras, from.era) => {
-                Err(StoreError::Crossed { purpose, was: from, era })
+                Err(StoreError::EraChanged { purpose, was: from, era })
             }
         }
     }
--- a/node/src/serve/generation/admit.rs
+++ b/node/src/serve/generation/admit.rs
@@ -34,7 +34,7 @@
             step,
         };
         let (decision, by) = scheduling::decide(&self.shared, ask, &engine).await;
-        self.shared.metrics.decided.with_label_values(&[by]).inc();
+        self.shared.metrics.placements.with_label_values(&[by]).inc();
         Some(decision)
     }
 
@@ -147,7 +147,7 @@
         if !self.is_trial && quarantine::is_refused(&self.shared, &self.request) {
             return Err(Stop::Refuse(Refusal::Quarantined));
         }
-        if self.arrivals == 0 || self.shared.take_extra(&self.request.service) {
+        if self.arrivals == 0 || self.shared.take_extra_arrival(&self.request.service) {
             return Ok(());
         }
         Err(Stop::Refuse(self.give_up(Reason::Budget)))
--- a/node/src/serve/generation/mod.rs
+++ b/node/src/serve/generation/mod.rs
@@ -26,7 +26,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use self::read::SpareHandle;
-use crate::serve::answer::{Body, Cut, Refusal, pass_on, whole};
+use crate::serve::answer::{Body, Cut, Refusal, forward_response, full_body};
 use crate::serve::quarantine;
 use crate::serve::request::{End, Request, UnderWay};
 use crate::serve::shared::Shared;
@@ -183,7 +183,7 @@
                     (Caller::Waiting(head), Some((parts, body))) => {
                         line.outcome = "failed";
                         line.status = parts.status.as_u16();
-                        send_head(head, pass_on(&parts, whole(body)));
+                        send_head(head, forward_response(&parts, full_body(body)));
                     }
                     (Caller::Waiting(head), None) => send_head(head, refusal.answer()),
                     (Caller::Streaming(events), _) => {
--- a/node/src/serve/generation/read.rs
+++ b/node/src/serve/generation/read.rs
@@ -50,7 +50,7 @@
 impl ReadError {
     /// Whether the runner was not tried, since its rate limit leaves no room.
     fn is_denied(&self) -> bool {
-        matches!(self, ReadError::Send(error) if error.is_denied())
+        matches!(self, ReadError::Send(error) if error.is_rate_limited())
     }
 
     /// Whether a call that had been sent broke off.
@@ -92,7 +92,7 @@
         };
         let result = tokio::select! {
             () = self.caller.left() => {
-                ticket.learn_in_vain(placement, placement.read);
+                ticket.learn_abandoned(placement, placement.read);
                 return Err(Stop::CallerLeft);
             }
             result = timeout(limit, reading) => result,
--- a/node/src/serve/generation/stream.rs
+++ b/node/src/serve/generation/stream.rs
@@ -25,7 +25,7 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use super::{Caller, Came, LARGEST, Stop, Way, millis, send_head};
-use crate::serve::answer::{pass_on, whole};
+use crate::serve::answer::{forward_response, full_body};
 use crate::serve::connection::{Answer, Lease};
 use crate::serve::plain::promises_not_run;
 use crate::serve::quarantine;
@@ -66,7 +66,7 @@
         let sent = tokio::select! {
             () = self.caller.left() => {
                 if is_whole {
-                    ticket.learn_in_vain(placement, placement.first);
+                    ticket.learn_abandoned(placement, placement.first);
                 }
                 return Ok(Came::CallerLeft);
             }
@@ -75,7 +75,7 @@
         let answer = match sent {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
-                if !error.is_denied() {
+                if !error.is_rate_limited() {
                     ticket.conclude(Outcome::Broken);
                 }
                 log::info!(
@@ -85,7 +85,7 @@
                 if error.proves_unsent() {
                     self.runs -= 1;
                     self.arrivals -= 1;
-                    return Ok(if error.is_denied() { Came::Denied } else { Came::NotRun });
+                    return Ok(if error.is_rate_limited() { Came::Denied } else { Came::NotRun });
                 }
                 self.note_broken(&ticket, false).await;
                 return Ok(Came::Broken);
@@ -147,7 +147,7 @@
             return Ok(Came::Broken);
         }
         if let Caller::Waiting(sender) = &mut self.caller {
-            send_head(sender, pass_on(&head, whole(body)));
+            send_head(sender, forward_response(&head, full_body(body)));
             return Ok(Came::Done(if good { Outcome::Answered } else { Outcome::Failed }));
         }
         Ok(Came::Broken)
@@ -173,7 +173,7 @@
             let next = tokio::select! {
                 () = self.caller.left() => {
                     if let Some(placement) = placement.filter(|_| first) {
-                        ticket.learn_in_vain(placement, placement.first);
+                        ticket.learn_abandoned(placement, placement.first);
                     }
                     return Ok(Came::CallerLeft);
                 }
@@ -254,11 +254,11 @@
             self.note_broken(ticket, true).await;
             return Ok(Came::Broken);
         }
-        lease.give_back();
+        lease.return_to_pool();
         ticket.conclude(Outcome::Answered);
         if let Caller::Waiting(sender) = &mut self.caller {
             // A stream without any event is whole all the same.
-            send_head(sender, pass_on(head, whole(Bytes::new())));
+            send_head(sender, forward_response(head, full_body(Bytes::new())));
         }
         Ok(Came::Done(Outcome::Answered))
     }
@@ -274,12 +274,12 @@
         match self.last_at.replace(now) {
             Some(last) => {
                 let pause = now.saturating_duration_since(last).as_secs_f64();
-                self.shared.metrics.pause.with_label_values(&[&route.name]).observe(pause);
+                self.shared.metrics.event_pause.with_label_values(&[&route.name]).observe(pause);
             }
             None => {
                 let took = now.saturating_duration_since(self.request.arrived).as_secs_f64();
                 let labels = [route.kind.into(), "answered"];
-                self.shared.metrics.first.with_label_values(&labels).observe(took);
+                self.shared.metrics.first_byte.with_label_values(&labels).observe(took);
                 log::info!(
                     request:% = self.request.id, first_ms = millis(took), plan = self.plan;
                     "first event"
@@ -289,7 +289,7 @@
         if let Caller::Waiting(sender) = &mut self.caller {
             let (events, receiver) = mpsc::channel(EVENTS_AHEAD);
             let body = StreamBody::new(ReceiverStream::new(receiver).boxed());
-            send_head(sender, pass_on(head, body.boxed_unsync()));
+            send_head(sender, forward_response(head, body.boxed_unsync()));
             self.caller = Caller::Streaming(events);
         }
         match &self.caller {
--- a/node/src/serve/join.rs
+++ b/node/src/serve/join.rs
@@ -163,7 +163,7 @@
                 shared.roster().introduce(contact, shared.clock.now());
             }
             Err(error) => {
-                shared.metrics.foreign.with_label_values(&["node", error.reason()]).inc();
+                shared.metrics.invalid_objects.with_label_values(&["node", error.reason()]).inc();
                 log::warn!(node:% = object.name, error:% = error; "invalid node entry");
             }
         }
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::serve::answer::{Body, Refusal, empty, json, whole};
+use crate::serve::answer::{Body, Refusal, empty, full_body, json};
 use crate::serve::connection::prepare;
 use crate::serve::shared::Shared;
 use crate::serve::{quarantine, request};
@@ -123,7 +123,7 @@
         }
         Port::Lookup if request.uri().path() == LOOKUP => lookup(shared, &request),
         Port::Metrics if request.uri().path() == "/metrics" => {
-            Response::new(whole(shared.metrics.text()))
+            Response::new(full_body(shared.metrics.text()))
         }
         Port::Metrics if request.uri().path() == "/state" => json(state(shared)),
         Port::Metrics if request.uri().path().starts_with(QUARANTINE_PREFIX) => {
@@ -149,7 +149,7 @@
         Ok(fingerprint) if quarantine::release(shared, &fingerprint) => empty(StatusCode::OK),
         Ok(_) => empty(StatusCode::NOT_FOUND),
         Err(error) => {
-            let mut response = Response::new(whole(format!("{text:?}: {error}\n")));
+            let mut response = Response::new(full_body(format!("{text:?}: {error}\n")));
             *response.status_mut() = StatusCode::BAD_REQUEST;
             response
         }
--- a/node/src/serve/metrics.rs
+++ b/node/src/serve/metrics.rs
@@ -15,9 +15,9 @@
     /// Requests by route, kind, outcome and reason.
     pub requests: IntCounterVec,
     /// Time to the first byte of the response body in seconds, by kind and outcome.
-    pub first: HistogramVec,
+    pub first_byte: HistogramVec,
     /// Time between events of a stream, in seconds.
-    pub pause: HistogramVec,
+    pub event_pause: HistogramVec,
     /// Calls to runners by runner, step and outcome.
     pub runner_calls: IntCounterVec,
     /// Generations by plan.
@@ -25,11 +25,11 @@
     /// Permits for requests to rate-limited runners, by outcome and by which node decided.
     pub permits: IntCounterVec,
     /// Runners that announce that they leave, by source of the announcement.
-    pub drains: IntCounterVec,
+    pub leaving_runners: IntCounterVec,
     /// Back-off answers of runners, by outcome.
     pub back_offs: IntCounterVec,
     /// Changes of runners' rate limits, by kind.
-    pub limits: IntCounterVec,
+    pub rate_limit_changes: IntCounterVec,
     /// Arrivals beyond the first, by whether the retry budget granted them.
     pub extra_arrivals: IntCounterVec,
     /// Calls during which a runner crashed.
@@ -47,9 +47,9 @@
     /// Platform calls by the holder of the duties lease, by call and outcome.
     pub duty_calls: IntCounterVec,
     /// Runners of services with scaling: needed, and present by kind.
-    pub scaled: IntGaugeVec,
+    pub scaled_runners: IntGaugeVec,
     /// Usage windows by outcome.
-    pub windows: IntCounterVec,
+    pub usage_windows: IntCounterVec,
     /// Bytes of usage messages by direction.
     pub usage_bytes: IntCounterVec,
     /// Bytes of heartbeats by direction.
@@ -57,7 +57,7 @@
     /// Bytes of scheduler messages by direction.
     pub schedule_bytes: IntCounterVec,
     /// Placements by who decided: the pool's scheduler, this node as scheduler, or this node alone.
-    pub decided: IntCounterVec,
+    pub placements: IntCounterVec,
     /// Latency of scheduler answers in seconds.
     pub scheduler_latency: HistogramVec,
     /// Log lines dropped because of a slow reader.
@@ -65,11 +65,11 @@
     /// Requests in progress.
     pub under_way: IntGauge,
     /// The version of the configuration in force.
-    pub version: IntGauge,
+    pub configuration_version: IntGauge,
     /// The era of the store.
-    pub era: IntGauge,
+    pub store_era: IntGauge,
     /// Announcements of new store eras, by outcome.
-    pub eras: IntCounterVec,
+    pub store_eras: IntCounterVec,
     /// Known runners by state.
     pub runners: IntGaugeVec,
     /// Other nodes that are currently up.
@@ -81,7 +81,7 @@
     /// Bytes of configuration copies, by direction.
     pub configuration_copy_bytes: IntCounterVec,
     /// Invalid objects in the store, by kind and reason.
-    pub foreign: IntCounterVec,
+    pub invalid_objects: IntCounterVec,
     dropped: Dropped,
 }
 
@@ -132,13 +132,13 @@
                 "Requests by how they ended",
                 &["route", "kind", "outcome", "reason"],
             ),
-            first: m.times(
+            first_byte: m.times(
                 "sardinepick_first_byte_seconds",
                 "Seconds until the first of an answer's content",
                 &FIRST_BYTE_BUCKETS,
                 &["kind", "outcome"],
             ),
-            pause: m.times(
+            event_pause: m.times(
                 "sardinepick_event_pause_seconds",
                 "Seconds between events of a stream",
                 &EVENT_PAUSE_BUCKETS,
@@ -154,7 +154,7 @@
                 "Permits to send to runners with a rate limit, by what came of them and who decided",
                 &["outcome", "by"],
             ),
-            drains: m.counters(
+            leaving_runners: m.counters(
                 "sardinepick_runners_leaving_total",
                 "Runners that leave by their own word, by where that was heard",
                 &["source"],
@@ -164,7 +164,7 @@
                 "Answers by which runners refuse requests for a time, by what came of them",
                 &["outcome"],
             ),
-            limits: m.counters(
+            rate_limit_changes: m.counters(
                 "sardinepick_rate_limit_changes_total",
                 "Rate limits of runners by how they changed",
                 &["change"],
@@ -194,12 +194,12 @@
                 "Calls to the platform by the holder of the duties, by what came of them",
                 &["call", "outcome"],
             ),
-            scaled: m.gauges(
+            scaled_runners: m.gauges(
                 "sardinepick_scaled_runners",
                 "Runners of services that are ordered: needed, and there by kind",
                 &["service", "what"],
             ),
-            windows: m.counters(
+            usage_windows: m.counters(
                 "sardinepick_usage_windows_total",
                 "Windows of usage by what became of them",
                 &["outcome"],
@@ -229,7 +229,11 @@
                 "Bytes between nodes and schedulers",
                 &["direction"],
             ),
-            decided: m.counters("sardinepick_decided_total", "Placements by who decided", &["by"]),
+            placements: m.counters(
+                "sardinepick_decided_total",
+                "Placements by who decided",
+                &["by"],
+            ),
             scheduler_latency: m.times(
                 "sardinepick_asked_seconds",
                 "Seconds until a scheduler's answer",
@@ -238,9 +242,10 @@
             ),
             lines_dropped: m.counter("sardinepick_log_lines_dropped_total", "Log lines dropped"),
             under_way: m.gauge("sardinepick_under_way", "Requests under way"),
-            version: m.gauge("sardinepick_configuration_version", "Version of the configuration"),
-            era: m.gauge("sardinepick_store_era", "Era of the store"),
-            eras: m.counters(
+            configuration_version: m
+                .gauge("sardinepick_configuration_version", "Version of the configuration"),
+            store_era: m.gauge("sardinepick_store_era", "Era of the store"),
+            store_eras: m.counters(
                 "sardinepick_store_eras_total",
                 "Eras of the store that were new, or not believed",
                 &["outcome"],
@@ -262,7 +267,7 @@
                 "Bytes of configurations copied between nodes",
                 &["direction"],
             ),
-            foreign: m.counters(
+            invalid_objects: m.counters(
                 "sardinepick_foreign_objects_total",
                 "Objects of other writers in the store",
                 &["what", "reason"],
--- a/node/src/serve/plain.rs
+++ b/node/src/serve/plain.rs
@@ -18,7 +18,7 @@
 use smallvec::SmallVec;
 use tokio::time::timeout;
 
-use crate::serve::answer::{Body, Refusal, pass_on, whole};
+use crate::serve::answer::{Body, Refusal, forward_response, full_body};
 use crate::serve::connection::{Answer, SendError};
 use crate::serve::quarantine::{self, Admission};
 use crate::serve::request::{End, Request, UnderWay};
@@ -80,9 +80,9 @@
             line.outcome = if head.status.is_success() { "answered" } else { "failed" };
             let took = shared.clock.now().saturating_duration_since(request.arrived);
             let labels = [request.route.kind.into(), line.outcome];
-            shared.metrics.first.with_label_values(&labels).observe(took.as_secs_f64());
+            shared.metrics.first_byte.with_label_values(&labels).observe(took.as_secs_f64());
             request.log_end(shared, &line);
-            pass_on(&head, whole(body))
+            forward_response(&head, full_body(body))
         }
         Err(refusal) => {
             line.status = refusal.status().as_u16();
@@ -138,7 +138,7 @@
                 let after = terms.come_back(choice.answer, &mut *self.shared.rng());
                 return Err(Refusal::NotRun(Reason::Late, after));
             }
-            if self.arrivals > 0 && !self.shared.take_extra(&self.request.service) {
+            if self.arrivals > 0 && !self.shared.take_extra_arrival(&self.request.service) {
                 return failed.ok_or_else(|| self.give_up(Reason::Budget));
             }
             self.calls += 1;
@@ -253,7 +253,7 @@
                 result
             }
             Ok(Err(error)) => {
-                if !error.is_denied() {
+                if !error.is_rate_limited() {
                     ticket.conclude(Outcome::Broken);
                 }
                 log::info!(
--- a/node/src/serve/quarantine/store.rs
+++ b/node/src/serve/quarantine/store.rs
@@ -38,7 +38,11 @@
             }
             Ok(_) => {}
             Err(error) => {
-                shared.metrics.foreign.with_label_values(&["quarantine", error.reason()]).inc();
+                shared
+                    .metrics
+                    .invalid_objects
+                    .with_label_values(&["quarantine", error.reason()])
+                    .inc();
                 log::warn!(request:% = object.name, error:% = error; "quarantine entry is not taken");
             }
         }
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -284,9 +284,9 @@
         }
     }
 
-    /// Returns whether this node must watch the store: fewer than [`WATCHERS`] nodes that rank
+    /// Returns whether this node must watch the store: fewer than `WATCHERS` nodes that rank
     /// before it are up and served by the store. If one of these fails, the next node takes over.
-    /// Nodes beyond [`MAX_WATCHERS`] never watch, not even while the store serves no node, since
+    /// Nodes beyond `MAX_WATCHERS` never watch, not even while the store serves no node, since
     /// the store limits the number of calls.
     pub fn watches_store(&self) -> bool {
         let mine = rank::weight(SUBJECT, &self.me.id);
@@ -367,7 +367,7 @@
 
     /// Takes an extra arrival from the retry budget of a service, and returns whether it was
     /// granted.
-    pub fn take_extra(&self, service: &ServiceId) -> bool {
+    pub fn take_extra_arrival(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
         let nodes = self.roster().known() + 1;
         let granted = self.with_budget(service, |budget| budget.take(now, nodes));
--- a/node/src/serve/store.rs
+++ b/node/src/serve/store.rs
@@ -56,7 +56,7 @@
     #[error(
         "{purpose}: the store came back from a copy; the call built on {was}, the answer is of era {era}"
     )]
-    Crossed {
+    EraChanged {
         /// The purpose of the call.
         purpose: Purpose,
         /// The revision that it built on.
@@ -80,7 +80,7 @@
     pub fn is_forgotten(&self) -> bool {
         match self {
             StoreError::Refused { refused, .. } => *refused == Refused::Forgotten,
-            StoreError::Crossed { .. } => true,
+            StoreError::EraChanged { .. } => true,
             _ => false,
         }
     }
@@ -205,7 +205,7 @@
     /// Checks that an answer of `era` continues from `was`: another era assigns the same revisions
     /// again.
     fn check_era(&self, purpose: Purpose, was: Point, era: Era) -> Result<(), StoreError> {
-        if was.era == era { Ok(()) } else { Err(StoreError::Crossed { purpose, was, era }) }
+        if was.era == era { Ok(()) } else { Err(StoreError::EraChanged { purpose, was, era }) }
     }
 
     /// Writes an object, whether it exists or not.
@@ -279,7 +279,7 @@
     /// Replaces an object that must still be at revision `was`.
     ///
     /// # Errors
-    /// The object has changed, or cannot be written. After [`StoreError::Crossed`] it may have
+    /// The object has changed, or cannot be written. After [`StoreError::EraChanged`] it may have
     /// replaced another one.
     pub async fn replace(
         &self,
@@ -312,7 +312,7 @@
         let outcome = match &result {
             Ok(_) => "answered",
             Err(StoreError::Refused { .. }) => "refused",
-            Err(StoreError::Era { .. } | StoreError::Crossed { .. }) => "another_era",
+            Err(StoreError::Era { .. } | StoreError::EraChanged { .. }) => "another_era",
             Err(StoreError::Send { .. } | StoreError::Broken { .. }) => "broken",
             Err(StoreError::Late { .. }) => "late",
         };
--- a/node/src/serve/ticket.rs
+++ b/node/src/serve/ticket.rs
@@ -116,7 +116,7 @@
     /// Records that the caller disconnected before an event that was predicted after `predicted`
     /// seconds: it takes at least the time waited so far. Without this, abandoned prompts would
     /// yield no measurement, and a runner that is too slow for them would keep getting them.
-    pub fn learn_in_vain(&self, placement: &Placement, predicted: f64) {
+    pub fn learn_abandoned(&self, placement: &Placement, predicted: f64) {
         let held = self.held().as_secs_f64();
         if held > predicted {
             self.learn(placement.lesson(predicted, held));
--- a/node/src/usage/report.rs
+++ b/node/src/usage/report.rs
@@ -294,7 +294,7 @@
     }
 
     fn note(&self, window: Window, outcome: &'static str) {
-        self.metrics.windows.with_label_values(&[outcome]).inc();
+        self.metrics.usage_windows.with_label_values(&[outcome]).inc();
         self.usage.note_window(window, outcome);
     }
 }
--- a/node/tests/store_copy.rs
+++ b/node/tests/store_copy.rs
@@ -144,7 +144,7 @@
     let set = Deployment::new().await.with_plain(2).await.with_nodes(2).await;
     set.store.show_era(&["0"]);
     set.store.put("config", "main", &configuration(20));
-    let former = set.nodes[0].shared.metrics.eras.with_label_values(&["former"]);
+    let former = set.nodes[0].shared.metrics.store_eras.with_label_values(&["former"]);
     wait_until("an answer is not believed", async || former.get() > 0).await;
     assert_eq!(set.ask("/board/a", "r1").await.status, Some(StatusCode::OK));
     assert_eq!(set.nodes[0].shared.status().version.0, 1);
