--- a/node/src/serve/connection.rs
+++ b/node/src/serve/connection.rs
@@ -138,7 +138,7 @@
 pub struct Incomplete(String);
 
 impl Answer {
-    /// Reads the whole body, up to `most` bytes, and returns the connection to the pool.
+    /// Reads the whole body, up to `max_bytes`, and returns the connection to the pool.
     ///
     /// # Errors
     /// The body is truncated or larger.
--- a/node/src/serve/duty.rs
+++ b/node/src/serve/duty.rs
@@ -73,7 +73,7 @@
         let is_leader = shared.is_ready() && view.is_first(&shared.me.id);
         let is_gone = |holder: &_| view.is_gone(holder);
         if !shared.tenure.keep(is_leader, is_gone).await {
-            // Reported as not served by the store, so that another node takes over the duties.
+            // Announced as not served by the store, so that another node takes over the duties.
             shared.note_unserved();
         }
     }
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/follow.rs
@@ -32,7 +32,7 @@
 /// cost one call instead of one each.
 const WATCH_PAUSE: Duration = Duration::from_millis(150);
 /// How many invalid entries of one batch are logged individually.
-const MAX_FOREIGN_LINES: usize = 8;
+const MAX_INVALID_LINES: usize = 8;
 /// How often expired entries and idle connections are removed.
 const CLEAN_UP_PERIOD: Duration = Duration::from_millis(250);
 
@@ -62,7 +62,7 @@
                 for object in objects {
                     install(&shared, object, None, "store");
                 }
-                if as_of.era != follower.entered {
+                if as_of.era != follower.entry_era {
                     follower.write_entry().await;
                 }
             }
@@ -71,9 +71,9 @@
     }
 }
 
-/// Installs a configuration if it is newer than the one in force. `packed` is its compressed
+/// Installs a configuration if it is newer than the one in force. `compressed` is its compressed
 /// content as received from another node, to be passed on.
-pub fn install(shared: &Shared, object: Object, packed: Option<Bytes>, source: &'static str) {
+pub fn install(shared: &Shared, object: Object, compressed: Option<Bytes>, source: &'static str) {
     if object.name != config::NAME {
         return;
     }
@@ -113,13 +113,13 @@
     shared.configuration.store(Some(Arc::new(next)));
     // Plain keys stay at the nodes that read the store; the others need only their digests.
     match without_keys(&object.content) {
-        Ok(content) => shared.copies.offer(version, Object { content, ..object }, packed),
+        Ok(content) => shared.copies.offer(version, Object { content, ..object }, compressed),
         Err(error) => {
             log::error!(version:% = version, error:% = error; "configuration cannot be passed on");
         }
     }
-    shared.note_knowledge();
-    shared.note_news();
+    shared.update_standing();
+    shared.announce();
 }
 
 /// Watches the register of runners until the process ends.
@@ -162,7 +162,7 @@
     objects: Vec<Object>,
     source: &'static str,
 ) -> (Vec<Object>, Vec<SmolStr>) {
-    let (mut accepted, mut foreign) = (Vec::with_capacity(objects.len()), Vec::new());
+    let (mut accepted, mut invalid) = (Vec::with_capacity(objects.len()), Vec::new());
     let mut unlogged = 0;
     for object in objects {
         let changed = match decode_runner(&object.name, object.at, &object.content) {
@@ -178,7 +178,7 @@
             }
             Err(error) => {
                 shared.metrics.invalid_objects.with_label_values(&["runner", error.reason()]).inc();
-                if foreign.len() < MAX_FOREIGN_LINES {
+                if invalid.len() < MAX_INVALID_LINES {
                     log::warn!(
                         name:% = object.name, revision:% = object.at, source = source,
                         error:% = error; "entry names no runner to use"
@@ -190,7 +190,7 @@
             }
         };
         match changed {
-            Changed::Removed => foreign.push(object.name),
+            Changed::Removed => invalid.push(object.name),
             // Known already, or of a previous incarnation, which must not be passed on.
             Changed::None | Changed::Former => {}
             _ => accepted.push(object),
@@ -199,7 +199,7 @@
     if unlogged > 0 {
         log::warn!(entries = unlogged, source = source; "more entries name no runner to use");
     }
-    (accepted, foreign)
+    (accepted, invalid)
 }
 
 fn remove_invalid(shared: &Shared, object: &Object, source: &'static str) -> Changed {
@@ -231,7 +231,8 @@
     let named: HashSet<&str> = entries.iter().map(|o| o.name.as_str()).collect();
     let misses = shared.register().runners().any(|r| !named.contains(r.entry.id.as_str()));
     // A node that knows that there are no runners must count as newer than one that knows nothing.
-    // Otherwise nodes of a deployment without runners are not told and never become ready.
+    // Otherwise nodes of a deployment without runners never receive the register and never become
+    // ready.
     let mark = Mark::of(if misses { as_of } else { newest }).at_least_first();
     Difference { whole: true, entries, mark, ..Difference::default() }
 }
@@ -269,7 +270,7 @@
         let known = register.runners().map(|r| SmolStr::new(r.entry.id.as_str()));
         gone.extend(known.filter(|name| !named.contains(name)));
     }
-    let (entries, foreign) = apply_entries(shared, difference.entries, source);
+    let (entries, invalid) = apply_entries(shared, difference.entries, source);
     let remove = |name: &SmolStr, doubt: Option<std::time::Instant>| {
         let Ok(id) = RunnerId::try_from(name.clone()) else { return Changed::None };
         let changed = shared.register().remove(&id, doubt);
@@ -284,7 +285,7 @@
         }
         changed == Changed::Removed
     });
-    // Kind another node doubts is doubted here too, for the full period from now.
+    // What another node doubts is doubted here too, for the full period from now.
     for name in difference.doubted {
         match remove(&name, Some(shared.clock.now() + DOUBT)) {
             Changed::Doubted => doubted.push(name),
@@ -292,11 +293,11 @@
             _ => {}
         }
     }
-    gone.extend(foreign);
+    gone.extend(invalid);
     shared.knowledge().apply_with_doubts(entries, &gone, &doubted, difference.mark);
-    shared.note_knowledge();
+    shared.update_standing();
     if shared.knowledge().mark() > before {
-        shared.note_news();
+        shared.announce();
     }
 }
 
@@ -309,7 +310,7 @@
         if !expired.is_empty() {
             let names: Vec<_> = expired.iter().map(|id| SmolStr::new(id.as_str())).collect();
             shared.knowledge().apply_expired(&names);
-            shared.note_news();
+            shared.announce();
         }
         for id in expired {
             log::info!(runner:% = id; "runner gone: its entry did not come back");
--- a/node/src/serve/follower.rs
+++ b/node/src/serve/follower.rs
@@ -19,7 +19,7 @@
 /// How long a watch waits for a change. A longer wait costs fewer calls, but a silent connection is
 /// noticed only after one, and a leaving runner must get no requests after two seconds.
 const WATCH_WAIT: Duration = Duration::from_secs(3);
-/// The divisor of the back-off after the store has compacted the history that was asked for. The
+/// The divisor of the back-off after the store no longer has the requested history. The
 /// retry is earlier then, since a runner may have left in the missing history.
 const FORGOTTEN_BACK_OFF_DIVISOR: u32 = 4;
 /// How often a node that does not watch the store checks whether it should.
@@ -46,7 +46,7 @@
     /// The revision of the last answer.
     last: Point,
     /// The era in which this node's entry was last written.
-    pub(super) entered: Era,
+    pub(super) entry_era: Era,
     /// Whether this node currently watches the store.
     watching: bool,
     /// Notifies of changes of the store's era.
@@ -63,7 +63,7 @@
             failures: 0,
             from: None,
             last: Point::default(),
-            entered: Era::default(),
+            entry_era: Era::default(),
             watching: false,
             eras,
         }
@@ -105,7 +105,7 @@
         if let Err(error) = join::write_entry(&self.shared).await {
             log::info!(error:% = error; "cannot write this node's entry");
         }
-        self.entered = self.shared.history.era();
+        self.entry_era = self.shared.history.era();
     }
 
     /// Lists a kind. If the list shows that the store was restored from a copy without naming its
@@ -170,7 +170,7 @@
         self.failures += 1;
         let draw: f64 = self.shared.rng().random();
         let pause = pause(self.failures, draw);
-        // A store that has compacted its history is not down.
+        // A store that no longer has the history is not down.
         let first = !history_lost && self.shared.outage().note_failure(self.shared.clock.now());
         if first || history_lost {
             log::warn!(
--- a/node/src/serve/inventory.rs
+++ b/node/src/serve/inventory.rs
@@ -22,7 +22,7 @@
 use crate::serve::shared::Shared;
 
 /// The time-out of a query; a later answer only says what other requests have shown by then.
-const ANSWER_LIMIT: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// The maximum size of an answer: ten thousand parts.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 /// The maximum number of parts recorded per runner, largest first: as many prompts of 13,000 tokens
@@ -58,8 +58,8 @@
         }
         read_kept(&body).map_err(|e| e.to_string())
     };
-    let late = |_| Err(format!("no answer within {ANSWER_LIMIT:?}"));
-    match timeout(ANSWER_LIMIT, query).await.unwrap_or_else(late) {
+    let late = |_| Err(format!("no answer within {ANSWER_TIMEOUT:?}"));
+    match timeout(ANSWER_TIMEOUT, query).await.unwrap_or_else(late) {
         Ok(cached) => record_parts(&shared, &stay, cached),
         Err(error) => log::info!(runner:% = entry.id, error = error; "not told what is kept"),
     }
--- a/node/src/serve/knowledge.rs
+++ b/node/src/serve/knowledge.rs
@@ -42,7 +42,7 @@
     /// Removals up to this mark may no longer be in `removed`.
     forgotten: Mark,
     /// How new the whole state is, for comparison between nodes. Two nodes may have the same state
-    /// with different marks, if one has heard from the store later.
+    /// with different marks, if one has received a later answer from the store.
     mark: Mark,
     known: bool,
 }
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -1,10 +1,10 @@
-//! Orders to runners to change their stage: who may give them, and which are given.
+//! Orders to runners to change their stage: which are sent, and on whose authority.
 //!
-//! Only the holder of the duties lease gives orders ([`crate::duty`]). The lease is checked again
-//! immediately before an order is sent, by a clock that counts suspension. An order whose answer is
-//! lost may still be carried out seconds later. It therefore carries the number of orders that the
-//! runner had accepted before, so that it cannot undo a later one, and the runner gets no other
-//! order meanwhile.
+//! Only the holder of the duties lease sends orders ([`crate::duty`]). The lease is checked again
+//! immediately before an order is sent, by a clock that also advances during suspension. An order
+//! whose answer is lost may still be carried out seconds later. It therefore carries the number of
+//! orders that the runner had accepted before, so that it cannot undo a later one, and the runner
+//! gets no other order meanwhile.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,15 +24,15 @@
 /// How often the demand for stage changes is evaluated.
 const EVALUATION_PERIOD: Duration = Duration::from_millis(250);
 /// The time-out of an order.
-const ORDER_LIMIT: Duration = Duration::from_millis(500);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long the other nodes are given to learn that a runner must not get new work.
 const PROPAGATION_DELAY: Duration = Duration::from_millis(150);
 /// How long an unanswered order may still be carried out (platform data sheets: 2 to 12 s).
-const IN_DOUBT_LIMIT: Duration = Duration::from_secs(13);
+const IN_DOUBT_PERIOD: Duration = Duration::from_secs(13);
 /// The maximum size of the answer to an order.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// An order that was given.
+/// A stage order to a runner.
 #[derive(Clone, Copy, Debug)]
 struct StageOrder {
     at: Instant,
@@ -62,7 +62,7 @@
     last: HashMap<ServiceId, (Instant, Stage)>,
 }
 
-/// Gives stage orders until the process ends.
+/// Sends stage orders until the process ends.
 pub async fn run(shared: Arc<Shared>) {
     let mut controller = StageController { shared, orders: HashMap::new(), last: HashMap::new() };
     loop {
@@ -81,7 +81,7 @@
             self.shared.tenure.want();
         }
         for (service, change) in wanted_changes {
-            if self.shared.tenure.authority_for(ORDER_LIMIT).is_some() {
+            if self.shared.tenure.authority_for(ORDER_TIMEOUT).is_some() {
                 self.apply_change(&service, change).await;
             }
         }
@@ -175,7 +175,7 @@
             let order = StageOrder {
                 at: now,
                 to: change.to,
-                until: now + IN_DOUBT_LIMIT,
+                until: now + IN_DOUBT_PERIOD,
                 answered: true,
                 born: entry.born,
             };
@@ -206,7 +206,8 @@
     }
 
     async fn order_change(&mut self, entry: &Entry, to: Stage) {
-        // The runner is asked for its current state instead of assuming it.
+        // The runner may have changed since its entry was written, so its current state is read
+        // first.
         let report = match self.fetch_report(entry).await {
             Ok(report) if !report.busy && matches_entry(&report, entry) => report,
             Ok(report) => {
@@ -220,7 +221,7 @@
                 return;
             }
         };
-        let Some(epoch) = self.shared.tenure.authority_for(ORDER_LIMIT) else {
+        let Some(epoch) = self.shared.tenure.authority_for(ORDER_TIMEOUT) else {
             log::info!(runner:% = entry.id; "order not given: duties lease lost or about to expire");
             self.withdraw(entry);
             return;
@@ -253,7 +254,7 @@
     }
 
     async fn fetch_report(&self, entry: &Entry) -> Result<Report, String> {
-        let asked = async {
+        let exchange = async {
             let outgoing = ask(&entry.id, entry.address);
             let sent = self.shared.connections.send(entry.address, outgoing, CONNECT_LIMIT);
             let answer = sent.await.map_err(|e| e.to_string())?;
@@ -263,8 +264,8 @@
             }
             read_report(&body).map_err(|e| e.to_string())
         };
-        let late = |_| Err(format!("no report within {ORDER_LIMIT:?}"));
-        timeout(ORDER_LIMIT, asked).await.unwrap_or_else(late)
+        let late = |_| Err(format!("no report within {ORDER_TIMEOUT:?}"));
+        timeout(ORDER_TIMEOUT, exchange).await.unwrap_or_else(late)
     }
 
     async fn send(&self, entry: &Entry, to: Stage, epoch: Epoch, accepted: u64) -> Option<Reply> {
@@ -277,7 +278,7 @@
             accepted,
         };
         let sent = self.shared.connections.send(entry.address, request(&order), CONNECT_LIMIT);
-        match timeout(ORDER_LIMIT, sent).await {
+        match timeout(ORDER_TIMEOUT, sent).await {
             Ok(Ok(answer)) => {
                 let reply = reply(answer.head.status);
                 answer.discard(MAX_ANSWER_BYTES).await;
@@ -288,7 +289,7 @@
                 None
             }
             Err(_) => {
-                log::info!(runner:% = entry.id, limit:? = ORDER_LIMIT; "order not answered");
+                log::info!(runner:% = entry.id, limit:? = ORDER_TIMEOUT; "order not answered");
                 None
             }
         }
--- a/node/src/serve/plain.rs
+++ b/node/src/serve/plain.rs
@@ -173,8 +173,7 @@
         self.request.route.kind.may_repeat()
     }
 
-    /// Returns the refusal of a request that is given up: it tells whether the request may have
-    /// run.
+    /// Returns the refusal of an abandoned request, which says whether it may have run.
     fn give_up(&self, reason: Reason) -> Refusal {
         if self.runs > 0 {
             return if reason == Reason::Late { Refusal::Late } else { Refusal::Broken };
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -42,7 +42,7 @@
     pub engine: Option<Engine>,
     /// The client account that it belongs to, if the configuration has accounts.
     pub account: Option<AccountId>,
-    /// The caller's request headers for this gateway, parsed.
+    /// The metadata of the request, parsed from the caller's headers.
     pub ask: Ask,
     /// Its method.
     pub method: Method,
--- a/node/src/serve/rpc.rs
+++ b/node/src/serve/rpc.rs
@@ -16,13 +16,13 @@
 use tonic::{Response, Status, Streaming};
 
 /// The time-out for connecting to another node: a lost packet is retransmitted after 0.2 s.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The idle time-out of an answer. A part takes 13 ms on a link of 10 Mbit/s, and a queued call
 /// gets three keep-alives in this time.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long a call stays in the other node's queue before another node is called; by then more
 /// nodes have a copy.
-const QUEUE_LIMIT: Duration = Duration::from_secs(1);
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The maximum number of referrals of one call: each halves the number of waiting nodes, so 550
 /// nodes need 10.
 const MAX_REFERRALS: usize = 12;
@@ -53,7 +53,7 @@
         peer: SocketAddr,
     },
     /// The node did not start its answer in time, since it served others first.
-    #[error("waiting at {peer}: not served within {QUEUE_LIMIT:?}")]
+    #[error("waiting at {peer}: not served within {QUEUE_TIMEOUT:?}")]
     QueueTimeout {
         /// The node.
         peer: SocketAddr,
@@ -206,7 +206,7 @@
         RpcError::Connect { peer, detail }
     };
     let endpoint = Endpoint::from_shared(format!("http://{peer}")).map_err(failed)?;
-    let channel = endpoint.connect_timeout(CONNECT_LIMIT).connect().await.map_err(failed)?;
+    let channel = endpoint.connect_timeout(CONNECT_TIMEOUT).connect().await.map_err(failed)?;
     Ok(FleetClient::new(channel))
 }
 
@@ -232,14 +232,14 @@
         Ok(Self { peer, parts: answer.into_inner(), asked: Instant::now() })
     }
 
-    /// Receives the next part. `is_queued` says that only keep-alives have
-    /// been received so far.
+    /// Receives the next part. `is_queued` says that only keep-alives have been received so
+    /// far.
     ///
     /// # Errors
     /// The answer has ended, or the next part or the turn in the queue does not come in time.
     pub async fn next(&mut self, is_queued: bool) -> Result<T, RpcError> {
         let peer = self.peer;
-        if is_queued && self.asked.elapsed() > QUEUE_LIMIT {
+        if is_queued && self.asked.elapsed() > QUEUE_TIMEOUT {
             return Err(RpcError::QueueTimeout { peer });
         }
         let part = timeout(IDLE_TIMEOUT, self.parts.message()).await;
--- a/node/src/serve/settings.rs
+++ b/node/src/serve/settings.rs
@@ -74,7 +74,7 @@
 const DEFAULT_RETRY_BUDGET: Bounds =
     Bounds { ratio: 0.2, allowance: 10.0, window: Duration::from_secs(10) };
 /// The default shutdown time.
-const DEFAULT_GRACE: Duration = Duration::from_secs(8);
+const DEFAULT_GRACE_PERIOD: Duration = Duration::from_secs(8);
 /// The default time between the calls of two holders of the duties lease.
 const DEFAULT_TURN: Duration = Duration::from_secs(3);
 /// The default limit for caching look-up answers.
@@ -146,7 +146,7 @@
             allowance: allowance.unwrap_or(DEFAULT_RETRY_BUDGET.allowance),
             window: window.unwrap_or(DEFAULT_RETRY_BUDGET.window),
         },
-        grace: grace.unwrap_or(DEFAULT_GRACE),
+        grace: grace.unwrap_or(DEFAULT_GRACE_PERIOD),
         longest_validity: validity.unwrap_or(DEFAULT_VALIDITY),
         turns: turns.map_or(DEFAULT_TURN, Duration::from_millis),
         platform,
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -59,7 +59,7 @@
 pub struct Shared {
     /// The settings.
     pub settings: Settings,
-    /// The clock, which counts suspension.
+    /// The clock, which also advances while the machine is suspended.
     pub clock: Arc<dyn Clock>,
     /// This node's identity and addresses, as announced to other nodes.
     pub me: Contact,
@@ -333,7 +333,7 @@
     }
 
     /// Changes from starting to ready once there is a configuration and a register.
-    pub fn note_knowledge(&self) {
+    pub fn update_standing(&self) {
         let known = self.configuration.load().is_some() && self.knowledge().is_known();
         let became_ready = self.standing.send_if_modified(|standing| {
             let becomes_ready = known && *standing == Standing::Starting;
@@ -349,7 +349,7 @@
     }
 
     /// Announces a change to the other nodes at once.
-    pub fn note_news(&self) {
+    pub fn announce(&self) {
         self.beat_now.notify_one();
     }
 
--- a/node/src/serve/transfer.rs
+++ b/node/src/serve/transfer.rs
@@ -19,7 +19,7 @@
 use crate::serve::rpc::IDLE_TIMEOUT;
 
 /// The keep-alive interval for a waiting node: well within its idle time-out.
-const KEEP_ALIVE: Duration = Duration::from_millis(200);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The stream of an answer's parts to the calling node.
 pub type Parts<T> = mpsc::Sender<Result<T, Status>>;
@@ -50,7 +50,7 @@
 ) -> Result<F::Output, Disconnected> {
     let mut future = pin!(future);
     loop {
-        match timeout(KEEP_ALIVE, &mut future).await {
+        match timeout(KEEP_ALIVE_INTERVAL, &mut future).await {
             Ok(value) => return Ok(value),
             Err(_) => send(parts, T::default()).await?,
         }
