--- a/node/src/dispatch/mod.rs
+++ b/node/src/dispatch/mod.rs
@@ -15,7 +15,7 @@
 use crate::back_off::BackOffs;
 use crate::drain::Drains;
 use crate::limit::Limiter;
-use crate::serve::connection::{Answer, CONNECT_LIMIT, Connections, SendError};
+use crate::serve::connection::{Answer, CONNECT_TIMEOUT, Connections, SendError};
 
 /// Sends requests to runners.
 pub struct Dispatcher {
@@ -57,7 +57,7 @@
         let permit = self.limiter.permit(runner).await;
         permit.map_err(|denied| SendError::RateLimited { peer: address, denied })?;
         let sent = self.clock.now();
-        let answer = self.connections.send(address, request, CONNECT_LIMIT).await?;
+        let answer = self.connections.send(address, request, CONNECT_TIMEOUT).await?;
         let headers = &answer.head.headers;
         if let Some(stay) = stay.filter(|_| speaks_for(headers, runner, id)) {
             self.limiter.note_answer(stay, id, sent, rate_limit(headers));
--- a/node/src/serve/connection.rs
+++ b/node/src/serve/connection.rs
@@ -93,7 +93,7 @@
 
 /// The time-out for connecting to a runner. The one-way latency between data centres is at most a
 /// few milliseconds, and a runner accepts within one.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 type Sender = SendRequest<Full<Bytes>>;
 
--- a/node/src/serve/generation/read.rs
+++ b/node/src/serve/generation/read.rs
@@ -19,7 +19,7 @@
 use tokio::time::timeout;
 
 use super::{LARGEST, Stop, Way, millis};
-use crate::serve::connection::CONNECT_LIMIT;
+use crate::serve::connection::CONNECT_TIMEOUT;
 use crate::serve::connection::{Answer, Incomplete, SendError};
 use crate::serve::shared::Shared;
 use crate::serve::ticket::{Step, Ticket};
@@ -75,7 +75,7 @@
         placement: &Placement,
     ) -> Result<Option<Handle>, Stop> {
         self.pay()?;
-        let left = self.request.left(self.shared.clock.now());
+        let left = self.request.time_left(self.shared.clock.now());
         let mut ticket = Ticket::new(&self.shared, id, Step::Read, share);
         self.calls += 1;
         let Some(address) = self.address(id) else { return Ok(None) };
@@ -193,7 +193,7 @@
         let (shared, runner) = (self.shared.clone(), self.runner.clone());
         tokio::spawn(async move {
             let request = runner::free(&handle, &runner);
-            match shared.connections.send(handle.holder, request, CONNECT_LIMIT).await {
+            match shared.connections.send(handle.holder, request, CONNECT_TIMEOUT).await {
                 Ok(answer) => answer.discard(LARGEST).await,
                 Err(error) => {
                     log::info!(runner:% = runner, error:% = error; "freeing a KV cache");
--- a/node/src/serve/generation/stream.rs
+++ b/node/src/serve/generation/stream.rs
@@ -45,7 +45,7 @@
     ) -> Result<Came, Stop> {
         self.pay()?;
         self.tried.push(id.clone());
-        let left = self.request.left(self.shared.clock.now());
+        let left = self.request.time_left(self.shared.clock.now());
         let mut ticket = Ticket::new(&self.shared, id, Step::Run, share);
         self.calls += 1;
         let Some(address) = self.address(id) else { return Ok(Came::NotRun) };
@@ -96,7 +96,7 @@
                     request:% = self.request.id, runner:% = id,
                     waited_ms = limit.as_millis() as u64; "runner silent"
                 );
-                let over = self.request.left(self.shared.clock.now()).is_zero();
+                let over = self.request.time_left(self.shared.clock.now()).is_zero();
                 return Ok(if over { Came::Late } else { Came::Broken });
             }
         };
@@ -168,7 +168,7 @@
         let mut began = None;
         let mut streaming = None;
         loop {
-            let left = self.request.left(self.shared.clock.now());
+            let left = self.request.time_left(self.shared.clock.now());
             let silence = if self.may_run_again() { self.silence(0.0).min(left) } else { left };
             let next = tokio::select! {
                 () = self.caller.left() => {
@@ -197,7 +197,7 @@
                 Err(_) => {
                     ticket.conclude(Outcome::Broken);
                     self.log_cut(ticket, "no sign of life");
-                    let over = self.request.left(self.shared.clock.now()).is_zero();
+                    let over = self.request.time_left(self.shared.clock.now()).is_zero();
                     return Ok(if over { Came::Late } else { Came::Broken });
                 }
             };
--- a/node/src/serve/inventory.rs
+++ b/node/src/serve/inventory.rs
@@ -18,7 +18,7 @@
 use sardinepick_platform::runner::{Kept, ask_kept, read_kept};
 use tokio::time::timeout;
 
-use crate::serve::connection::CONNECT_LIMIT;
+use crate::serve::connection::CONNECT_TIMEOUT;
 use crate::serve::shared::Shared;
 
 /// The time-out of a query; a later answer only says what other requests have shown by then.
@@ -50,7 +50,7 @@
 async fn ask(shared: Arc<Shared>, entry: Entry, stay: Stay) {
     let query = async {
         let request = ask_kept(&entry.id, entry.address);
-        let sent = shared.connections.send(entry.address, request, CONNECT_LIMIT);
+        let sent = shared.connections.send(entry.address, request, CONNECT_TIMEOUT);
         let answer = sent.await.map_err(|e| e.to_string())?;
         let (head, body) = answer.read(MAX_ANSWER_BYTES).await.map_err(|e| e.to_string())?;
         if !head.status.is_success() {
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -18,7 +18,7 @@
 use sardinepick_platform::order::{Order, Reply, Report, ask, read_report, reply, request};
 use tokio::time::{sleep, timeout};
 
-use crate::serve::connection::CONNECT_LIMIT;
+use crate::serve::connection::CONNECT_TIMEOUT;
 use crate::serve::shared::Shared;
 
 /// How often the demand for stage changes is evaluated.
@@ -256,7 +256,7 @@
     async fn fetch_report(&self, entry: &Entry) -> Result<Report, String> {
         let exchange = async {
             let outgoing = ask(&entry.id, entry.address);
-            let sent = self.shared.connections.send(entry.address, outgoing, CONNECT_LIMIT);
+            let sent = self.shared.connections.send(entry.address, outgoing, CONNECT_TIMEOUT);
             let answer = sent.await.map_err(|e| e.to_string())?;
             let (head, body) = answer.read(MAX_ANSWER_BYTES).await.map_err(|e| e.to_string())?;
             if !head.status.is_success() {
@@ -277,7 +277,7 @@
             epoch,
             accepted,
         };
-        let sent = self.shared.connections.send(entry.address, request(&order), CONNECT_LIMIT);
+        let sent = self.shared.connections.send(entry.address, request(&order), CONNECT_TIMEOUT);
         match timeout(ORDER_TIMEOUT, sent).await {
             Ok(Ok(answer)) => {
                 let reply = reply(answer.head.status);
--- a/node/src/serve/plain.rs
+++ b/node/src/serve/plain.rs
@@ -125,7 +125,7 @@
                 }
             }
             let now = self.shared.clock.now();
-            let left = self.request.left(now);
+            let left = self.request.time_left(now);
             if left.is_zero() {
                 return failed.ok_or_else(|| self.give_up(Reason::Late));
             }
--- a/node/src/serve/quarantine/mod.rs
+++ b/node/src/serve/quarantine/mod.rs
@@ -84,7 +84,7 @@
             Standing::Free => return Admission::Free,
             Standing::Refused => return refuse(shared, request),
             // The rest of its way says that its time is over.
-            Standing::Undecided if request.left(now).is_zero() => return Admission::Free,
+            Standing::Undecided if request.time_left(now).is_zero() => return Admission::Free,
             Standing::Undecided => {
                 // No change for so long is looked at as one is: proposals lapse, and time passes.
                 let mut changed = shared.keeper.changed.subscribe();
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -68,14 +68,14 @@
 
 impl Request {
     /// Returns the time left until its deadline.
-    pub fn left(&self, now: Instant) -> Duration {
+    pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
     /// Returns its terms for admission.
     pub fn terms(&self, now: Instant) -> Terms {
         let here = now.saturating_duration_since(self.arrived);
-        Terms::new(&self.route, self.left(now), Wait { before: self.waited, here }, self.size)
+        Terms::new(&self.route, self.time_left(now), Wait { before: self.waited, here }, self.size)
     }
 
     /// Returns the refusal of the request, which has not run. If all runners are closed for a time,
@@ -108,7 +108,7 @@
             request:% = self.id, route:% = self.route.name, service:% = self.service,
             version:% = self.configuration.version, runner = end.runner, tries = end.tries,
             status = end.status, reason = end.reason,
-            took_ms = took.as_millis() as u64, left_ms = self.left(now).as_millis() as u64,
+            took_ms = took.as_millis() as u64, left_ms = self.time_left(now).as_millis() as u64,
             events = end.events; "request {}", end.outcome
         );
     }
