--- a/node/src/serve/connection.rs
+++ b/node/src/serve/connection.rs
@@ -102,8 +102,8 @@
     until: std::time::Instant,
 }
 
-/// How long a connection is kept idle if the peer announces no time-out. Shorter than the peers'
-/// usual idle time-outs, so that a request does not race with the peer's close.
+/// How long a connection is kept idle if the peer announces no time-out. Shorter than any known
+/// peer's idle time-out, so that a request does not race with the peer's close.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// How much earlier than the peer's time-out an idle connection is closed.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
