--- a/node/src/history/mod.rs
+++ b/node/src/history/mod.rs
@@ -186,7 +186,7 @@
                 return Err(EraError::Unconfirmed { shown, known });
             }
         }
-        self.metrics.era.set(i64::from(shown.0));
+        self.metrics.store_era.set(i64::from(shown.0));
         // Two changes in quick succession may arrive here out of order.
         self.changed.send_if_modified(|known| {
             let is_later = shown > *known;
@@ -197,7 +197,7 @@
     }
 
     fn count(&self, outcome: &str) {
-        self.metrics.eras.with_label_values(&[outcome]).inc();
+        self.metrics.store_eras.with_label_values(&[outcome]).inc();
     }
 
     fn is_log_due(&self) -> bool {
--- a/node/src/serve/generation/prefill.rs
+++ b/node/src/serve/generation/prefill.rs
@@ -21,7 +21,7 @@
 use tokio::time::timeout;
 
 use super::{GenerationTask, MAX_ANSWER_BYTES, Stop, millis};
-use crate::serve::connection::CONNECT_LIMIT;
+use crate::serve::connection::CONNECT_TIMEOUT;
 use crate::serve::connection::{Answer, Incomplete, SendError};
 use crate::serve::shared::Shared;
 use crate::serve::ticket::{Step, Ticket};
@@ -52,7 +52,7 @@
 impl PrefillError {
     /// Whether nothing was sent because the runner's rate limit is exhausted.
     fn is_denied(&self) -> bool {
-        matches!(self, PrefillError::Send(error) if error.is_denied())
+        matches!(self, PrefillError::Send(error) if error.is_rate_limited())
     }
 
     /// Whether the connection failed after the request may have been sent.
@@ -77,7 +77,7 @@
         placement: &Placement,
     ) -> Result<Option<Handle>, Stop> {
         self.take_retry_budget()?;
-        let left = self.request.left(self.shared.clock.now());
+        let left = self.request.time_left(self.shared.clock.now());
         let mut ticket = Ticket::new(&self.shared, id, Step::Read, share);
         self.calls += 1;
         let Some(address) = self.address(id) else { return Ok(None) };
@@ -94,7 +94,7 @@
         };
         let result = tokio::select! {
             () = self.caller.disconnected() => {
-                ticket.learn_in_vain(placement, placement.read);
+                ticket.learn_abandoned(placement, placement.read);
                 return Err(Stop::CallerLeft);
             }
             result = timeout(limit, prefill) => result,
@@ -196,7 +196,7 @@
         let (shared, runner) = (self.shared.clone(), self.runner.clone());
         tokio::spawn(async move {
             let request = runner::free(&handle, &runner);
-            match shared.connections.send(handle.holder, request, CONNECT_LIMIT).await {
+            match shared.connections.send(handle.holder, request, CONNECT_TIMEOUT).await {
                 Ok(answer) => answer.discard(MAX_ANSWER_BYTES).await,
                 Err(error) => {
                     log::info!(runner:% = runner, error:% = error; "failed to free KV cache");
--- a/node/src/serve/generation/stream.rs
+++ b/node/src/serve/generation/stream.rs
@@ -25,7 +25,7 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use super::{AttemptOutcome, Caller, GenerationTask, MAX_ANSWER_BYTES, Stop, millis, send_head};
-use crate::serve::answer::{pass_on, whole};
+use crate::serve::answer::{forward_response, full_body};
 use crate::serve::connection::{Answer, Lease};
 use crate::serve::plain::promises_not_run;
 use crate::serve::quarantine;
@@ -46,7 +46,7 @@
     ) -> Result<AttemptOutcome, Stop> {
         self.take_retry_budget()?;
         self.tried.push(id.clone());
-        let left = self.request.left(self.shared.clock.now());
+        let left = self.request.time_left(self.shared.clock.now());
         let mut ticket = Ticket::new(&self.shared, id, Step::Run, share);
         self.calls += 1;
         let Some(address) = self.address(id) else { return Ok(AttemptOutcome::NotRun) };
@@ -67,7 +67,7 @@
         let sent = tokio::select! {
             () = self.caller.disconnected() => {
                 if is_whole {
-                    ticket.learn_in_vain(placement, placement.first);
+                    ticket.learn_abandoned(placement, placement.first);
                 }
                 return Ok(AttemptOutcome::CallerLeft);
             }
@@ -76,7 +76,7 @@
         let answer = match sent {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
-                if !error.is_denied() {
+                if !error.is_rate_limited() {
                     ticket.conclude(Outcome::Broken);
                 }
                 log::info!(
@@ -86,7 +86,7 @@
                 if error.proves_unsent() {
                     self.runs -= 1;
                     self.arrivals -= 1;
-                    return Ok(if error.is_denied() {
+                    return Ok(if error.is_rate_limited() {
                         AttemptOutcome::Denied
                     } else {
                         AttemptOutcome::NotRun
@@ -101,7 +101,7 @@
                     request:% = self.request.id, runner:% = id,
                     waited_ms = limit.as_millis() as u64; "runner silent"
                 );
-                let expired = self.request.left(self.shared.clock.now()).is_zero();
+                let expired = self.request.time_left(self.shared.clock.now()).is_zero();
                 return Ok(if expired { AttemptOutcome::Late } else { AttemptOutcome::Broken });
             }
         };
@@ -156,7 +156,7 @@
             return Ok(AttemptOutcome::Broken);
         }
         if let Caller::Waiting(sender) = &mut self.caller {
-            send_head(sender, pass_on(&head, whole(body)));
+            send_head(sender, forward_response(&head, full_body(body)));
             return Ok(AttemptOutcome::Done(if is_success {
                 Outcome::Answered
             } else {
@@ -181,13 +181,13 @@
         let mut started_at = None;
         let mut active_stream = None;
         loop {
-            let left = self.request.left(self.shared.clock.now());
+            let left = self.request.time_left(self.shared.clock.now());
             let idle_timeout =
                 if self.may_retry() { self.idle_timeout(0.0).min(left) } else { left };
             let next = tokio::select! {
                 () = self.caller.disconnected() => {
                     if let Some(placement) = placement.filter(|_| first) {
-                        ticket.learn_in_vain(placement, placement.first);
+                        ticket.learn_abandoned(placement, placement.first);
                     }
                     return Ok(AttemptOutcome::CallerLeft);
                 }
@@ -211,7 +211,7 @@
                 Err(_) => {
                     ticket.conclude(Outcome::Broken);
                     self.log_broken_stream(ticket, "no sign of life");
-                    let expired = self.request.left(self.shared.clock.now()).is_zero();
+                    let expired = self.request.time_left(self.shared.clock.now()).is_zero();
                     return Ok(if expired { AttemptOutcome::Late } else { AttemptOutcome::Broken });
                 }
             };
@@ -269,11 +269,11 @@
             self.note_broken(ticket, true).await;
             return Ok(AttemptOutcome::Broken);
         }
-        lease.give_back();
+        lease.return_to_pool();
         ticket.conclude(Outcome::Answered);
         if let Caller::Waiting(sender) = &mut self.caller {
             // A stream without events is still complete.
-            send_head(sender, pass_on(head, whole(Bytes::new())));
+            send_head(sender, forward_response(head, full_body(Bytes::new())));
         }
         Ok(AttemptOutcome::Done(Outcome::Answered))
     }
@@ -289,12 +289,12 @@
         match self.last_event_at.replace(now) {
             Some(last) => {
                 let pause = now.saturating_duration_since(last).as_secs_f64();
-                self.shared.metrics.pause.with_label_values(&[&route.name]).observe(pause);
+                self.shared.metrics.event_pause.with_label_values(&[&route.name]).observe(pause);
             }
             None => {
                 let took = now.saturating_duration_since(self.request.arrived).as_secs_f64();
                 let labels = [route.kind.into(), "answered"];
-                self.shared.metrics.first.with_label_values(&labels).observe(took);
+                self.shared.metrics.first_byte.with_label_values(&labels).observe(took);
                 log::info!(
                     request:% = self.request.id, first_ms = millis(took), plan = self.plan;
                     "first event"
@@ -304,7 +304,7 @@
         if let Caller::Waiting(sender) = &mut self.caller {
             let (events, receiver) = mpsc::channel(EVENT_BUFFER);
             let body = StreamBody::new(ReceiverStream::new(receiver).boxed());
-            send_head(sender, pass_on(head, body.boxed_unsync()));
+            send_head(sender, forward_response(head, body.boxed_unsync()));
             self.caller = Caller::Streaming(events);
         }
         match &self.caller {
--- a/node/src/serve/metrics.rs
+++ b/node/src/serve/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a serving node, in the form that Prometheus reads.
+//! Prometheus metrics of a serving node.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -14,136 +14,137 @@
     registry: Registry,
     /// Requests by route, kind, outcome and reason.
     pub requests: IntCounterVec,
-    /// Seconds until the first byte of the answer's content, by kind and outcome.
-    pub first: HistogramVec,
-    /// Seconds between events of a stream.
-    pub pause: HistogramVec,
-    /// Calls to runners by runner and how they ended.
-    pub calls: IntCounterVec,
-    /// Generations by the way they took.
+    /// Time to the first byte of the response body in seconds, by kind and outcome.
+    pub first_byte: HistogramVec,
+    /// Time between events of a stream, in seconds.
+    pub event_pause: HistogramVec,
+    /// Calls to runners by runner, step and outcome.
+    pub runner_calls: IntCounterVec,
+    /// Generations by plan.
     pub plans: IntCounterVec,
-    /// Permits to send to runners with a rate limit, by what came of them and who decided.
+    /// Permits for requests to rate-limited runners, by outcome and by which node decided.
     pub permits: IntCounterVec,
-    /// Runners that leave by their own word, by where that was heard.
-    pub drains: IntCounterVec,
-    /// Answers by which runners refuse requests of this node for a time, by what came of them.
+    /// Runners that announce that they leave, by source of the announcement.
+    pub leaving_runners: IntCounterVec,
+    /// Back-off answers of runners, by outcome.
     pub back_offs: IntCounterVec,
-    /// Rate limits of runners by how they changed.
-    pub limits: IntCounterVec,
-    /// Extra arrivals by what the budget said.
-    pub extras: IntCounterVec,
-    /// Calls under which a runner ended.
-    pub ends: IntCounter,
-    /// Requests that are not run, by what becomes of them.
+    /// Changes of runners' rate limits, by kind.
+    pub rate_limit_changes: IntCounterVec,
+    /// Arrivals beyond the first, by whether the retry budget granted them.
+    pub extra_arrivals: IntCounterVec,
+    /// Calls during which a runner crashed.
+    pub runner_ends: IntCounter,
+    /// Quarantined requests by event.
     pub quarantine: IntCounterVec,
-    /// Connections made.
+    /// Connections opened.
     pub connections: IntCounter,
-    /// Calls to the store by purpose and how they ended.
+    /// Calls to the store by purpose and outcome.
     pub store_calls: IntCounterVec,
-    /// Keys that no known account has, by what ruled out that they are new.
+    /// Requests with an unknown key, by how it was ruled out that the key is new.
     pub unknown_keys: IntCounterVec,
-    /// Changes of the lease on the duties, by what became of it.
+    /// Changes of the duties lease, by outcome.
     pub leases: IntCounterVec,
-    /// Calls to the platform by the holder of the duties, by what they are and what came of them.
+    /// Platform calls by the holder of the duties lease, by call and outcome.
     pub duty_calls: IntCounterVec,
-    /// Runners of services that are ordered: how many are needed, and how many of each kind are there.
-    pub scaled: IntGaugeVec,
-    /// Windows of usage by what became of them.
-    pub windows: IntCounterVec,
-    /// Bytes of usage between nodes by direction.
+    /// Runners of services with scaling: needed, and present by kind.
+    pub scaled_runners: IntGaugeVec,
+    /// Usage windows by outcome.
+    pub usage_windows: IntCounterVec,
+    /// Bytes of usage messages by direction.
     pub usage_bytes: IntCounterVec,
-    /// Bytes of beats by direction.
+    /// Bytes of heartbeats by direction.
     pub beat_bytes: IntCounterVec,
-    /// Bytes between nodes and schedulers by direction.
+    /// Bytes of scheduler messages by direction.
     pub schedule_bytes: IntCounterVec,
-    /// Placements by who decided: the scheduler, this node as one, or this node alone.
-    pub decided: IntCounterVec,
-    /// How long a scheduler took to answer, in seconds.
-    pub asked: HistogramVec,
-    /// Log lines that were dropped because their reader was slow.
+    /// Placements by who decided: the pool's scheduler, this node as scheduler, or this node alone.
+    pub placements: IntCounterVec,
+    /// Latency of scheduler answers in seconds.
+    pub scheduler_latency: HistogramVec,
+    /// Log lines dropped because of a slow reader.
     pub lines_dropped: IntCounter,
-    /// Requests under way.
+    /// Requests in progress.
     pub under_way: IntGauge,
     /// The version of the configuration in force.
-    pub version: IntGauge,
+    pub configuration_version: IntGauge,
     /// The era of the store.
-    pub era: IntGauge,
-    /// Eras that were shown, by what became of it.
-    pub eras: IntCounterVec,
-    /// Runners known, by state.
+    pub store_era: IntGauge,
+    /// Announcements of new store eras, by outcome.
+    pub store_eras: IntCounterVec,
+    /// Known runners by state.
     pub runners: IntGaugeVec,
-    /// Other nodes heard lately.
+    /// Other nodes that are currently up.
     pub nodes: IntGauge,
-    /// When the store last answered, in seconds since 1970, by what was followed.
-    pub answered: IntGaugeVec,
-    /// Configurations that nodes copy from each other, by direction and how it ended.
-    pub copies: IntCounterVec,
-    /// Bytes of these copies, by direction.
-    pub copy_bytes: IntCounterVec,
-    /// Objects in the store that are of another writer, by what they stand for and what is wrong.
-    pub foreign: IntCounterVec,
+    /// Unix time of the last answer of the store, by watched kind.
+    pub store_answered: IntGaugeVec,
+    /// Configurations copied between nodes, by direction and outcome.
+    pub configuration_copies: IntCounterVec,
+    /// Bytes of configuration copies, by direction.
+    pub configuration_copy_bytes: IntCounterVec,
+    /// Invalid objects in the store, by kind and reason.
+    pub invalid_objects: IntCounterVec,
     dropped: Dropped,
 }
 
-const FIRST_BUCKETS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0];
-const ASKED_BUCKETS: [f64; 7] = [0.001, 0.002, 0.004, 0.008, 0.016, 0.03, 0.06];
-const PAUSE_BUCKETS: [f64; 8] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 2.0];
+const FIRST_BYTE_BUCKETS: [f64; 12] =
+    [0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0];
+const SCHEDULER_BUCKETS: [f64; 7] = [0.001, 0.002, 0.004, 0.008, 0.016, 0.03, 0.06];
+const EVENT_PAUSE_BUCKETS: [f64; 8] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 2.0];
 
-/// Makes and registers metrics.
-struct Maker(Registry);
+/// Creates and registers metrics.
+struct Builder(Registry);
 
-impl Maker {
-    /// A registration fails only for a wrong or repeated name, and the names are all below.
-    fn keep<T: Collector + Clone + 'static>(&self, made: prometheus::Result<T>) -> T {
-        let made = made.expect("the names of metrics are right");
-        self.0.register(Box::new(made.clone())).expect("each metric has a name of its own");
-        made
+impl Builder {
+    /// Registration fails only for an invalid or duplicate name, and all names are constants below.
+    fn register<T: Collector + Clone + 'static>(&self, metric: prometheus::Result<T>) -> T {
+        let metric = metric.expect("metric names are valid");
+        self.0.register(Box::new(metric.clone())).expect("metric names are unique");
+        metric
     }
 
     fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
-        self.keep(IntCounterVec::new(Opts::new(name, help), labels))
+        self.register(IntCounterVec::new(Opts::new(name, help), labels))
     }
 
     fn counter(&self, name: &str, help: &str) -> IntCounter {
-        self.keep(IntCounter::new(name, help))
+        self.register(IntCounter::new(name, help))
     }
 
     fn gauge(&self, name: &str, help: &str) -> IntGauge {
-        self.keep(IntGauge::new(name, help))
+        self.register(IntGauge::new(name, help))
     }
 
     fn gauges(&self, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
-        self.keep(IntGaugeVec::new(Opts::new(name, help), labels))
+        self.register(IntGaugeVec::new(Opts::new(name, help), labels))
     }
 
     fn times(&self, name: &str, help: &str, buckets: &[f64], labels: &[&str]) -> HistogramVec {
         let opts = HistogramOpts::new(name, help).buckets(buckets.to_vec());
-        self.keep(HistogramVec::new(opts, labels))
+        self.register(HistogramVec::new(opts, labels))
     }
 }
 
 impl Default for Metrics {
     fn default() -> Self {
-        let m = Maker(Registry::new());
+        let m = Builder(Registry::new());
         Self {
             requests: m.counters(
                 "sardinepick_requests_total",
                 "Requests by how they ended",
                 &["route", "kind", "outcome", "reason"],
             ),
-            first: m.times(
+            first_byte: m.times(
                 "sardinepick_first_byte_seconds",
                 "Seconds until the first of an answer's content",
-                &FIRST_BUCKETS,
+                &FIRST_BYTE_BUCKETS,
                 &["kind", "outcome"],
             ),
-            pause: m.times(
+            event_pause: m.times(
                 "sardinepick_event_pause_seconds",
                 "Seconds between events of a stream",
-                &PAUSE_BUCKETS,
+                &EVENT_PAUSE_BUCKETS,
                 &["route"],
             ),
-            calls: m.counters(
+            runner_calls: m.counters(
                 "sardinepick_runner_calls_total",
                 "Calls to runners by how they ended",
                 &["runner", "step", "outcome"],
@@ -153,7 +154,7 @@
                 "Permits to send to runners with a rate limit, by what came of them and who decided",
                 &["outcome", "by"],
             ),
-            drains: m.counters(
+            leaving_runners: m.counters(
                 "sardinepick_runners_leaving_total",
                 "Runners that leave by their own word, by where that was heard",
                 &["source"],
@@ -163,18 +164,19 @@
                 "Answers by which runners refuse requests for a time, by what came of them",
                 &["outcome"],
             ),
-            limits: m.counters(
+            rate_limit_changes: m.counters(
                 "sardinepick_rate_limit_changes_total",
                 "Rate limits of runners by how they changed",
                 &["change"],
             ),
             plans: m.counters("sardinepick_plans_total", "Generations by their way", &["plan"]),
-            extras: m.counters(
+            extra_arrivals: m.counters(
                 "sardinepick_extra_arrivals_total",
                 "Arrivals beyond the first, by what the budget said",
                 &["service", "granted"],
             ),
-            ends: m.counter("sardinepick_runner_ends_total", "Calls under which a runner ended"),
+            runner_ends: m
+                .counter("sardinepick_runner_ends_total", "Calls under which a runner ended"),
             quarantine: m.counters(
                 "sardinepick_quarantine_total",
                 "Requests that are not run, by what becomes of them",
@@ -192,12 +194,12 @@
                 "Calls to the platform by the holder of the duties, by what came of them",
                 &["call", "outcome"],
             ),
-            scaled: m.gauges(
+            scaled_runners: m.gauges(
                 "sardinepick_scaled_runners",
                 "Runners of services that are ordered: needed, and there by kind",
                 &["service", "what"],
             ),
-            windows: m.counters(
+            usage_windows: m.counters(
                 "sardinepick_usage_windows_total",
                 "Windows of usage by what became of them",
                 &["outcome"],
@@ -227,40 +229,45 @@
                 "Bytes between nodes and schedulers",
                 &["direction"],
             ),
-            decided: m.counters("sardinepick_decided_total", "Placements by who decided", &["by"]),
-            asked: m.times(
+            placements: m.counters(
+                "sardinepick_decided_total",
+                "Placements by who decided",
+                &["by"],
+            ),
+            scheduler_latency: m.times(
                 "sardinepick_asked_seconds",
                 "Seconds until a scheduler's answer",
-                &ASKED_BUCKETS,
+                &SCHEDULER_BUCKETS,
                 &["step"],
             ),
             lines_dropped: m.counter("sardinepick_log_lines_dropped_total", "Log lines dropped"),
             under_way: m.gauge("sardinepick_under_way", "Requests under way"),
-            version: m.gauge("sardinepick_configuration_version", "Version of the configuration"),
-            era: m.gauge("sardinepick_store_era", "Era of the store"),
-            eras: m.counters(
+            configuration_version: m
+                .gauge("sardinepick_configuration_version", "Version of the configuration"),
+            store_era: m.gauge("sardinepick_store_era", "Era of the store"),
+            store_eras: m.counters(
                 "sardinepick_store_eras_total",
                 "Eras of the store that were new, or not believed",
                 &["outcome"],
             ),
             runners: m.gauges("sardinepick_runners", "Runners known", &["state"]),
             nodes: m.gauge("sardinepick_nodes", "Other nodes heard lately"),
-            answered: m.gauges(
+            store_answered: m.gauges(
                 "sardinepick_store_answered_timestamp_seconds",
                 "When the store last answered",
                 &["what"],
             ),
-            copies: m.counters(
+            configuration_copies: m.counters(
                 "sardinepick_configuration_copies_total",
                 "Configurations copied between nodes",
                 &["direction", "outcome"],
             ),
-            copy_bytes: m.counters(
+            configuration_copy_bytes: m.counters(
                 "sardinepick_configuration_copy_bytes_total",
                 "Bytes of configurations copied between nodes",
                 &["direction"],
             ),
-            foreign: m.counters(
+            invalid_objects: m.counters(
                 "sardinepick_foreign_objects_total",
                 "Objects of other writers in the store",
                 &["what", "reason"],
@@ -272,18 +279,18 @@
 }
 
 impl Metrics {
-    /// Metrics that also tell how many log lines were dropped.
+    /// Creates metrics that include the number of dropped log lines.
     pub fn new(dropped: Dropped) -> Self {
         Self { dropped, ..Self::default() }
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub fn text(&self) -> Vec<u8> {
-        let told = self.lines_dropped.get();
-        self.lines_dropped.inc_by(self.dropped.count().saturating_sub(told));
+        let counted = self.lines_dropped.get();
+        self.lines_dropped.inc_by(self.dropped.count().saturating_sub(counted));
         let mut out = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut out) {
-            log::error!(error:% = error; "writing metrics");
+            log::error!(error:% = error; "cannot encode metrics");
         }
         out
     }
--- a/node/src/serve/quarantine/mod.rs
+++ b/node/src/serve/quarantine/mod.rs
@@ -86,7 +86,7 @@
             Standing::Free => return Admission::Free,
             Standing::Refused => return refuse(shared, request),
             // The deadline has passed; later stages report that.
-            Standing::Undecided if request.left(now).is_zero() => return Admission::Free,
+            Standing::Undecided if request.time_left(now).is_zero() => return Admission::Free,
             Standing::Undecided => {
                 // A timeout is handled like a change: proposals expire with time.
                 let mut changed = shared.quarantine.changed.subscribe();
--- a/node/src/usage/report.rs
+++ b/node/src/usage/report.rs
@@ -296,7 +296,7 @@
     }
 
     fn record_outcome(&self, window: Window, outcome: &'static str) {
-        self.metrics.windows.with_label_values(&[outcome]).inc();
+        self.metrics.usage_windows.with_label_values(&[outcome]).inc();
         self.usage.note_window(window, outcome);
     }
 }
