--- a/lib/src/admit.rs
+++ b/lib/src/admit.rs
@@ -27,7 +27,7 @@
 
 /// A request that asks to be admitted.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct AdmissionRequest {
     /// The request.
     pub id: RequestId,
     /// Whose it is.
@@ -60,7 +60,7 @@
     /// Why.
     pub reason: Reason,
     /// When to come back, from now.
-    pub after: Duration,
+    pub retry_after: Duration,
 }
 
 /// The decision about an offer.
@@ -68,7 +68,7 @@
 pub enum Decision {
     /// It goes on at once.
     Start,
-    /// It waits until [`Gate::next`] gives it out or refuses it.
+    /// It waits until [`AdmissionQueue::next`] gives it out or refuses it.
     Wait,
     /// It is refused.
     Refuse(Refusal),
@@ -124,11 +124,11 @@
 
 /// Settings of a gate.
 #[derive(Clone, Copy, Debug)]
-pub struct Setting {
+pub struct Limits {
     /// How many requests may be under way at once.
-    pub places: u32,
+    pub max_concurrent: u32,
     /// How many may wait.
-    pub queue: usize,
+    pub max_queued: usize,
     /// The part of an account's limits that this node hands out, in thousandths.
     pub share: u32,
 }
@@ -143,8 +143,8 @@
 
 /// The gate of one service at one node.
 #[derive(Clone, Debug)]
-pub struct Gate {
-    setting: Setting,
+pub struct AdmissionQueue {
+    setting: Limits,
     waiting: BTreeMap<Rank, Waiting>,
     usage: HashMap<Name, Usage>,
     under_way: u32,
@@ -154,9 +154,9 @@
     pace: f64,
 }
 
-impl Gate {
+impl AdmissionQueue {
     /// An empty gate.
-    pub fn new(setting: Setting) -> Self {
+    pub fn new(setting: Limits) -> Self {
         Self {
             setting,
             waiting: BTreeMap::new(),
@@ -169,7 +169,7 @@
     }
 
     /// Changes the settings; what is under way stays so.
-    pub fn set(&mut self, setting: Setting) {
+    pub fn set(&mut self, setting: Limits) {
         self.setting = setting;
     }
 
@@ -190,17 +190,23 @@
 
     /// Judges an offer. `draw` is a random number from 0 to 1 that spreads the return of those
     /// that are refused.
-    pub fn offer(&mut self, now: Instant, account: &Account, offer: Offer, draw: f64) -> Decision {
+    pub fn submit(
+        &mut self,
+        now: Instant,
+        account: &Account,
+        offer: AdmissionRequest,
+        draw: f64,
+    ) -> Decision {
         if let Some(refusal) = self.check_account(now, account, draw) {
             return Decision::Refuse(refusal);
         }
         let rank = self.rank(account, &offer);
-        let at_once = self.under_way < self.setting.places && self.waiting.is_empty();
+        let at_once = self.under_way < self.setting.max_concurrent && self.waiting.is_empty();
         let ahead = if at_once { Duration::ZERO } else { self.work_ahead(rank) };
         if now + self.time_for(ahead) + self.own_time(offer.cost) > offer.deadline {
             return Decision::Refuse(self.refusal(Reason::Late, draw));
         }
-        if !at_once && self.waiting.len() >= self.setting.queue && self.is_last(rank) {
+        if !at_once && self.waiting.len() >= self.setting.max_queued && self.is_last(rank) {
             return Decision::Refuse(self.refusal(Reason::Full, draw));
         }
         self.take(account, rank);
@@ -233,9 +239,9 @@
             return Some(self.refusal(Reason::Concurrency, draw));
         }
         if usage.tokens < 1.0 {
-            let after = Duration::from_secs_f64((1.0 - usage.tokens) / rate * (1.0 + draw));
-            let after = after.clamp(SHORTEST_AFTER, LONGEST_AFTER);
-            return Some(Refusal { reason: Reason::Rate, after });
+            let retry_after = Duration::from_secs_f64((1.0 - usage.tokens) / rate * (1.0 + draw));
+            let retry_after = retry_after.clamp(SHORTEST_AFTER, LONGEST_AFTER);
+            return Some(Refusal { reason: Reason::Rate, retry_after });
         }
         None
     }
@@ -249,7 +255,7 @@
 
     /// The rank by weighted fair queuing: an account's next request ends, in virtual time, its
     /// cost by its weight after its last one, and never before now.
-    fn rank(&self, account: &Account, offer: &Offer) -> Rank {
+    fn rank(&self, account: &Account, offer: &AdmissionRequest) -> Rank {
         let weight = f64::from(account.weight.max(1)) * priority_weight(offer.priority);
         let last = self.usage.get(&account.name).map_or(0.0, |u| u.finish);
         let begin = last.max(self.virtual_time);
@@ -271,7 +277,7 @@
 
     /// How long the places need for `work`.
     fn time_for(&self, work: Duration) -> Duration {
-        let places = f64::from(self.setting.places.max(1));
+        let places = f64::from(self.setting.max_concurrent.max(1));
         work.div_f64(places * self.pace)
     }
 
@@ -281,8 +287,8 @@
 
     fn refusal(&self, reason: Reason, draw: f64) -> Refusal {
         let clear = self.time_for(self.queued).max(SHORTEST_AFTER);
-        let after = clear.mul_f64(1.0 + draw).clamp(SHORTEST_AFTER, LONGEST_AFTER);
-        Refusal { reason, after }
+        let retry_after = clear.mul_f64(1.0 + draw).clamp(SHORTEST_AFTER, LONGEST_AFTER);
+        Refusal { reason, retry_after }
     }
 
     fn start(&mut self, rank: Rank, cost: Duration) {
@@ -296,7 +302,7 @@
     pub fn next(&mut self, now: Instant, mut draw: impl FnMut() -> f64) -> Vec<Event> {
         let mut events = Vec::new();
         self.refuse_late(now, &mut draw, &mut events);
-        while self.under_way < self.setting.places {
+        while self.under_way < self.setting.max_concurrent {
             let Some(rank) = self.pick(now) else { break };
             let waiting = self.remove(rank);
             self.start(rank, waiting.cost);
@@ -376,7 +382,7 @@
     }
 
     /// Forgets accounts that have nothing under way and have had time to fill their bucket.
-    pub fn forget(&mut self, now: Instant, idle: Duration) {
+    pub fn evict_idle(&mut self, now: Instant, idle: Duration) {
         self.usage.retain(|_, u| u.under_way > 0 || now.saturating_duration_since(u.filled) < idle);
     }
 }
--- a/lib/src/supply.rs
+++ b/lib/src/assignment.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::hash::{place, rendezvous};
+use crate::hash::{rendezvous_weight, stable_hash};
 use crate::id::Name;
 
 /// How many nodes use one runner. With 550 nodes and 1,600 runners a node uses 64 runners.
@@ -17,11 +17,11 @@
 
 /// The nodes that use `runner`, the observer first. `out` is emptied and filled, so that the
 /// caller can keep its storage.
-pub fn sharers<'a>(runner: &Name, nodes: &'a [Name], out: &mut Vec<&'a Name>) {
-    let duty = place(SUPPLY_SEED, runner.as_str().as_bytes());
+pub fn assign_nodes<'a>(runner: &Name, nodes: &'a [Name], out: &mut Vec<&'a Name>) {
+    let duty = stable_hash(SUPPLY_SEED, runner.as_str().as_bytes());
     out.clear();
     out.extend(nodes.iter());
-    out.sort_by_cached_key(|n| std::cmp::Reverse(rendezvous(duty, n.as_str().as_bytes())));
+    out.sort_by_cached_key(|n| std::cmp::Reverse(rendezvous_weight(duty, n.as_str().as_bytes())));
     out.truncate(SHARERS);
 }
 
@@ -34,20 +34,21 @@
 }
 
 /// The node that has a duty among `nodes`, by rendezvous hashing.
-pub fn holder<'a>(duty: &str, nodes: impl Iterator<Item = &'a Name>) -> Option<&'a Name> {
-    let duty = place(SUPPLY_SEED, duty.as_bytes());
-    nodes.max_by_key(|n| rendezvous(duty, n.as_str().as_bytes()))
+pub fn duty_node<'a>(duty: &str, nodes: impl Iterator<Item = &'a Name>) -> Option<&'a Name> {
+    let duty = stable_hash(SUPPLY_SEED, duty.as_bytes());
+    nodes.max_by_key(|n| rendezvous_weight(duty, n.as_str().as_bytes()))
 }
 
 /// The first `count` nodes for a duty, the first in charge.
-pub fn holders<'a>(
+pub fn duty_nodes<'a>(
     duty: &str,
     nodes: impl Iterator<Item = &'a Name>,
     count: usize,
 ) -> Vec<&'a Name> {
-    let duty = place(SUPPLY_SEED, duty.as_bytes());
+    let duty = stable_hash(SUPPLY_SEED, duty.as_bytes());
     let mut ranked: Vec<&Name> = nodes.collect();
-    ranked.sort_by_cached_key(|n| std::cmp::Reverse(rendezvous(duty, n.as_str().as_bytes())));
+    ranked
+        .sort_by_cached_key(|n| std::cmp::Reverse(rendezvous_weight(duty, n.as_str().as_bytes())));
     ranked.truncate(count);
     ranked
 }
--- a/lib/src/baseline.rs
+++ b/lib/src/baseline.rs
@@ -4,11 +4,11 @@
 
 use rand::{Rng, RngExt as _};
 
-use crate::choose::{Setting, rank};
-use crate::runner::{View, Work};
+use crate::choose::{Settings, rank};
+use crate::runner::{RunnerView, Work};
 
 /// Any runner that takes work, each with the same chance.
-pub fn random<R: Rng>(views: &[View], now: Instant, rng: &mut R) -> Option<usize> {
+pub fn random<R: Rng>(views: &[RunnerView], now: Instant, rng: &mut R) -> Option<usize> {
     let usable = views.iter().filter(|v| v.takes_work(now)).count();
     if usable == 0 {
         return None;
@@ -18,7 +18,7 @@
 }
 
 /// The next runner in turn after `last`.
-pub fn round_robin(views: &[View], now: Instant, last: &mut usize) -> Option<usize> {
+pub fn round_robin(views: &[RunnerView], now: Instant, last: &mut usize) -> Option<usize> {
     let places = (1..=views.len()).map(|step| (*last + step) % views.len());
     let found = places.into_iter().find(|at| views[*at].takes_work(now))?;
     *last = found;
@@ -26,7 +26,7 @@
 }
 
 /// The runner with the least load by its last report.
-pub fn least_reported(views: &[View], now: Instant) -> Option<usize> {
+pub fn least_reported(views: &[RunnerView], now: Instant) -> Option<usize> {
     (0..views.len())
         .filter(|at| views[*at].takes_work(now))
         .min_by_key(|at| views[*at].report.running + views[*at].report.waiting)
@@ -35,10 +35,10 @@
 /// The best rank of all runners, without sampling, by sorting all: the version that
 /// [`crate::choose::choose`] must agree with where it compares all.
 pub fn best_of_all<R: Rng>(
-    views: &[View],
+    views: &[RunnerView],
     work: &Work,
     now: Instant,
-    setting: Setting,
+    setting: Settings,
     rng: &mut R,
 ) -> Option<usize> {
     let mut ranked: Vec<(f64, usize)> = Vec::new();
--- a/lib/src/budget.rs
+++ b/lib/src/budget.rs
@@ -38,7 +38,7 @@
     }
 
     /// Notes a first try.
-    pub fn note_first(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.saved = (self.saved + f64::from(self.share.0) / 100.0).min(MOST);
     }
 
--- a/lib/src/choose.rs
+++ b/lib/src/choose.rs
@@ -19,8 +19,8 @@
 use rand::{Rng, RngExt as _};
 use smallvec::SmallVec;
 
-use crate::hash::place;
-use crate::runner::{Load, View, Work};
+use crate::hash::stable_hash;
+use crate::runner::{Load, RunnerView, Work};
 
 /// How many runners are compared besides those with the prompt cached.
 pub const SAMPLE: usize = 4;
@@ -33,18 +33,18 @@
 
 /// What the choice depends on besides the runners.
 #[derive(Clone, Copy, Debug)]
-pub struct Setting {
+pub struct Settings {
     /// How many nodes send work to each of these runners.
-    pub sharers: u32,
+    pub nodes_per_runner: u32,
     /// How many runners are compared.
     pub sample: usize,
     /// How long a request stays at a runner on average, in seconds.
-    pub stay: f64,
+    pub residence: f64,
 }
 
-impl Default for Setting {
+impl Default for Settings {
     fn default() -> Self {
-        Self { sharers: 1, sample: SAMPLE, stay: FIRST_STAY }
+        Self { nodes_per_runner: 1, sample: SAMPLE, residence: FIRST_STAY }
     }
 }
 
@@ -54,10 +54,10 @@
 /// The gain with which the average stay follows what is seen.
 const STAY_GAIN: f64 = 0.02;
 
-impl Setting {
+impl Settings {
     /// Learns from a request that stayed for `stay` seconds.
-    pub fn learn_stay(&mut self, stay: f64) {
-        self.stay += (stay - self.stay) * STAY_GAIN;
+    pub fn observe_residence(&mut self, stay: f64) {
+        self.residence += (stay - self.residence) * STAY_GAIN;
     }
 }
 
@@ -65,9 +65,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
     /// Until the first token.
-    pub first: f64,
+    pub first_token: f64,
     /// Until the last token.
-    pub last: f64,
+    pub last_token: f64,
 }
 
 /// A choice with its reason.
@@ -80,7 +80,7 @@
 }
 
 /// Predicts the course of `work` at `view`.
-pub fn predict(view: &View, work: &Work, now: Instant, setting: Setting) -> Prediction {
+pub fn predict(view: &RunnerView, work: &Work, now: Instant, setting: Settings) -> Prediction {
     let load = Load {
         requests: f64::from(view.in_flight) + view.others.requests,
         backlog: view.own_backlog as f64 + view.others.backlog,
@@ -89,7 +89,13 @@
 }
 
 /// The course of `work` at a runner that has `load`.
-fn course(view: &View, load: Load, work: &Work, now: Instant, setting: Setting) -> Prediction {
+fn course(
+    view: &RunnerView,
+    load: Load,
+    work: &Work,
+    now: Instant,
+    setting: Settings,
+) -> Prediction {
     let prefill_rate = f64::from(view.report.prefill_rate.0.max(1));
     let decode_rate = f64::from(view.report.decode_rate.0.max(1));
     let cached = if view.has_cached(work.prefix, now) { work.cached.0 } else { 0 };
@@ -99,24 +105,24 @@
     let slots = f64::from(view.slots.max(1));
     let output_time = f64::from(work.output.0) / decode_rate;
     let rounds = ((load.requests + 1.0 - slots) / slots).max(0.0);
-    let slot_wait = rounds * setting.stay;
+    let slot_wait = rounds * setting.residence;
 
     // More requests in a batch slow each other a little even while slots are free.
     let crowding = (load.requests / slots).min(1.0) * CROWDING * output_time;
-    let first = (load.backlog + prompt) / prefill_rate + slot_wait;
-    Prediction { first, last: first + output_time + crowding }
+    let first_token = (load.backlog + prompt) / prefill_rate + slot_wait;
+    Prediction { first_token, last_token: first_token + output_time + crowding }
 }
 
 /// The rank of a runner for `work`, in seconds; the lowest is chosen. `draw` is a random number
 /// from 0 to 1.
-pub fn rank(view: &View, work: &Work, now: Instant, setting: Setting, draw: f64) -> f64 {
-    let sharers = f64::from(setting.sharers);
+pub fn rank(view: &RunnerView, work: &Work, now: Instant, setting: Settings, draw: f64) -> f64 {
+    let sharers = f64::from(setting.nodes_per_runner);
     let load = Load {
         requests: f64::from(view.in_flight) * sharers + view.others.requests,
         backlog: view.own_backlog as f64 * sharers + view.others.backlog,
     };
-    let unit = setting.stay / f64::from(view.slots.max(1)) * sharers;
-    course(view, load, work, now, setting).last + draw * unit * DITHER
+    let unit = setting.residence / f64::from(view.slots.max(1)) * sharers;
+    course(view, load, work, now, setting).last_token + draw * unit * DITHER
 }
 
 /// The random part of a rank, in waits that one request of each sharer makes for others.
@@ -127,10 +133,10 @@
 
 /// Chooses a runner for `work`, or none if none takes work. `skip` are places that were tried.
 pub fn choose<R: Rng>(
-    views: &[View],
+    views: &[RunnerView],
     work: &Work,
     now: Instant,
-    setting: Setting,
+    setting: Settings,
     skip: &[usize],
     rng: &mut R,
 ) -> Option<Choice> {
@@ -145,10 +151,10 @@
 }
 
 fn best<R: Rng>(
-    views: &[View],
+    views: &[RunnerView],
     work: &Work,
     now: Instant,
-    setting: Setting,
+    setting: Settings,
     places: impl Iterator<Item = usize>,
     rng: &mut R,
 ) -> Option<Choice> {
@@ -160,10 +166,10 @@
 type Places = SmallVec<[usize; COMPARE_ALL]>;
 
 fn candidates<R: Rng>(
-    views: &[View],
+    views: &[RunnerView],
     work: &Work,
     now: Instant,
-    setting: Setting,
+    setting: Settings,
     skip: &[usize],
     rng: &mut R,
 ) -> Places {
@@ -174,7 +180,7 @@
     let mut places = Places::new();
     if work.cached.0 > 0 {
         for turn in 0..AFFINE {
-            let hash = place(turn as u64, &work.prefix.0.to_le_bytes());
+            let hash = stable_hash(turn as u64, &work.prefix.0.to_le_bytes());
             let at = (hash % views.len() as u64) as usize;
             if usable(at) && !places.contains(&at) {
                 places.push(at);
--- a/lib/src/claim.rs
+++ b/lib/src/claim.rs
@@ -103,10 +103,10 @@
 }
 
 /// The most bytes of answers that an owner keeps.
-pub const MOST_BYTES: usize = 32 << 20;
+pub const MAX_KEPT_BYTES: usize = 32 << 20;
 
 /// The largest answer that is kept.
-pub const LARGEST_ANSWER: usize = 64 << 10;
+pub const MAX_ANSWER_BYTES: usize = 64 << 10;
 
 /// The records of one owner in one life.
 #[derive(Debug)]
@@ -136,7 +136,7 @@
             return;
         }
         self.table = table.clone();
-        let floor = self.table.floor();
+        let floor = self.table.oldest();
         self.entries.retain(|version, _| *version >= floor);
         while self.kept.front().is_some_and(|(version, ..)| *version < floor) {
             self.drop_oldest_answer();
@@ -154,7 +154,7 @@
     }
 
     fn owns(&self, key: &str, birth: Version) -> Result<(), Doubt> {
-        if birth < self.table.floor() {
+        if birth < self.table.oldest() {
             return Err(Doubt::TooOld);
         }
         if birth > self.table.newest() {
@@ -198,7 +198,7 @@
             self.kept.push_back((birth, SmolStr::new(key), size));
             self.kept_bytes += size;
         }
-        while self.kept_bytes > MOST_BYTES {
+        while self.kept_bytes > MAX_KEPT_BYTES {
             self.drop_oldest_answer();
         }
     }
--- a/lib/src/config/chunk.rs
+++ b/lib/src/config/chunk.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 use super::record::{Key, Record};
-use crate::hash::{Digest, place};
+use crate::hash::{Digest, stable_hash};
 
 /// How many buckets objects fall into. At 6,800 accounts and 1,600 runners of some 200 bytes a
 /// bucket has some 15 KB, far below the platform's megabyte, and the root 9 KB.
@@ -60,8 +60,8 @@
 
 fn bucket(key: &Key) -> usize {
     let kind: &str = key.kind.into();
-    let seed = place(BUCKET_SEED, kind.as_bytes());
-    (place(seed, key.name.as_str().as_bytes()) % BUCKETS as u64) as usize
+    let seed = stable_hash(BUCKET_SEED, kind.as_bytes());
+    (stable_hash(seed, key.name.as_str().as_bytes()) % BUCKETS as u64) as usize
 }
 
 impl Chunk {
--- a/lib/src/spread.rs
+++ b/lib/src/config_fetch.rs
@@ -45,7 +45,7 @@
 
 /// Why a head is not taken although it is newer.
 #[derive(Debug, Error)]
-pub enum SpreadError {
+pub enum ConfigFetchError {
     /// A chunk is not what it should be.
     #[error(transparent)]
     Chunk(#[from] ChunkError),
@@ -79,13 +79,13 @@
 
 /// One node's part in spreading.
 #[derive(Debug, Default)]
-pub struct Spreader {
+pub struct ConfigFetcher {
     installed: Installed,
     fetch: Option<Fetch>,
     wanted: Generation,
 }
 
-impl Spreader {
+impl ConfigFetcher {
     /// The configuration in force here.
     pub fn installed(&self) -> &Installed {
         &self.installed
@@ -97,7 +97,7 @@
     }
 
     /// Notes that a peer has `generation`.
-    pub fn hear(&mut self, peer: &Name, generation: Generation) {
+    pub fn on_advertised(&mut self, peer: &Name, generation: Generation) {
         if generation <= self.installed.head.generation {
             return;
         }
@@ -114,7 +114,7 @@
     }
 
     /// Takes in a head from anywhere. Older ones are left out.
-    pub fn take_head(&mut self, head: Head) {
+    pub fn on_head(&mut self, head: Head) {
         if head.generation <= self.installed.head.generation {
             return;
         }
@@ -131,7 +131,10 @@
     ///
     /// # Errors
     /// The head is given up when what it names does not fit; the next one is taken.
-    pub fn take_chunks(&mut self, chunks: Vec<Chunk>) -> Result<Option<&Installed>, SpreadError> {
+    pub fn on_chunks(
+        &mut self,
+        chunks: Vec<Chunk>,
+    ) -> Result<Option<&Installed>, ConfigFetchError> {
         let Some(fetch) = &mut self.fetch else { return Ok(None) };
         for chunk in chunks {
             fetch.chunks.insert(chunk.digest, chunk);
@@ -148,7 +151,7 @@
     }
 
     /// Takes over a configuration that this node wrote itself.
-    pub fn take_own(&mut self, installed: Installed) {
+    pub fn install_own(&mut self, installed: Installed) {
         if installed.head.generation > self.installed.head.generation {
             self.installed = installed;
             self.fetch = None;
@@ -156,7 +159,7 @@
     }
 
     /// Notes that a source did not give what it was asked for.
-    pub fn note_failed(&mut self) {
+    pub fn on_fetch_failed(&mut self) {
         if let Some(fetch) = &mut self.fetch {
             fetch.asked = None;
             fetch.tried += 1;
@@ -213,9 +216,13 @@
 }
 
 /// Puts a configuration together from chunks that are all there.
-fn assemble(head: Head, fetched: &Chunks, before: &Installed) -> Result<Installed, SpreadError> {
+fn assemble(
+    head: Head,
+    fetched: &Chunks,
+    before: &Installed,
+) -> Result<Installed, ConfigFetchError> {
     let find = |digest: &Digest| fetched.get(digest).or_else(|| before.chunks.get(digest)).cloned();
-    let mismatch = || SpreadError::Mismatch(head.generation);
+    let mismatch = || ConfigFetchError::Mismatch(head.generation);
     let operation_chunk = find(&head.operation).ok_or_else(mismatch)?;
     let operation: Operation = operation_chunk.read()?;
     if operation.generation != head.generation || operation.root != head.root {
@@ -227,7 +234,7 @@
         root.chunks.iter().flatten().map(find).collect::<Option<_>>().ok_or_else(mismatch)?;
     let records = join(&parts)?;
     let snapshot = Snapshot::build(head.generation, records, Some(&before.snapshot))
-        .map_err(|errors| SpreadError::Invalid(head.generation, errors))?;
+        .map_err(|errors| ConfigFetchError::Invalid(head.generation, errors))?;
     let all = parts.into_iter().chain([operation_chunk, root_chunk]);
     let chunks = all.map(|chunk| (chunk.digest, chunk)).collect();
     Ok(Installed { head, snapshot, chunks })
--- a/lib/src/directory.rs
+++ b/lib/src/directory.rs
@@ -17,7 +17,7 @@
 
 /// A node as callers can use it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Front {
+pub struct ClientEndpoint {
     /// The node.
     pub name: Name,
     /// Where callers reach it.
@@ -31,14 +31,14 @@
 /// Picks addresses for a caller. Nodes of the caller's data centre come first; among equals the
 /// better of two drawn at random wins, so that callers that ask in the same second are spread out
 /// even though the loads are late.
-pub fn pick<R: Rng>(
-    fronts: &[Front],
+pub fn pick_addresses<R: Rng>(
+    fronts: &[ClientEndpoint],
     data_centre: Option<&Name>,
     rng: &mut R,
 ) -> SmallVec<[SocketAddr; ADDRESSES]> {
-    let near = |f: &&Front| Some(&f.data_centre) == data_centre;
-    let mut pool: Vec<&Front> = fronts.iter().filter(near).collect();
-    let mut rest: Vec<&Front> = fronts.iter().filter(|f| !near(f)).collect();
+    let near = |f: &&ClientEndpoint| Some(&f.data_centre) == data_centre;
+    let mut pool: Vec<&ClientEndpoint> = fronts.iter().filter(near).collect();
+    let mut rest: Vec<&ClientEndpoint> = fronts.iter().filter(|f| !near(f)).collect();
     let mut picked = SmallVec::new();
     while picked.len() < ADDRESSES {
         if pool.is_empty() {
--- a/lib/src/fleet/cache.rs
+++ b/lib/src/fleet/cache.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-use crate::hash::place;
+use crate::hash::stable_hash;
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -47,7 +47,7 @@
 impl ChainKey {
     /// The hash of a part without those before it.
     fn alone(model: &str, id: &str) -> Self {
-        Self(place(place(1, model.as_bytes()), id.as_bytes()))
+        Self(stable_hash(stable_hash(1, model.as_bytes()), id.as_bytes()))
     }
 }
 
@@ -58,9 +58,9 @@
 impl Chain {
     /// A chain from the ids and sizes of its parts, for one model.
     pub fn new<'a>(model: &str, parts: impl Iterator<Item = (&'a str, u64)>) -> Self {
-        let mut key = place(0, model.as_bytes());
+        let mut key = stable_hash(0, model.as_bytes());
         let parts = parts.map(|(id, tokens)| {
-            key = place(key, id.as_bytes());
+            key = stable_hash(key, id.as_bytes());
             Part { key: ChainKey(key), alone: ChainKey::alone(model, id), tokens }
         });
         Self(parts.collect())
--- a/lib/src/fleet/place.rs
+++ b/lib/src/fleet/place.rs
@@ -17,7 +17,7 @@
 use super::pool::Pool;
 use super::register::Register;
 use super::runner::Runner;
-use crate::hash::{place, rendezvous};
+use crate::hash::{rendezvous_weight, stable_hash};
 use crate::id::{DataCentre, RunnerId, ServiceId};
 
 /// The way a generation takes.
@@ -274,11 +274,11 @@
     work: &Work,
 ) -> Lanes<'a, 'b> {
     // The same at every node that sees the same runners, whatever their number.
-    let service = place(0, question.service.as_str().as_bytes());
+    let service = stable_hash(0, question.service.as_str().as_bytes());
     let of_stage = |stage| {
         let mut some: Vec<&Candidate<'_>> =
             all.iter().filter(|c| c.runner.entry.stage == Some(stage)).collect();
-        some.sort_by_key(|c| rendezvous(service, c.runner.entry.id.as_str().as_bytes()));
+        some.sort_by_key(|c| rendezvous_weight(service, c.runner.entry.id.as_str().as_bytes()));
         some
     };
     let (mut prefill, mut whole) = (of_stage(Stage::Prefill), of_stage(Stage::Decode));
@@ -441,7 +441,7 @@
     let mut homes: SmallVec<[(u64, &RunnerId); HOMES + 1]> = SmallVec::new();
     for candidate in runners {
         let id = &candidate.runner.entry.id;
-        let weight = rendezvous(meeting, id.as_str().as_bytes());
+        let weight = rendezvous_weight(meeting, id.as_str().as_bytes());
         let at = homes.partition_point(|(other, _)| *other > weight);
         if at < HOMES {
             homes.insert(at, (weight, id));
--- a/lib/src/fleet/pool.rs
+++ b/lib/src/fleet/pool.rs
@@ -10,7 +10,7 @@
 use super::cache::ChainKey;
 use super::engine::Stage;
 use super::runner::Runner;
-use crate::hash::place;
+use crate::hash::stable_hash;
 use crate::id::{RunnerId, ServiceId};
 
 /// The most runners of a pool. Choosing looks at each of them, and their work is what one node
@@ -37,7 +37,7 @@
 
     /// A hash of the pool, for whom it falls to.
     pub fn key(self, service: &ServiceId) -> u64 {
-        place(place(u64::from(self.0), b"pool"), service.as_str().as_bytes())
+        stable_hash(stable_hash(u64::from(self.0), b"pool"), service.as_str().as_bytes())
     }
 }
 
@@ -48,7 +48,7 @@
     for runner in runners.values_mut() {
         let entry = &runner.entry;
         let stage = entry.stage.map(|stage| stage == Stage::Prefill);
-        let key = (stage, place(0, entry.id.as_str().as_bytes()), entry.id.clone());
+        let key = (stage, stable_hash(0, entry.id.as_str().as_bytes()), entry.id.clone());
         services.entry(entry.service.clone()).or_default().insert(key, runner);
     }
     let divided = services.into_iter().map(|(service, order)| {
--- a/lib/src/fleet/quarantine/mod.rs
+++ b/lib/src/fleet/quarantine/mod.rs
@@ -18,7 +18,7 @@
 use super::digest::Differences;
 use super::fingerprint::Fingerprint;
 use super::suspect::{ENDS, Suspect};
-use crate::hash::place;
+use crate::hash::stable_hash;
 use crate::id::NodeId;
 
 mod answered;
@@ -281,7 +281,7 @@
             |entry: &&Entry| now.saturating_duration_since(entry.since) + DIGEST_MARGIN < LIFE;
         let one = |entry: &Entry| {
             let seed = u64::from(entry.serial) << 8 | entry.stage as u64;
-            place(seed, entry.request.as_bytes())
+            stable_hash(seed, entry.request.as_bytes())
         };
         self.entries().filter(young).fold(0, |sum, entry| sum ^ one(entry))
     }
--- a/lib/src/fleet/roster.rs
+++ b/lib/src/fleet/roster.rs
@@ -19,7 +19,7 @@
 
 use super::digest::Differences;
 use super::mark::Mark;
-use crate::hash::place;
+use crate::hash::stable_hash;
 use crate::id::{ConfigVersion, DataCentre, Incarnation, NodeId};
 
 /// How many nodes a node beats to. In a graph drawn so, news reaches 550 nodes in four steps, and a
@@ -108,8 +108,8 @@
         if self.silent {
             return 0;
         }
-        let id = place(u64::from(self.serial), self.contact.id.as_str().as_bytes());
-        place(id, &self.contact.incarnation.0.to_le_bytes())
+        let id = stable_hash(u64::from(self.serial), self.contact.id.as_str().as_bytes());
+        stable_hash(id, &self.contact.incarnation.0.to_le_bytes())
     }
 }
 
@@ -354,12 +354,12 @@
     fn choose_watchers(&mut self, now: Instant) {
         self.changed = false;
         self.watched_at = Some(now);
-        let key = |record: &Record| place(0, record.contact.id.as_str().as_bytes());
+        let key = |record: &Record| stable_hash(0, record.contact.id.as_str().as_bytes());
         let there = self.members.values().filter(|m| !m.record.silent);
         let mut nodes: Vec<(u64, SocketAddr)> =
             there.map(|m| (key(&m.record), m.record.contact.peer)).collect();
         let me = key(&self.me);
-        let weight = |of: u64, watcher: u64| place(of, &watcher.to_le_bytes());
+        let weight = |of: u64, watcher: u64| stable_hash(of, &watcher.to_le_bytes());
         // How many come before this node among the watchers of another.
         let before = |of: u64| {
             let mine = weight(of, me);
--- a/lib/src/fleet/runner.rs
+++ b/lib/src/fleet/runner.rs
@@ -12,9 +12,9 @@
 use super::limit::Limit;
 use super::load::{Class, Load, Others};
 use super::pool::Pool;
-use crate::hash::place;
+use crate::hash::stable_hash;
 use crate::history::Point;
-use crate::id::{Born, DataCentre, RunnerId, ServiceId};
+use crate::id::{DataCentre, RunnerId, ServiceId, StartTime};
 
 /// Whether a runner takes new work, in its own words.
 #[derive(Clone, Copy, Debug, Display, EnumString, Eq, IntoStaticStr, PartialEq)]
@@ -32,7 +32,7 @@
     /// Its id, which it keeps when it starts again.
     pub id: RunnerId,
     /// When this life of it began; none where its deployment's runners do not say so.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// Its service.
     pub service: ServiceId,
     /// Where it is reached.
@@ -61,9 +61,9 @@
 
 impl Tag {
     /// The tag of one life of a runner.
-    pub fn of(id: &RunnerId, born: Option<Born>) -> Self {
-        let id = place(0, id.as_str().as_bytes());
-        Self(born.map_or(id, |born| place(id, &born.0.to_le_bytes())))
+    pub fn of(id: &RunnerId, born: Option<StartTime>) -> Self {
+        let id = stable_hash(0, id.as_str().as_bytes());
+        Self(born.map_or(id, |born| stable_hash(id, &born.0.to_le_bytes())))
     }
 }
 
@@ -93,7 +93,7 @@
     /// The runner.
     pub id: RunnerId,
     /// When its life began.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// The number of the stay at this node.
     pub(super) number: u64,
 }
--- a/lib/src/fleet/scheduler.rs
+++ b/lib/src/fleet/scheduler.rs
@@ -22,7 +22,7 @@
 use super::pool::Pool;
 use super::register::{Register, Share};
 use super::runner::{Closed, Runner};
-use crate::hash::rendezvous;
+use crate::hash::rendezvous_weight;
 use crate::id::{DataCentre, NodeId, RunnerId, ServiceId};
 
 /// How long the scheduler of a pool has to answer before it is asked once more, and then before the
@@ -248,5 +248,5 @@
     nodes: impl Iterator<Item = &'a NodeId>,
 ) -> Option<&'a NodeId> {
     let key = pool.key(service);
-    nodes.max_by_key(|id| rendezvous(key, id.as_str().as_bytes()))
+    nodes.max_by_key(|id| rendezvous_weight(key, id.as_str().as_bytes()))
 }
--- a/lib/src/fleet/suspect.rs
+++ b/lib/src/fleet/suspect.rs
@@ -15,7 +15,7 @@
 
 use super::fingerprint::Fingerprint;
 use super::runner::Tag;
-use crate::hash::{place, rendezvous};
+use crate::hash::{rendezvous_weight, stable_hash};
 use crate::id::NodeId;
 
 /// How many runners have to end under a request before it is held back. One or two can be chance
@@ -167,9 +167,9 @@
     request: &Fingerprint,
     nodes: impl Iterator<Item = &'a NodeId>,
 ) -> SmallVec<[&'a NodeId; COUNTING]> {
-    let key = place(0, request.as_bytes());
+    let key = stable_hash(0, request.as_bytes());
     let mut weighed: Vec<(u64, &NodeId)> =
-        nodes.map(|id| (rendezvous(key, id.as_str().as_bytes()), id)).collect();
+        nodes.map(|id| (rendezvous_weight(key, id.as_str().as_bytes()), id)).collect();
     weighed.sort_unstable_by(|a, b| b.cmp(a));
     weighed.into_iter().take(COUNTING).map(|(_, id)| id).collect()
 }
--- a/lib/src/hash.rs
+++ b/lib/src/hash.rs
@@ -83,11 +83,11 @@
 }
 
 /// A hash for placement, the same in every process and release.
-pub fn place(seed: u64, bytes: &[u8]) -> u64 {
+pub fn stable_hash(seed: u64, bytes: &[u8]) -> u64 {
     xxh3_64_with_seed(bytes, seed)
 }
 
 /// The weight of `member` for `duty` in rendezvous hashing; the highest weight has the duty.
-pub fn rendezvous(duty: u64, member: &[u8]) -> u64 {
-    place(duty, member)
+pub fn rendezvous_weight(duty: u64, member: &[u8]) -> u64 {
+    stable_hash(duty, member)
 }
--- a/lib/src/history.rs
+++ b/lib/src/history.rs
@@ -22,7 +22,7 @@
 
 /// The largest era that is believed: the numbers of its points have 32 bits for a store of some
 /// thousand changes.
-pub const LAST_ERA: Era = Era(4_095);
+pub const MAX_ERA: Era = Era(4_095);
 /// How many changes a copy may lack without the numbers of points falling: 43 minutes of 400 changes a
 /// second, while copies are some seconds old.
 const MOST_LOST: u64 = 1 << 20;
@@ -40,7 +40,7 @@
     #[error("an era is a whole number: {0}")]
     Number(#[from] ParseIntError),
     /// It is larger than any that is believed.
-    #[error("an era is at most {LAST_ERA}")]
+    #[error("an era is at most {MAX_ERA}")]
     TooLarge,
 }
 
@@ -49,7 +49,7 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let era = Self(text.parse()?);
-        if era > LAST_ERA { Err(EraError::TooLarge) } else { Ok(era) }
+        if era > MAX_ERA { Err(EraError::TooLarge) } else { Ok(era) }
     }
 }
 
@@ -136,7 +136,7 @@
 
 /// What an era that was shown says beside the one that is known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Sight {
+pub enum EraChange {
     /// It is the one that is known.
     Same,
     /// It is the first.
@@ -147,7 +147,7 @@
         before: Era,
     },
     /// It is over: what shows it is older than what is known.
-    Former,
+    Earlier,
     /// It is more than one later, and not believed before it is shown again: one torn header would
     /// else have all later answers taken for old ones.
     Unconfirmed,
@@ -155,7 +155,7 @@
 
 /// The present era as one node knows it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Present {
+pub struct CurrentEra {
     known: Option<(Era, Instant)>,
     /// An era that is more than one later, shown once.
     unconfirmed: Option<Era>,
@@ -163,7 +163,7 @@
     came_back: Option<Instant>,
 }
 
-impl Present {
+impl CurrentEra {
     /// The present era; that of a store which names none until one is known.
     pub fn era(&self) -> Era {
         self.known.map(|(era, _)| era).unwrap_or_default()
@@ -175,38 +175,38 @@
     }
 
     /// Takes in an era that an answer of the store or another node has shown.
-    pub fn note(&mut self, shown: Era, now: Instant) -> Sight {
+    pub fn observe(&mut self, shown: Era, now: Instant) -> EraChange {
         let Some((known, _)) = self.known else {
             self.known = Some((shown, now));
-            return Sight::First;
+            return EraChange::First;
         };
         match shown.cmp(&known) {
             Ordering::Equal => {
                 self.unconfirmed = None;
-                Sight::Same
+                EraChange::Same
             }
-            Ordering::Less => Sight::Former,
+            Ordering::Less => EraChange::Earlier,
             Ordering::Greater => {
                 let next = shown.0 == known.0 + 1;
                 if !next && self.unconfirmed.replace(shown) != Some(shown) {
-                    return Sight::Unconfirmed;
+                    return EraChange::Unconfirmed;
                 }
                 self.unconfirmed = None;
                 self.known = Some((shown, now));
                 self.came_back = Some(now);
-                Sight::Later { before: known }
+                EraChange::Later { before: known }
             }
         }
     }
 
     /// Whether the store has come back from a copy since the first era was known.
-    pub fn has_come_back(&self) -> bool {
+    pub fn was_restored(&self) -> bool {
         self.came_back.is_some()
     }
 
     /// Until when an entry that is missing now is doubted for `span` after a return from a copy, if
     /// it is: who wrote it writes it again.
-    pub fn doubt(&self, now: Instant, span: Duration) -> Option<Instant> {
+    pub fn grace_until(&self, now: Instant, span: Duration) -> Option<Instant> {
         self.came_back.map(|at| at + span).filter(|until| *until > now)
     }
 }
--- a/lib/src/id.rs
+++ b/lib/src/id.rs
@@ -153,7 +153,7 @@
 pub const MAX_GIVEN_LEN: usize = 256;
 
 given!(
-    /// A runner, as the platform names it. It may start again under its id; [`Born`] tells its lives
+    /// A runner, as the platform names it. It may start again under its id; [`StartTime`] tells its lives
     /// apart.
     RunnerId
 );
@@ -227,7 +227,7 @@
 counter!(
     /// When a runner's process began, in milliseconds since 1970 by its own clock. A runner that starts
     /// again under its id has a later one.
-    Born
+    StartTime
 );
 counter!(
     /// The number of a window of time for which usage is counted.
--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -163,7 +163,7 @@
 
     /// Takes in the store's present era, and since when it has been known. What was read in another one
     /// is read again.
-    pub fn note_era(&mut self, era: Era, since: Instant) {
+    pub fn set_era(&mut self, era: Era, since: Instant) {
         let before = self.present.replace((era, since));
         if before.is_some_and(|(before, _)| before != era) {
             self.has_crossed = true;
@@ -311,7 +311,7 @@
     }
 
     /// Takes in what a read gave: the point and content, or nothing where there is no object.
-    pub fn take_read(&mut self, now: Instant, term: Term, found: Option<(Point, Record)>) {
+    pub fn on_read(&mut self, now: Instant, term: Term, found: Option<(Point, Record)>) {
         let (revision, record) = match found {
             Some((revision, record)) => (Some(revision), record),
             None => (None, Record::default()),
@@ -381,7 +381,7 @@
     }
 
     /// Takes in what came of the write that [`Lease::poll`] asked for.
-    pub fn take_written(&mut self, now: Instant, term: Term, written: Written) {
+    pub fn on_written(&mut self, now: Instant, term: Term, written: Written) {
         match written {
             Written::Done(revision) => {
                 let Some(pending) = self.pending.take() else { return };
@@ -408,12 +408,12 @@
     }
 
     /// Asks for a read at the next poll, as when a watch has fired or a poll interval has passed.
-    pub fn want_read(&mut self) {
+    pub fn request_read(&mut self) {
         self.read_wanted = true;
     }
 
     /// The read that settles a lost write must be done although a write is pending.
-    pub fn wants_settling(&mut self) -> bool {
+    pub fn take_settling_read(&mut self) -> bool {
         self.pending.is_some() && std::mem::take(&mut self.read_wanted)
     }
 }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -3,12 +3,14 @@
 
 pub mod account;
 pub mod admit;
+pub mod assignment;
 pub mod baseline;
 pub mod budget;
 pub mod choose;
 pub mod claim;
 pub mod clock;
 pub mod config;
+pub mod config_fetch;
 pub mod decimal;
 pub mod directory;
 pub mod fleet;
@@ -27,8 +29,6 @@
 pub mod role;
 pub mod runner;
 pub mod scale;
-pub mod spread;
-pub mod supply;
 pub mod unit;
 pub mod usage;
-pub mod wall;
+pub mod wall_clock;
--- a/lib/src/member.rs
+++ b/lib/src/member.rs
@@ -73,7 +73,7 @@
 
 impl Peer {
     /// Whether callers may be sent there.
-    pub fn takes_callers(&self) -> bool {
+    pub fn accepts_clients(&self) -> bool {
         self.update.state == State::Serving && !self.listed_leaving
     }
 
@@ -171,7 +171,7 @@
     /// The names of the nodes that take callers; this one too if it does.
     pub fn serving(&self) -> impl Iterator<Item = &Name> {
         let me = (self.me.state == State::Serving).then_some(&self.me.name);
-        let peers = self.peers.values().filter(|p| p.takes_callers()).map(|p| &p.update.name);
+        let peers = self.peers.values().filter(|p| p.accepts_clients()).map(|p| &p.update.name);
         me.into_iter().chain(peers)
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Takes in the platform's list.
-    pub fn take_list(&mut self, now: Instant, vms: &[Vm]) {
+    pub fn apply_vm_list(&mut self, now: Instant, vms: &[Vm]) {
         for peer in self.peers.values_mut() {
             let listed = vms.iter().find(|vm| vm.name == peer.update.name);
             match listed {
@@ -382,8 +382,8 @@
     }
 
     fn message(&mut self, purpose: Purpose, sequence: u64) -> Message {
-        let news = self.pick_news();
-        Message { purpose, sequence, from: self.me.name.clone(), status: self.status, news }
+        let updates = self.pick_news();
+        Message { purpose, sequence, from: self.me.name.clone(), status: self.status, updates }
     }
 
     /// This node's own news first, so that a stranger learns who speaks; then the news that has
@@ -408,7 +408,7 @@
 
     /// Messages that carry news at once to `count` nodes drawn at random, as when a new generation
     /// is in force here.
-    pub fn tell<R: Rng>(&mut self, count: usize, rng: &mut R) -> Vec<Outgoing> {
+    pub fn push_updates<R: Rng>(&mut self, count: usize, rng: &mut R) -> Vec<Outgoing> {
         let mut targets: Vec<SocketAddr> = self
             .peers
             .values()
@@ -419,7 +419,7 @@
         let chosen: SmallVec<[SocketAddr; 8]> = chosen.iter().copied().collect();
         let mut out = Vec::new();
         for to in chosen {
-            self.push(&mut out, to, Purpose::News, 0);
+            self.push(&mut out, to, Purpose::Gossip, 0);
         }
         out
     }
@@ -427,7 +427,7 @@
     /// Takes in a message that came from `source`.
     pub fn receive(&mut self, now: Instant, source: SocketAddr, message: Message) -> Vec<Outgoing> {
         let mut out = Vec::new();
-        for update in message.news {
+        for update in message.updates {
             self.learn(now, update);
         }
         if let Some(peer) = self.peers.get_mut(&message.from) {
@@ -449,7 +449,7 @@
                 });
                 self.push(&mut out, address, Purpose::Ping, sequence);
             }
-            Purpose::News => {}
+            Purpose::Gossip => {}
         }
         out
     }
@@ -465,9 +465,9 @@
             return;
         }
         let update = peer.update.clone();
-        let mut message = self.message(Purpose::News, 0);
-        message.news.truncate(NEWS - 1);
-        message.news.push(update);
+        let mut message = self.message(Purpose::Gossip, 0);
+        message.updates.truncate(NEWS - 1);
+        message.updates.push(update);
         out.push(Outgoing { to: source, message });
     }
 
@@ -486,7 +486,7 @@
     /// Takes in a whole list of nodes, as a node that joins gets it from the first it reaches.
     ///
     /// It is not passed on: whoever gave it has done so.
-    pub fn take_all(&mut self, now: Instant, updates: Vec<Update>) {
+    pub fn merge_updates(&mut self, now: Instant, updates: Vec<Update>) {
         let rumours = std::mem::take(&mut self.rumours);
         for update in updates {
             self.learn(now, update);
@@ -500,7 +500,7 @@
     /// When a data centre or a region goes or comes back, hundreds of news wait for room in messages,
     /// and nodes disagree for minutes. Whole lists end that in a few rounds; their period keeps their
     /// cost within a node's bytes.
-    pub fn exchange_with<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Option<SocketAddr> {
+    pub fn full_sync_peer<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Option<SocketAddr> {
         let due = self.last_exchange.is_none_or(|last| now >= last + EXCHANGE_PERIOD);
         if !due || self.rumours.len() < MANY_NEWS {
             return None;
@@ -516,7 +516,7 @@
     }
 
     /// All that this node knows, for one that joins.
-    pub fn all(&self) -> Vec<Update> {
+    pub fn all_updates(&self) -> Vec<Update> {
         let peers = self.peers.values().map(|p| p.update.clone());
         std::iter::once(self.me.clone()).chain(peers).collect()
     }
@@ -542,7 +542,7 @@
             }
             return;
         };
-        if update.outweighs(&peer.update) {
+        if update.supersedes(&peer.update) {
             if update.state != peer.update.state || update.incarnation != peer.update.incarnation {
                 peer.since = now;
             }
--- a/lib/src/news.rs
+++ b/lib/src/news.rs
@@ -69,7 +69,7 @@
 
 impl Update {
     /// Whether this is newer than `other`, which is about the same node.
-    pub fn outweighs(&self, other: &Update) -> bool {
+    pub fn supersedes(&self, other: &Update) -> bool {
         let rank = |u: &Update| (u.incarnation, u.serial, u.state);
         rank(self) > rank(other)
     }
@@ -101,7 +101,7 @@
         address: SocketAddr,
     },
     /// Only carries news.
-    News,
+    Gossip,
 }
 
 /// A message between nodes.
@@ -116,7 +116,7 @@
     /// What the sender says of itself.
     pub status: Status,
     /// News.
-    pub news: SmallVec<[Update; 4]>,
+    pub updates: SmallVec<[Update; 4]>,
 }
 
 /// A message with its address.
--- a/lib/src/order.rs
+++ b/lib/src/order.rs
@@ -61,7 +61,7 @@
 
 /// What an engine says of itself.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
-pub struct Condition {
+pub struct EngineStatus {
     /// The role it works in, or is changing to.
     pub role: Role,
     /// It is away for a change.
@@ -85,7 +85,7 @@
     /// Read the intent.
     Read,
     /// Ask the engine for its condition.
-    Ask,
+    Query,
     /// Send the order.
     Send(Order),
 }
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
     /// The engine took it.
-    Taken,
+    Accepted,
     /// The engine refused its fencing number.
     Fenced,
     /// No answer came: it may have been taken.
@@ -119,12 +119,12 @@
 
 /// The orders to one runner as given by one node.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Desk {
+pub struct OrderSender {
     fencing: Fencing,
     epoch: Option<Epoch>,
     revision: Option<Point>,
     intent: Option<Intent>,
-    condition: Option<Condition>,
+    condition: Option<EngineStatus>,
     writing: Option<Intent>,
     wanted: Option<(Id, Role)>,
     step: Step,
@@ -134,7 +134,7 @@
 /// How long an engine that is away is left before it is asked again.
 pub const ASK_AGAIN: Duration = Duration::from_millis(500);
 
-impl Desk {
+impl OrderSender {
     /// A desk that knows nothing yet.
     pub fn new(fencing: Fencing) -> Self {
         Self {
@@ -151,7 +151,7 @@
     }
 
     /// The runner's condition as last heard.
-    pub fn condition(&self) -> Option<&Condition> {
+    pub fn condition(&self) -> Option<&EngineStatus> {
         self.condition.as_ref()
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Asks for a role. Only one order is under way for a runner; false if it is not taken.
-    pub fn want(&mut self, id: Id, role: Role) -> bool {
+    pub fn request(&mut self, id: Id, role: Role) -> bool {
         if self.is_busy() {
             return false;
         }
@@ -211,7 +211,7 @@
             return None;
         }
         self.asked = Some(now);
-        Some(Action::Ask)
+        Some(Action::Query)
     }
 
     /// Whether orders may go to this engine at all. One that ignores fencing numbers would obey an
@@ -258,7 +258,7 @@
     }
 
     /// Takes in the stored intent.
-    pub fn take_read(&mut self, found: Option<(Point, Intent)>) {
+    pub fn on_read(&mut self, found: Option<(Point, Intent)>) {
         let settles = self.writing.take();
         let (revision, intent) = found.unzip();
         if revision < self.revision {
@@ -277,7 +277,7 @@
 
     /// Takes in what came of a write: its revision, or `None` when it conflicted or no answer
     /// came. In both cases the stored intent is read again, which settles whose it is.
-    pub fn take_written(&mut self, revision: Option<Point>) {
+    pub fn on_written(&mut self, revision: Option<Point>) {
         if self.step != Step::Writing {
             return;
         }
@@ -292,7 +292,7 @@
     }
 
     /// Takes in the engine's word of itself, and settles an open intent by it.
-    pub fn take_condition(&mut self, condition: &Condition) -> Option<Action> {
+    pub fn on_status(&mut self, condition: &EngineStatus) -> Option<Action> {
         self.condition = Some(condition.clone());
         if self.step != Step::Unsettled || condition.changing {
             return None;
@@ -319,12 +319,12 @@
     }
 
     /// Takes in what came of sending the order.
-    pub fn take_answer(&mut self, answer: Answer) -> Option<Action> {
+    pub fn on_answer(&mut self, answer: Answer) -> Option<Action> {
         if self.step != Step::Sent {
             return None;
         }
         match answer {
-            Answer::Taken => {
+            Answer::Accepted => {
                 let mut intent = self.intent.clone()?;
                 intent.stage = Stage::Done;
                 Some(self.write(intent))
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -22,7 +22,7 @@
 
 /// What may be done again with a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Repeat {
+pub enum RetryMode {
     /// Nothing once it was sent.
     Never,
     /// The whole of it.
@@ -97,7 +97,7 @@
 
 /// What to do after a fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum NextStep {
     /// Try again from the start.
     Retry,
     /// Go on from this token at another runner.
@@ -124,7 +124,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     state: State,
-    repeat: Repeat,
+    repeat: RetryMode,
     attempt: Attempt,
     passed: u64,
     /// The attempt under way has been sent and not been proved unstarted.
@@ -135,7 +135,7 @@
 
 impl Request {
     /// A request that has been received.
-    pub fn new(repeat: Repeat) -> Self {
+    pub fn new(repeat: RetryMode) -> Self {
         Self {
             state: State::Received,
             repeat,
@@ -157,7 +157,7 @@
     }
 
     /// How many tokens the caller has.
-    pub fn passed(&self) -> u64 {
+    pub fn forwarded(&self) -> u64 {
         self.passed
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// Judges token `index` (from 0) of `attempt`'s answer.
-    pub fn frame(&mut self, attempt: Attempt, index: u64) -> Verdict {
+    pub fn on_token(&mut self, attempt: Attempt, index: u64) -> Verdict {
         if attempt != self.attempt || !matches!(self.state, State::Sent | State::Streaming) {
             return Verdict::Drop;
         }
@@ -207,21 +207,21 @@
 
     /// What to do after `fault` of the attempt under way. `granted` says whether the retry budget
     /// and the deadline allow another.
-    pub fn fail(&mut self, fault: &Fault, granted: bool) -> Next {
+    pub fn on_fault(&mut self, fault: &Fault, granted: bool) -> NextStep {
         self.doubt |= self.sent && !fault.proves_not_run();
         self.sent = false;
         let repeatable = match self.repeat {
-            Repeat::Never => !self.doubt,
-            Repeat::Idempotent => self.passed == 0,
-            Repeat::Resumable => true,
+            RetryMode::Never => !self.doubt,
+            RetryMode::Idempotent => self.passed == 0,
+            RetryMode::Resumable => true,
         };
         if !granted || !repeatable {
-            return Next::Refuse(self.refuse());
+            return NextStep::Refuse(self.refuse());
         }
         self.state = State::Admitted;
         match (self.repeat, self.passed) {
-            (Repeat::Resumable, from) if from > 0 => Next::Resume { from },
-            _ => Next::Retry,
+            (RetryMode::Resumable, from) if from > 0 => NextStep::Resume { from },
+            _ => NextStep::Retry,
         }
     }
 
--- a/lib/src/owner.rs
+++ b/lib/src/owner.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::hash::{place, rendezvous};
+use crate::hash::{rendezvous_weight, stable_hash};
 use crate::id::{Incarnation, Name, Version};
 
 const KEY_SEED: u64 = 0x6f77_6e65;
@@ -48,14 +48,14 @@
 }
 
 /// How many versions are kept. A key whose birth version is older is refused. The table's writer
-/// adds a version at most every [`SHORTEST_STEP`], so a key lives for two minutes at the least.
-pub const KEPT: usize = 24;
+/// adds a version at most every [`MIN_VERSION_INTERVAL`], so a key lives for two minutes at the least.
+pub const KEPT_VERSIONS: usize = 24;
 
 /// The shortest time between two versions.
-pub const SHORTEST_STEP: Duration = Duration::from_secs(5);
+pub const MIN_VERSION_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The longest time between two versions: without new ones, old records would never be dropped.
-pub const LONGEST_STEP: Duration = Duration::from_secs(120);
+pub const MAX_VERSION_INTERVAL: Duration = Duration::from_secs(120);
 
 /// The table as it is written: each member once, and the rolls by their places. At 550 members and
 /// 24 versions this is some 120 KB, where whole rolls would exceed the platform's megabyte.
@@ -117,37 +117,37 @@
     }
 
     /// The oldest version that is kept.
-    pub fn floor(&self) -> Version {
+    pub fn oldest(&self) -> Version {
         self.rolls.front().map_or(Version(0), |r| r.version)
     }
 
     /// The roll of a version.
     pub fn roll(&self, version: Version) -> Option<&Roll> {
-        let first = self.floor().0;
+        let first = self.oldest().0;
         let at = version.0.checked_sub(first)?;
         self.rolls.get(usize::try_from(at).ok()?)
     }
 
     /// The owner of a key that was born under `version`.
     pub fn owner(&self, key: &str, version: Version) -> Option<&Member> {
-        let hash = place(KEY_SEED, key.as_bytes());
+        let hash = stable_hash(KEY_SEED, key.as_bytes());
         let members = &self.roll(version)?.members;
-        members.iter().max_by_key(|m| rendezvous(hash, m.name.as_str().as_bytes()))
+        members.iter().max_by_key(|m| rendezvous_weight(hash, m.name.as_str().as_bytes()))
     }
 
     /// The table with one more version.
-    pub fn follow(&self, mut members: Vec<Member>) -> Self {
+    pub fn with_next_version(&self, mut members: Vec<Member>) -> Self {
         members.sort();
         let mut rolls = self.rolls.clone();
         rolls.push_back(Roll { version: self.newest().next(), members: Arc::new(members) });
-        while rolls.len() > KEPT {
+        while rolls.len() > KEPT_VERSIONS {
             rolls.pop_front();
         }
         Self { rolls }
     }
 
     /// The versions after `since` only.
-    pub fn after(&self, since: Version) -> Self {
+    pub fn since(&self, since: Version) -> Self {
         Self { rolls: self.rolls.iter().filter(|r| r.version > since).cloned().collect() }
     }
 
@@ -157,13 +157,13 @@
         if other.newest() <= self.newest() {
             return self.clone();
         }
-        if self.rolls.is_empty() || other.floor() > self.newest().next() {
+        if self.rolls.is_empty() || other.oldest() > self.newest().next() {
             return other.clone();
         }
-        let newer = other.after(self.newest());
+        let newer = other.since(self.newest());
         let mut rolls = self.rolls.clone();
         rolls.extend(newer.rolls);
-        while rolls.len() > KEPT {
+        while rolls.len() > KEPT_VERSIONS {
             rolls.pop_front();
         }
         Self { rolls }
--- a/lib/src/rank.rs
+++ b/lib/src/rank.rs
@@ -2,16 +2,16 @@
 
 use smallvec::SmallVec;
 
-use crate::hash::{place, rendezvous};
+use crate::hash::{rendezvous_weight, stable_hash};
 use crate::id::NodeId;
 
 /// The weight of a node for a duty; the node with the highest comes first.
 pub fn weight(duty: &str, node: &NodeId) -> u64 {
-    rendezvous(place(0, duty.as_bytes()), node.as_str().as_bytes())
+    rendezvous_weight(stable_hash(0, duty.as_bytes()), node.as_str().as_bytes())
 }
 
 /// The first `count` of `nodes` for a duty, the very first in front.
-pub fn first<T>(
+pub fn highest_ranked<T>(
     duty: &str,
     nodes: impl IntoIterator<Item = T>,
     id: impl Fn(&T) -> &NodeId,
--- a/lib/src/role.rs
+++ b/lib/src/role.rs
@@ -36,7 +36,7 @@
 
 /// How many engines have each role.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Division {
+pub struct RoleCounts {
     /// For prompts.
     pub prefill: u32,
     /// For output.
@@ -45,14 +45,14 @@
     pub mixed: u32,
 }
 
-impl Division {
+impl RoleCounts {
     /// All engines.
     pub fn total(&self) -> u32 {
         self.prefill + self.decode + self.mixed
     }
 
     /// The number of changes that lead from here to `other`.
-    pub fn changes_to(&self, other: &Division) -> u32 {
+    pub fn changes_to(&self, other: &RoleCounts) -> u32 {
         let gained = |from: u32, to: u32| to.saturating_sub(from);
         gained(self.prefill, other.prefill)
             + gained(self.decode, other.decode)
@@ -89,7 +89,7 @@
 pub const MIXED_EFFICIENCY: f64 = 0.85;
 
 /// The work that `division` does of `demand`, in engines' worth.
-pub fn served(division: Division, demand: Demand, mixed_efficiency: f64) -> f64 {
+pub fn served_work(division: RoleCounts, demand: Demand, mixed_efficiency: f64) -> f64 {
     if demand.total() <= 0.0 {
         return 0.0;
     }
@@ -124,7 +124,7 @@
 
 /// What one service pays for changes.
 #[derive(Clone, Copy, Debug)]
-pub struct Price {
+pub struct ChangeCost {
     /// How long an engine is away for a change.
     pub away: Duration,
     /// What a change costs beyond its time away, as time of one engine.
@@ -174,7 +174,7 @@
 
 impl Estimate {
     /// Takes in the demand of one [`SAMPLE_PERIOD`].
-    pub fn take(&mut self, now: Instant, demand: Demand) {
+    pub fn add_sample(&mut self, now: Instant, demand: Demand) {
         if self.updated.is_none() {
             self.fast = demand;
         }
@@ -223,14 +223,14 @@
     }
 
     /// The mean work that `division` would have done of the recent past.
-    fn mean_served(&self, division: Division, efficiency: f64) -> f64 {
+    fn mean_served(&self, division: RoleCounts, efficiency: f64) -> f64 {
         if self.samples.is_empty() {
             return 0.0;
         }
         let step = self.samples.len().div_ceil(LOOKED_AT);
         let looked = self.samples.iter().step_by(step);
         let count = looked.len();
-        looked.map(|d| served(division, *d, efficiency)).sum::<f64>() / count as f64
+        looked.map(|d| served_work(division, *d, efficiency)).sum::<f64>() / count as f64
     }
 }
 
@@ -240,7 +240,7 @@
 /// Why a decision came out as it did.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub enum Why {
+pub enum Reason {
     /// No other division gains more than it costs.
     NotWorthIt,
     /// As many engines are away as may be.
@@ -268,11 +268,11 @@
     /// The changes to order now.
     pub changes: SmallVec<[Change; 4]>,
     /// Why.
-    pub why: Why,
+    pub why: Reason,
     /// The division that is there.
-    pub current: Division,
+    pub current: RoleCounts,
     /// The best division found.
-    pub target: Division,
+    pub target: RoleCounts,
     /// What the target gains over the time ahead, in engine seconds, before costs.
     pub gain: f64,
     /// What the changes cost, in engine seconds.
@@ -287,11 +287,11 @@
     now: Instant,
     engines: &[Engine],
     estimate: &Estimate,
-    price: Price,
+    price: ChangeCost,
     efficiency: f64,
 ) -> Decision {
     let usable: SmallVec<[&Engine; 32]> = engines.iter().filter(|e| !e.leaving).collect();
-    let mut current = Division::default();
+    let mut current = RoleCounts::default();
     for engine in &usable {
         *current.of_mut(engine.role) += 1;
     }
@@ -305,40 +305,40 @@
     };
     let fresh = estimate.updated.is_some_and(|at| now.saturating_duration_since(at) <= OLDEST);
     if !fresh {
-        return stay(Why::Stale);
+        return stay(Reason::Stale);
     }
     let away = usable.iter().filter(|e| e.changing).count();
     let most_away = (usable.len() as f64 * price.away_limit).floor().max(1.0) as usize;
     let room = most_away.saturating_sub(away);
     if room == 0 {
-        return stay(Why::AwayLimit);
+        return stay(Reason::AwayLimit);
     }
     let search = Search::new(now, estimate, price, efficiency);
     let best = search.best(current, room as u32);
     if best.target == current {
-        return stay(Why::NotWorthIt);
+        return stay(Reason::NotWorthIt);
     }
     let changes = pick_engines(now, &usable, current, best.target, price);
-    let why = if changes.is_empty() { Why::Dwell } else { Why::Gain };
+    let why = if changes.is_empty() { Reason::Dwell } else { Reason::Gain };
     Decision { changes, why, current, target: best.target, gain: best.gain, cost: best.cost }
 }
 
 struct Search<'a> {
     estimate: &'a Estimate,
-    price: Price,
+    price: ChangeCost,
     efficiency: f64,
     near: f64,
     far: f64,
 }
 
 struct Best {
-    target: Division,
+    target: RoleCounts,
     gain: f64,
     cost: f64,
 }
 
 impl<'a> Search<'a> {
-    fn new(now: Instant, estimate: &'a Estimate, price: Price, efficiency: f64) -> Self {
+    fn new(now: Instant, estimate: &'a Estimate, price: ChangeCost, efficiency: f64) -> Self {
         let remaining = estimate.remaining(now).min(HORIZON).as_secs_f64();
         let near = (remaining - price.away.as_secs_f64()).max(0.0);
         let far = (HORIZON.as_secs_f64() - remaining).max(0.0);
@@ -346,8 +346,8 @@
     }
 
     /// The work that `division` does over the time ahead.
-    fn value(&self, division: Division) -> f64 {
-        let now = served(division, self.estimate.current(), self.efficiency);
+    fn value(&self, division: RoleCounts) -> f64 {
+        let now = served_work(division, self.estimate.current(), self.efficiency);
         let later = self.estimate.mean_served(division, self.efficiency);
         now * self.near + later * self.far * LATER_WEIGHT
     }
@@ -358,7 +358,7 @@
     }
 
     /// The best division that can be reached by at most `room` changes.
-    fn best(&self, current: Division, room: u32) -> Best {
+    fn best(&self, current: RoleCounts, room: u32) -> Best {
         let base = self.value(current);
         let mut best = Best { target: current, gain: 0.0, cost: 0.0 };
         for target in reachable(current, room) {
@@ -393,7 +393,7 @@
 }
 
 /// The divisions that differ from `current` by moves between two roles, or from two into one.
-fn reachable(current: Division, room: u32) -> Vec<Division> {
+fn reachable(current: RoleCounts, room: u32) -> Vec<RoleCounts> {
     const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
     let mut found = Vec::new();
     for from in ROLES {
@@ -412,7 +412,7 @@
     }
     for step in steps(room / 2) {
         if step > 0 && current.mixed >= 2 * step {
-            found.push(Division {
+            found.push(RoleCounts {
                 prefill: current.prefill + step,
                 decode: current.decode + step,
                 mixed: current.mixed - 2 * step,
@@ -427,9 +427,9 @@
 fn pick_engines(
     now: Instant,
     engines: &[&Engine],
-    current: Division,
-    target: Division,
-    price: Price,
+    current: RoleCounts,
+    target: RoleCounts,
+    price: ChangeCost,
 ) -> SmallVec<[Change; 4]> {
     const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
     let mut wanted: SmallVec<[Role; 8]> = SmallVec::new();
--- a/lib/src/runner.rs
+++ b/lib/src/runner.rs
@@ -8,7 +8,7 @@
 use smallvec::SmallVec;
 
 use crate::config::object::{Admission, Role};
-use crate::hash::place;
+use crate::hash::stable_hash;
 use crate::id::Name;
 use crate::unit::{TokenRate, Tokens};
 
@@ -36,7 +36,7 @@
     /// The prefix of a prompt.
     pub fn of(prompt: &str) -> Self {
         let end = prompt.len().min(PREFIX_BYTES);
-        Self(place(PREFIX_SEED, &prompt.as_bytes()[..end]))
+        Self(stable_hash(PREFIX_SEED, &prompt.as_bytes()[..end]))
     }
 }
 
@@ -111,7 +111,7 @@
 /// events, and the part of all others. The own part is replaced by the own part of now; the part of
 /// others is smoothed.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct RunnerView {
     /// Its name.
     pub name: Name,
     /// What operators want of it.
@@ -121,7 +121,7 @@
     /// Until when it gets no new work since it is about to be away for a planned change.
     pub reserved_until: Option<Instant>,
     /// Until when it is left alone after a fault.
-    pub avoid_until: Option<Instant>,
+    pub backoff_until: Option<Instant>,
     /// Faults one after the other.
     pub faults: u32,
     /// Requests it works on at once.
@@ -145,7 +145,7 @@
 /// The longest time a runner is left alone.
 pub const LONGEST_AVOID: Duration = Duration::from_secs(15);
 
-impl View {
+impl RunnerView {
     /// A runner of which nothing has been heard yet.
     pub fn new(name: Name, slots: u32, state: Admission) -> Self {
         Self {
@@ -153,7 +153,7 @@
             state,
             leaving: false,
             reserved_until: None,
-            avoid_until: None,
+            backoff_until: None,
             faults: 0,
             slots,
             report: Report {
@@ -173,13 +173,13 @@
     /// Whether new work may go there at `now`.
     pub fn takes_work(&self, now: Instant) -> bool {
         let before = |until: Option<Instant>| until.is_some_and(|until| now < until);
-        let left_alone = before(self.avoid_until) || before(self.reserved_until);
+        let left_alone = before(self.backoff_until) || before(self.reserved_until);
         self.state == Admission::Ready && !self.leaving && !left_alone
     }
 
     /// Takes in a report that was true at `at`. An older report than the last is left out, so
     /// that reports that overtake one another cannot bring an old load back.
-    pub fn take_report(&mut self, at: Instant, report: Report) -> bool {
+    pub fn apply_report(&mut self, at: Instant, report: Report) -> bool {
         if self.reported.is_some_and(|last| at <= last) {
             return false;
         }
@@ -222,36 +222,36 @@
     }
 
     /// Notes that work went there.
-    pub fn note_sent(&mut self, now: Instant, work: &Work) {
+    pub fn record_sent(&mut self, now: Instant, work: &Work) {
         self.note(now, 1, i64::from(work.prompt.0));
     }
 
     /// Notes that the first token of `work` has come: its prompt is processed.
-    pub fn note_first(&mut self, now: Instant, work: &Work) {
+    pub fn record_first_token(&mut self, now: Instant, work: &Work) {
         self.note(now, 0, -i64::from(work.prompt.0));
     }
 
     /// Notes that a request ended without blame, such as one that its caller gave up. `pending`
     /// are its prompt tokens if its first token had not come.
-    pub fn note_ended(&mut self, now: Instant, pending: Tokens) {
+    pub fn record_end(&mut self, now: Instant, pending: Tokens) {
         self.note(now, -1, -i64::from(pending.0));
     }
 
     /// Notes that the runner answers well.
-    pub fn note_well(&mut self) {
+    pub fn record_success(&mut self) {
         self.faults = 0;
-        self.avoid_until = None;
+        self.backoff_until = None;
     }
 
     /// Notes a fault, after which the runner is left alone for a while.
-    pub fn note_fault(&mut self, now: Instant) {
+    pub fn record_fault(&mut self, now: Instant) {
         let factor = 1 << self.faults.min(8);
         self.faults += 1;
-        self.avoid_until = Some(now + (FIRST_AVOID * factor).min(LONGEST_AVOID));
+        self.backoff_until = Some(now + (FIRST_AVOID * factor).min(LONGEST_AVOID));
     }
 
     /// Notes that the runner has this prefix cached.
-    pub fn note_cached(&mut self, prefix: Prefix, at: Instant) {
+    pub fn record_cached(&mut self, prefix: Prefix, at: Instant) {
         match self.hints.iter_mut().find(|h| h.prefix == prefix) {
             Some(hint) => hint.at = at,
             None => {
--- a/lib/src/wall.rs
+++ b/lib/src/wall_clock.rs
@@ -45,7 +45,7 @@
     }
 
     /// Follows small differences to the VM's clock.
-    pub fn note_wall(&mut self, now: Instant, wall: SystemTime) {
+    pub fn observe_wall_clock(&mut self, now: Instant, wall: SystemTime) {
         let wall = wall.duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
         let ahead = wall - self.at(now).as_secs_f64();
         if ahead.abs() < FOLLOWED.as_secs_f64() {
@@ -55,7 +55,7 @@
 
     /// Takes what another node takes for the time. Gives by how many seconds this estimate was moved,
     /// if the median of all is far from it.
-    pub fn note_other(&mut self, now: Instant, node: &NodeId, time: Duration) -> Option<f64> {
+    pub fn observe_peer(&mut self, now: Instant, node: &NodeId, time: Duration) -> Option<f64> {
         let ahead = time.as_secs_f64() - self.at(now).as_secs_f64();
         self.others.insert(node.clone(), (ahead, now));
         self.others.retain(|_, (_, at)| now.saturating_duration_since(*at) < VALID);
--- a/lib/tests/authority_model.rs
+++ b/lib/tests/authority_model.rs
@@ -14,7 +14,7 @@
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::{Epoch, Incarnation};
 use sardinepick_lib::lease::{self, Holder, Lease, Term, Written};
-use sardinepick_lib::order::{self, Answer, Condition, Desk, Id, Intent, Order};
+use sardinepick_lib::order::{self, Answer, EngineStatus, Id, Intent, Order, OrderSender};
 
 const TERM: Term = Term { ttl: Duration::from_secs(4), margin: Duration::from_secs(1) };
 const TICK: Duration = Duration::from_secs(3);
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Hash)]
 struct Node {
     lease: Lease,
-    desk: Desk,
+    desk: OrderSender,
     call: Option<Call>,
     wanted: bool,
 }
@@ -42,7 +42,7 @@
     lease: Option<(u64, lease::Record)>,
     intent: Option<(u64, Intent)>,
     revision: u64,
-    engine: Condition,
+    engine: EngineStatus,
     fencing: Fencing,
     /// Orders that have left a node and not reached the engine.
     flying: Vec<(usize, Order)>,
@@ -72,7 +72,7 @@
 fn first(fencing: Fencing) -> World {
     let node = |at| Node {
         lease: Lease::new(holder(at)),
-        desk: Desk::new(fencing),
+        desk: OrderSender::new(fencing),
         call: None,
         wanted: false,
     };
@@ -82,7 +82,7 @@
         lease: None,
         intent: None,
         revision: 0,
-        engine: Condition { role: Role::Mixed, changing: false, last: None, fence: Epoch(0) },
+        engine: EngineStatus { role: Role::Mixed, changing: false, last: None, fence: Epoch(0) },
         fencing,
         flying: Vec::new(),
         nodes: vec![node(0), node(1)],
@@ -127,7 +127,7 @@
         let authority = node.lease.authority(now);
         if authority.is_some() && !node.wanted {
             let role = if at == 0 { Role::Prefill } else { Role::Decode };
-            node.wanted = node.desk.want(Id(format!("order-{at}").into()), role);
+            node.wanted = node.desk.request(Id(format!("order-{at}").into()), role);
         }
         let doubtful = variant == Variant::Right && node.lease.is_doubtful();
         let action = node.desk.poll(now, authority, doubtful)?;
@@ -142,7 +142,7 @@
             Call::Lease(lease::Action::Read) => {
                 let found = world.lease.clone().map(|(r, record)| (Point::without_era(r), record));
                 let now = world.now;
-                world.nodes[at].lease.take_read(now, TERM, found);
+                world.nodes[at].lease.on_read(now, TERM, found);
                 vec![world]
             }
             Call::Lease(lease::Action::Write { expected, record }) => {
@@ -150,15 +150,15 @@
             }
             Call::Order(order::Action::Read) => {
                 let found = world.intent.clone().map(|(r, intent)| (Point::without_era(r), intent));
-                world.nodes[at].desk.take_read(found);
+                world.nodes[at].desk.on_read(found);
                 vec![world]
             }
             Call::Order(order::Action::Write { expected, intent }) => {
                 world.write_intent(at, *expected, intent)
             }
-            Call::Order(order::Action::Ask) => {
+            Call::Order(order::Action::Query) => {
                 let condition = world.engine.clone();
-                let action = world.nodes[at].desk.take_condition(&condition);
+                let action = world.nodes[at].desk.on_status(&condition);
                 world.nodes[at].call = action.map(Call::Order);
                 vec![world]
             }
@@ -174,19 +174,19 @@
     ) -> Vec<World> {
         let now = self.now;
         if self.lease.as_ref().map(|(r, _)| Point::without_era(*r)) != expected {
-            self.nodes[at].lease.take_written(now, TERM, Written::Conflict);
+            self.nodes[at].lease.on_written(now, TERM, Written::Conflict);
             return vec![self];
         }
         self.revision += 1;
         self.lease = Some((self.revision, record.clone()));
         let mut lost = self.clone();
         let done = Written::Done(Point::without_era(self.revision));
-        self.nodes[at].lease.take_written(now, TERM, done);
+        self.nodes[at].lease.on_written(now, TERM, done);
         let mut worlds = vec![self];
         if lost.lost == 0 {
             lost.lost += 1;
-            lost.nodes[at].lease.take_written(now, TERM, Written::Lost);
-            if lost.nodes[at].lease.wants_settling() {
+            lost.nodes[at].lease.on_written(now, TERM, Written::Lost);
+            if lost.nodes[at].lease.take_settling_read() {
                 lost.nodes[at].call = Some(Call::Lease(lease::Action::Read));
             }
             worlds.push(lost);
@@ -196,17 +196,17 @@
 
     fn write_intent(mut self, at: usize, expected: Option<Point>, intent: &Intent) -> Vec<World> {
         if self.intent.as_ref().map(|(r, _)| Point::without_era(*r)) != expected {
-            self.nodes[at].desk.take_written(None);
+            self.nodes[at].desk.on_written(None);
             return vec![self];
         }
         self.revision += 1;
         self.intent = Some((self.revision, intent.clone()));
         let mut lost = self.clone();
-        self.nodes[at].desk.take_written(Some(Point::without_era(self.revision)));
+        self.nodes[at].desk.on_written(Some(Point::without_era(self.revision)));
         let mut worlds = vec![self];
         if lost.lost == 0 {
             lost.lost += 1;
-            lost.nodes[at].desk.take_written(None);
+            lost.nodes[at].desk.on_written(None);
             worlds.push(lost);
         }
         worlds
@@ -216,12 +216,12 @@
     fn send(mut self, at: usize, order: &Order, variant: Variant) -> Vec<World> {
         let still = self.nodes[at].lease.authority(self.now) == Some(order.epoch);
         if variant == Variant::Right && !still {
-            self.nodes[at].desk.take_answer(Answer::Lost);
+            self.nodes[at].desk.on_answer(Answer::Lost);
             return vec![self];
         }
         let mut late = self.clone();
         let answer = self.obey(order);
-        let action = self.nodes[at].desk.take_answer(answer);
+        let action = self.nodes[at].desk.on_answer(answer);
         self.nodes[at].call = action.map(Call::Order);
         let mut worlds = vec![self];
         // An order under way when its sender loses the lease can be stopped by a fencing number
@@ -230,7 +230,7 @@
         if late.late == 0 && late.fencing == Fencing::Checked {
             late.late += 1;
             late.flying.push((at, order.clone()));
-            late.nodes[at].desk.take_answer(Answer::Lost);
+            late.nodes[at].desk.on_answer(Answer::Lost);
             worlds.push(late);
         }
         worlds
@@ -257,7 +257,7 @@
         }
         self.engine.fence = self.engine.fence.max(order.epoch);
         self.obeyed = self.obeyed.max(order.epoch);
-        Answer::Taken
+        Answer::Accepted
     }
 
     fn digest(&self) -> u64 {
--- a/lib/tests/choosing.rs
+++ b/lib/tests/choosing.rs
@@ -5,13 +5,13 @@
 use proptest::prelude::*;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
-use sardinepick_lib::admit::{Decision, Event, Gate, Offer, Setting as Limits};
+use sardinepick_lib::admit::{AdmissionQueue, AdmissionRequest, Decision, Event, Limits};
 use sardinepick_lib::baseline::best_of_all;
-use sardinepick_lib::choose::{COMPARE_ALL, Setting, choose};
+use sardinepick_lib::choose::{COMPARE_ALL, Settings, choose};
 use sardinepick_lib::config::object::{Account, Admission, Priority};
 use sardinepick_lib::hash::Digest;
 use sardinepick_lib::id::{Name, RequestId};
-use sardinepick_lib::runner::{Report, View, Work};
+use sardinepick_lib::runner::{Report, RunnerView, Work};
 use sardinepick_lib::unit::{RequestRate, TokenRate, Tokens};
 
 fn name(kind: &str, at: usize) -> Name {
@@ -27,7 +27,7 @@
         let now = Instant::now();
         let view = |(at, (running, backlog, drained)): (usize, &(u32, u32, bool))| {
             let state = if *drained { Admission::Drain } else { Admission::Ready };
-            let mut view = View::new(name("runner", at), 16, state);
+            let mut view = RunnerView::new(name("runner", at), 16, state);
             let report = Report {
                 running: *running,
                 backlog: Tokens(*backlog),
@@ -35,12 +35,12 @@
                 decode_rate: TokenRate(40),
                 ..Report::default()
             };
-            view.take_report(now, report);
+            view.apply_report(now, report);
             view
         };
-        let views: Vec<View> = loads.iter().enumerate().map(view).collect();
+        let views: Vec<RunnerView> = loads.iter().enumerate().map(view).collect();
         let work = Work { prompt: Tokens(900), output: Tokens(90), ..Work::default() };
-        let setting = Setting::default();
+        let setting = Settings::default();
         // Both draw once for each usable runner, in order, so the same seed gives the same draws.
         let mut rng = StdRng::seed_from_u64(seed);
         let chosen = choose(&views, &work, now, setting, &[], &mut rng).map(|c| c.at);
@@ -55,22 +55,22 @@
         let now = Instant::now();
         let view = |at| {
             let state = if at == ready { Admission::Ready } else { Admission::Drain };
-            View::new(name("runner", at), 16, state)
+            RunnerView::new(name("runner", at), 16, state)
         };
-        let views: Vec<View> = (0..200).map(view).collect();
+        let views: Vec<RunnerView> = (0..200).map(view).collect();
         let mut rng = StdRng::seed_from_u64(seed);
         let work = Work::default();
-        let chosen = choose(&views, &work, now, Setting::default(), &[], &mut rng);
+        let chosen = choose(&views, &work, now, Settings::default(), &[], &mut rng);
         prop_assert_eq!(chosen.map(|c| c.at), Some(ready));
     }
 
     #[test]
     fn gate_every_request_one_end(
         offers in proptest::collection::vec((0..5_usize, 1..4000_u64, 0..3000_u64), 1..60),
-        places in 1..6_u32,
+        max_concurrent in 1..6_u32,
     ) {
         let start = Instant::now();
-        let mut gate = Gate::new(Limits { places, queue: 20, share: 1000 });
+        let mut gate = AdmissionQueue::new(Limits { max_concurrent, max_queued: 20, share: 1000 });
         let mut ended = std::collections::BTreeMap::new();
         let mut running: Vec<(u64, Name)> = Vec::new();
         let mut waiting = std::collections::BTreeMap::new();
@@ -85,14 +85,14 @@
                 priority: Priority::Normal,
                 weight: 1,
             };
-            let offer = Offer {
+            let offer = AdmissionRequest {
                 id: RequestId(id as u64),
                 account: account.name.clone(),
                 priority: Priority::Normal,
                 deadline: now + Duration::from_secs(6),
                 cost: Duration::from_millis(*cost),
             };
-            match gate.offer(now, &account, offer, 0.5) {
+            match gate.submit(now, &account, offer, 0.5) {
                 Decision::Start => running.push((id as u64, account.name.clone())),
                 Decision::Wait => {
                     waiting.insert(id as u64, account.name.clone());
@@ -114,7 +114,7 @@
                     }
                 }
             }
-            prop_assert!(gate.under_way() <= places);
+            prop_assert!(gate.under_way() <= max_concurrent);
             prop_assert_eq!(gate.under_way() as usize, running.len());
             prop_assert_eq!(gate.queue_len(), waiting.len());
         }
--- a/lib/tests/claim_model.rs
+++ b/lib/tests/claim_model.rs
@@ -79,7 +79,7 @@
 /// Runs one history. `honest` callers send the first attempt's birth with every attempt; those that
 /// are not show that the birth is what carries the promise.
 fn run(history: &[Step], honest: bool) -> u32 {
-    let table = Table::default().follow(vec![member(0, 1)]);
+    let table = Table::default().with_next_version(vec![member(0, 1)]);
     let mut owner = Register::new(member(0, 1));
     owner.set_table(&table);
     let birth = table.newest();
@@ -120,7 +120,8 @@
                 self.owner.end(KEY, claim.birth, &claim.claimant, Outcome::Unknown);
             }
             Step::Restart => {
-                self.table = self.table.follow(vec![member(0, self.table.newest().0 + 1)]);
+                self.table =
+                    self.table.with_next_version(vec![member(0, self.table.newest().0 + 1)]);
                 let life = self.table.newest().0;
                 self.owner = Register::new(member(0, life));
                 self.owner.set_table(&self.table);
@@ -168,7 +169,7 @@
 
 #[test]
 fn register_answers_repeat_with_outcome() {
-    let table = Arc::new(Table::default().follow(vec![member(0, 1)]));
+    let table = Arc::new(Table::default().with_next_version(vec![member(0, 1)]));
     let mut owner = Register::new(member(0, 1));
     owner.set_table(&table);
     let first = claim(0, table.newest());
--- a/lib/tests/duty_model.rs
+++ b/lib/tests/duty_model.rs
@@ -180,7 +180,7 @@
         {
             let grace = self.variant != Variant::NoGrace;
             let since = if grace { since } else { since - TERM.ttl - TERM.margin };
-            node.lease.note_era(era, since);
+            node.lease.set_era(era, since);
         }
     }
 
@@ -287,8 +287,8 @@
         if !has_come {
             self.orphan(at);
             let lease = &mut self.nodes[at].lease;
-            lease.take_written(now, TERM, Written::Lost);
-            lease.want_read();
+            lease.on_written(now, TERM, Written::Lost);
+            lease.request_read();
             return;
         }
         let asked = self.nodes[at].asked.take().expect("it is asked");
@@ -298,13 +298,13 @@
         let crossed = matches!(asked.outcome, Some(Written::Done(_))) && asked.known != asked.shown;
         let lease = &mut self.nodes[at].lease;
         if asked.shown < known || crossed {
-            lease.take_written(now, TERM, Written::Lost);
-            lease.want_read();
+            lease.on_written(now, TERM, Written::Lost);
+            lease.request_read();
             return;
         }
         match (asked.found, asked.outcome) {
-            (Some(found), _) => lease.take_read(now, TERM, found),
-            (None, Some(outcome)) => lease.take_written(now, TERM, outcome),
+            (Some(found), _) => lease.on_read(now, TERM, found),
+            (None, Some(outcome)) => lease.on_written(now, TERM, outcome),
             (None, None) => unreachable!("an answer comes after what it answers"),
         }
     }
@@ -321,9 +321,9 @@
         };
         if self.nodes[at].asked.is_none() {
             let node = &mut self.nodes[at];
-            let settles = node.lease.wants_settling();
+            let settles = node.lease.take_settling_read();
             if node.read.is_none_or(|read| now >= read + MS * 1_500) {
-                node.lease.want_read();
+                node.lease.request_read();
                 node.read = Some(now);
             }
             let action = if settles {
--- a/lib/tests/history.rs
+++ b/lib/tests/history.rs
@@ -6,8 +6,8 @@
 use sardinepick_lib::fleet::mark::Mark;
 use sardinepick_lib::fleet::register::{Change, Register};
 use sardinepick_lib::fleet::runner::{Entry, State};
-use sardinepick_lib::history::{Era, LAST_ERA, Point, Present, Sight};
-use sardinepick_lib::id::{Born, RunnerId};
+use sardinepick_lib::history::{CurrentEra, Era, EraChange, MAX_ERA, Point};
+use sardinepick_lib::id::{RunnerId, StartTime};
 
 const DOUBT: Duration = Duration::from_secs(2);
 
@@ -19,7 +19,7 @@
 fn entry(era: u32, revision: u64, writes: u64, state: State) -> Entry {
     Entry {
         id: id(),
-        born: Some(Born(7)),
+        born: Some(StartTime(7)),
         service: "telraad".parse().expect("an id"),
         address: "127.0.0.1:1".parse().expect("an address"),
         data_centre: "zaal-dom".parse().expect("an id"),
@@ -73,26 +73,26 @@
 #[test]
 fn note_later_believed_former_not() {
     let now = Instant::now();
-    let mut present = Present::default();
-    assert_eq!(present.note(Era(4), now), Sight::First);
-    assert_eq!(present.doubt(now, DOUBT), None, "nothing was known before it");
-    assert_eq!(present.note(Era(5), now), Sight::Later { before: Era(4) });
-    assert_eq!(present.note(Era(4), now), Sight::Former);
-    assert_eq!((present.era(), present.note(Era(5), now)), (Era(5), Sight::Same));
-    assert_eq!(present.doubt(now, DOUBT), Some(now + DOUBT));
-    assert_eq!(present.doubt(now + DOUBT, DOUBT), None);
+    let mut present = CurrentEra::default();
+    assert_eq!(present.observe(Era(4), now), EraChange::First);
+    assert_eq!(present.grace_until(now, DOUBT), None, "nothing was known before it");
+    assert_eq!(present.observe(Era(5), now), EraChange::Later { before: Era(4) });
+    assert_eq!(present.observe(Era(4), now), EraChange::Earlier);
+    assert_eq!((present.era(), present.observe(Era(5), now)), (Era(5), EraChange::Same));
+    assert_eq!(present.grace_until(now, DOUBT), Some(now + DOUBT));
+    assert_eq!(present.grace_until(now + DOUBT, DOUBT), None);
 }
 
 /// Guards against one torn header after which all answers are taken for old ones.
 #[test]
 fn note_leap_believed_when_shown_again() {
     let now = Instant::now();
-    let mut present = Present::default();
-    present.note(Era(1), now);
-    assert_eq!(present.note(LAST_ERA, now), Sight::Unconfirmed);
-    assert_eq!((present.note(Era(1), now), present.era()), (Sight::Same, Era(1)));
-    assert_eq!(present.note(Era(3), now), Sight::Unconfirmed);
-    assert_eq!(present.note(Era(3), now), Sight::Later { before: Era(1) });
+    let mut present = CurrentEra::default();
+    present.observe(Era(1), now);
+    assert_eq!(present.observe(MAX_ERA, now), EraChange::Unconfirmed);
+    assert_eq!((present.observe(Era(1), now), present.era()), (EraChange::Same, Era(1)));
+    assert_eq!(present.observe(Era(3), now), EraChange::Unconfirmed);
+    assert_eq!(present.observe(Era(3), now), EraChange::Later { before: Era(1) });
 }
 
 /// Guards against a runner that leaves and is used again since a copy shows it as it was before.
--- a/lib/tests/lease.rs
+++ b/lib/tests/lease.rs
@@ -20,19 +20,19 @@
     found: Option<(Point, Record)>,
 ) -> Option<Action> {
     assert_eq!(lease.poll(now, TERM, true, |_| false), Some(Action::Read));
-    lease.take_read(now, TERM, found);
+    lease.on_read(now, TERM, found);
     lease.poll(now, TERM, true, |_| false)
 }
 
 /// A lease that is held since `now` in era 1, with its record.
 fn held(now: Instant) -> (Lease, Record) {
     let mut lease = Lease::new(holder("edge-1"));
-    lease.note_era(Era(1), now - TERM.ttl - TERM.margin);
+    lease.set_era(Era(1), now - TERM.ttl - TERM.margin);
     let Some(Action::Write { expected: None, record }) = read_and_poll(&mut lease, now, None)
     else {
         panic!("nobody holds it");
     };
-    lease.take_written(now, TERM, Written::Done(Point::new(Era(1), 30)));
+    lease.on_written(now, TERM, Written::Done(Point::new(Era(1), 30)));
     (lease, record)
 }
 
@@ -42,14 +42,14 @@
     let now = Instant::now();
     let (mut lease, record) = held(now);
     let later = now + MS * 100;
-    lease.note_era(Era(2), later);
+    lease.set_era(Era(2), later);
     assert_eq!(lease.authority(later), Some(record.epoch));
     let write = read_and_poll(&mut lease, later, None);
     let Some(Action::Write { expected: None, record: again }) = write else {
         panic!("it is written again: {write:?}");
     };
     assert_eq!((again.epoch, again.era), (record.epoch, Era(2)));
-    lease.take_written(later, TERM, Written::Done(Point::new(Era(2), 12)));
+    lease.on_written(later, TERM, Written::Done(Point::new(Era(2), 12)));
     assert_eq!(lease.authority(later + MS * 1_900), Some(record.epoch));
 }
 
@@ -59,7 +59,7 @@
     let now = Instant::now();
     let (_, record) = held(now);
     let mut other = Lease::new(holder("edge-2"));
-    other.note_era(Era(2), now);
+    other.set_era(Era(2), now);
     assert_eq!(read_and_poll(&mut other, now, None), None);
     let wait = TERM.ttl + TERM.margin;
     assert_eq!(other.poll(now + wait - MS, TERM, true, |_| false), None);
@@ -73,7 +73,7 @@
 fn poll_copy_shows_earlier_holding_number_grows() {
     let now = Instant::now();
     let mut other = Lease::new(holder("edge-2"));
-    other.note_era(Era(2), now);
+    other.set_era(Era(2), now);
     let earlier = Record { holder: Some(holder("edge-3")), epoch: Epoch(4), ..Record::default() };
     let found = Some((Point::new(Era(2), 20), earlier));
     assert_eq!(read_and_poll(&mut other, now, found), None);
@@ -90,7 +90,7 @@
     let now = Instant::now();
     let (mut lease, record) = held(now);
     let later = now + TERM.ttl;
-    lease.note_era(Era(2), later);
+    lease.set_era(Era(2), later);
     let found = Some((Point::new(Era(2), 40), Record { beat: 1, ..record }));
     assert_eq!(read_and_poll(&mut lease, later, found), None);
     assert_eq!(lease.authority(later), None);
--- a/lib/tests/life_model.rs
+++ b/lib/tests/life_model.rs
@@ -14,7 +14,7 @@
 use sardinepick_lib::fleet::register::{Reading, Register, Share};
 use sardinepick_lib::fleet::runner::{Entry, State, Stay, Tag};
 use sardinepick_lib::history::Point;
-use sardinepick_lib::id::{Born, NodeId, RunnerId};
+use sardinepick_lib::id::{NodeId, RunnerId, StartTime};
 
 const NODES: usize = 2;
 /// Events explored from each start.
@@ -59,7 +59,7 @@
 #[derive(Clone)]
 struct Work {
     stay: Stay,
-    born: Born,
+    born: StartTime,
 }
 
 #[derive(Clone)]
@@ -67,21 +67,21 @@
     loads: Vec<(Tag, Load)>,
     readings: Vec<Reading>,
     /// How much work of each life the sender had.
-    truth: Vec<Born>,
+    truth: Vec<StartTime>,
 }
 
 #[derive(Clone)]
 struct World {
     now: Instant,
-    born: Born,
+    born: StartTime,
     written: Vec<Entry>,
     nodes: [Register; NODES],
     work: [Vec<Work>; NODES],
     readings: Vec<Reading>,
     told: Vec<Report>,
-    heard: Vec<Born>,
+    heard: Vec<StartTime>,
     /// The lives that have read the prompt.
-    read: HashSet<Born>,
+    read: HashSet<StartTime>,
     /// Whether births are told at all.
     lives: bool,
 }
@@ -98,7 +98,7 @@
     fn new(lives: bool) -> Self {
         let mut world = Self {
             now: Instant::now(),
-            born: Born(1),
+            born: StartTime(1),
             written: Vec::new(),
             nodes: [Register::default(), Register::default()],
             work: [Vec::new(), Vec::new()],
@@ -108,7 +108,7 @@
             read: HashSet::new(),
             lives,
         };
-        world.write(Born(1));
+        world.write(StartTime(1));
         for at in 0..NODES {
             world.step(Event::TakeNewest(at));
         }
@@ -117,7 +117,7 @@
 
     /// Writes an entry of one life; each life has an address of its own, by which it is told apart
     /// here whatever the register does.
-    fn write(&mut self, born: Born) {
+    fn write(&mut self, born: StartTime) {
         let address = ([127, 0, 0, 1], u16::try_from(born.0).expect("few lives")).into();
         self.written.push(Entry {
             id: id(),
@@ -140,9 +140,9 @@
         (tag, self.nodes[0].by_tag(tag).map(|runner| runner.own).unwrap_or_default())
     }
 
-    fn believed(&self, at: usize) -> Option<Born> {
+    fn believed(&self, at: usize) -> Option<StartTime> {
         let runner = self.nodes[at].get(&id())?;
-        Some(Born(u64::from(runner.entry.address.port())))
+        Some(StartTime(u64::from(runner.entry.address.port())))
     }
 
     fn step(&mut self, event: Event) {
@@ -153,8 +153,8 @@
                 self.write(self.born);
             }
             Event::LateWrite => {
-                if self.born > Born(1) {
-                    self.write(Born(self.born.0 - 1));
+                if self.born > StartTime(1) {
+                    self.write(StartTime(self.born.0 - 1));
                 }
             }
             Event::TakeNewest(at) => {
--- a/lib/tests/membership.rs
+++ b/lib/tests/membership.rs
@@ -25,8 +25,8 @@
     let now = Instant::now();
     let mut a = Members::new(update(1), Vec::new());
     let mut b = Members::new(update(2), Vec::new());
-    a.take_all(now, vec![update(2)]);
-    b.take_all(now, vec![update(1)]);
+    a.merge_updates(now, vec![update(2)]);
+    b.merge_updates(now, vec![update(1)]);
     (a, b, now)
 }
 
@@ -82,7 +82,7 @@
             }
         }
     }
-    for out in b.tell(1, &mut rng) {
+    for out in b.push_updates(1, &mut rng) {
         a.receive(now, address(2), out.message);
     }
     assert_eq!(state(&a, 2), State::Serving);
@@ -95,14 +95,14 @@
         let Update { name, addresses, .. } = update(at);
         Vm { name, address: addresses.peer, leaving }
     };
-    a.take_list(now, &[vm(1, false), vm(2, true)]);
+    a.apply_vm_list(now, &[vm(1, false), vm(2, true)]);
     assert_eq!(state(&a, 2), State::Leaving);
     assert!(!a.serving().any(|n| *n == update(2).name), "it gets no new callers");
-    b.take_list(now, &[vm(1, false), vm(2, true)]);
+    b.apply_vm_list(now, &[vm(1, false), vm(2, true)]);
     assert_eq!(b.me().state, State::Leaving, "it leaves by itself");
 
     silence(&mut a, &mut now, PERIOD * 3);
-    a.take_list(now, &[vm(1, false)]);
+    a.apply_vm_list(now, &[vm(1, false)]);
     assert_eq!(state(&a, 2), State::Gone);
     assert!(a.is_ended(&update(2).name, Incarnation(1)), "it has left the list");
 }
@@ -123,8 +123,8 @@
     let (mut before, mut after) = (Vec::new(), Vec::new());
     for runner in 0..200 {
         let runner: Name = format!("runner-{runner}").parse().expect("a right name");
-        sardinepick_lib::supply::sharers(&runner, &names, &mut before);
-        sardinepick_lib::supply::sharers(&runner, &names[1..], &mut after);
+        sardinepick_lib::assignment::assign_nodes(&runner, &names, &mut before);
+        sardinepick_lib::assignment::assign_nodes(&runner, &names[1..], &mut after);
         let kept = before.iter().filter(|n| after.contains(n)).count();
         let lost = usize::from(before.contains(&&names[0]));
         assert_eq!(kept, before.len() - lost, "only the place of the one that left moves");
--- a/lib/tests/quarantine.rs
+++ b/lib/tests/quarantine.rs
@@ -6,7 +6,7 @@
 use sardinepick_lib::fleet::quarantine::{DELIBERATION, Entry, Quarantine, Stage, Standing};
 use sardinepick_lib::fleet::runner::Tag;
 use sardinepick_lib::fleet::suspect::{End, Reach, Suspects};
-use sardinepick_lib::hash::place;
+use sardinepick_lib::hash::stable_hash;
 use sardinepick_lib::id::NodeId;
 
 const MS: Duration = Duration::from_millis(1);
@@ -281,7 +281,7 @@
         first.confirm(1, began);
         let mut nodes: Vec<Quarantine> = vec![Quarantine::default(); count];
         nodes[0] = first.quarantine;
-        let weight = |of: usize, to: usize| place(of as u64, &to.to_le_bytes());
+        let weight = |of: usize, to: usize| stable_hash(of as u64, &to.to_le_bytes());
         let watchers = |of: usize| {
             let mut others: Vec<usize> = (0..count).filter(|to| *to != of).collect();
             others.sort_by_key(|to| std::cmp::Reverse(weight(of, *to)));
@@ -307,7 +307,7 @@
         for (from, entries) in news.iter().enumerate() {
             for to in self.watchers[from].clone() {
                 let draw = [from.to_le_bytes(), to.to_le_bytes()].concat();
-                if place(at.as_millis() as u64, &draw).is_multiple_of(10) {
+                if stable_hash(at.as_millis() as u64, &draw).is_multiple_of(10) {
                     continue;
                 }
                 self.told += u32::from(!entries.is_empty());
--- a/lib/tests/scheduler.rs
+++ b/lib/tests/scheduler.rs
@@ -15,7 +15,7 @@
 use sardinepick_lib::fleet::register::Register;
 use sardinepick_lib::fleet::runner::{Entry, State, Tag};
 use sardinepick_lib::fleet::scheduler::{self, Ask, Decision, Firmness, Lesson, Step};
-use sardinepick_lib::hash::place;
+use sardinepick_lib::hash::stable_hash;
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::{NodeId, RunnerId, ServiceId};
 
@@ -140,12 +140,12 @@
 #[test]
 fn of_prompt_twice_the_pools_each_cut_in_two() {
     for n in 0..1_000_u64 {
-        let key = ChainKey(place(n, b"prompt"));
+        let key = ChainKey(stable_hash(n, b"prompt"));
         let (few, many) = (Pool::of_prompt(key, 4), Pool::of_prompt(key, 8));
         assert_eq!(few.0, many.0 / 2);
     }
     let pools: BTreeSet<Pool> =
-        (0..1_000).map(|n| Pool::of_prompt(ChainKey(place(n, b"prompt")), 8)).collect();
+        (0..1_000).map(|n| Pool::of_prompt(ChainKey(stable_hash(n, b"prompt")), 8)).collect();
     assert_eq!(pools.len(), 8, "each has prompts");
 }
 
--- a/lib/tests/usage.rs
+++ b/lib/tests/usage.rs
@@ -7,7 +7,7 @@
 use sardinepick_lib::usage::ledger::{Ledger, MOST_WAITING};
 use sardinepick_lib::usage::tally::{Collector, Count, MOST_COUNTS, Message, Tally};
 use sardinepick_lib::usage::window::{Counts, Windows};
-use sardinepick_lib::wall::Estimate;
+use sardinepick_lib::wall_clock::Estimate;
 
 const S: Duration = Duration::from_secs(1);
 
@@ -286,7 +286,7 @@
     for n in 1..40 {
         let step = if (10..30).contains(&n) { 2.0 } else { 0.0 };
         let now = start + S * n / 4;
-        estimate.note_wall(now, wall(f64::from(n) / 4.0 + step));
+        estimate.observe_wall_clock(now, wall(f64::from(n) / 4.0 + step));
         assert!(off(&estimate, now, f64::from(n) / 4.0) < 0.01);
     }
 }
@@ -298,7 +298,7 @@
     for n in 1..10_000 {
         // The monotonic clock loses 100 us a second.
         let (now, time) = (start + S * n, f64::from(n) * 1.000_1);
-        estimate.note_wall(now, wall(time));
+        estimate.observe_wall_clock(now, wall(time));
         assert!(off(&estimate, now, time) < 0.05);
     }
 }
@@ -316,7 +316,7 @@
         for at in 0..all.len() {
             for other in (1..9).map(|step| (at + step * 7 + round) % names.len()) {
                 let time = all[other].at(now);
-                all[at].note_other(now, &names[other], time);
+                all[at].observe_peer(now, &names[other], time);
             }
         }
     }
--- a/node/src/authority.rs
+++ b/node/src/authority.rs
@@ -5,14 +5,14 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
+use sardinepick_lib::assignment;
 use sardinepick_lib::config::object::{Form, Role, Runner, Service};
 use sardinepick_lib::config::snapshot::Snapshot;
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::{Epoch, Name};
 use sardinepick_lib::lease::{self, Holder, Lease, Written};
-use sardinepick_lib::order::{self, Answer, Desk, Intent};
-use sardinepick_lib::role::{self, Decision, Engine, MIXED_EFFICIENCY, Price};
-use sardinepick_lib::supply;
+use sardinepick_lib::order::{self, Answer, Intent, OrderSender};
+use sardinepick_lib::role::{self, ChangeCost, Decision, Engine, MIXED_EFFICIENCY};
 use smol_str::format_smolstr;
 
 use crate::node::Node;
@@ -121,7 +121,7 @@
     lease: Lease,
     looked: Option<Instant>,
     decided: Option<Instant>,
-    desks: HashMap<Name, Desk>,
+    desks: HashMap<Name, OrderSender>,
     configured: HashMap<Name, Role>,
     changed: HashMap<Name, Instant>,
     emptying: HashMap<Name, Emptying>,
@@ -190,7 +190,7 @@
         }
         let members = self.node.members();
         let duty = format!("lease {}", self.service);
-        supply::holder(&duty, members.serving()) == Some(&self.node.settings.name)
+        assignment::duty_node(&duty, members.serving()) == Some(&self.node.settings.name)
     }
 
     async fn step_lease(&mut self, wanted: bool) {
@@ -203,9 +203,9 @@
         let due = self.looked.is_none_or(|at| now >= at + CONTEST_PERIOD);
         if !mine && due {
             self.looked = Some(now);
-            self.lease.want_read();
+            self.lease.request_read();
         }
-        if self.lease.wants_settling() {
+        if self.lease.take_settling_read() {
             self.read_lease().await;
         }
         let term = node.settings.term;
@@ -235,12 +235,12 @@
             },
             Err(error) => {
                 log::debug!(error:% = error; "reading a lease");
-                self.lease.want_read();
+                self.lease.request_read();
                 return;
             }
         };
         let now = self.node.clock.now();
-        self.lease.take_read(now, self.node.settings.term, found);
+        self.lease.on_read(now, self.node.settings.term, found);
     }
 
     async fn write_lease(&mut self, expected: Option<Point>, record: lease::Record) {
@@ -254,7 +254,7 @@
             Err(StoreError::Unreachable { .. } | StoreError::Refused { .. }) => Written::Conflict,
         };
         let now = self.node.clock.now();
-        self.lease.take_written(now, self.node.settings.term, written);
+        self.lease.on_written(now, self.node.settings.term, written);
         if matches!(written, Written::Done(_)) && record.beat == 0 && record.holder.is_some() {
             log::info!(service:% = self.service, epoch:% = record.epoch; "lease taken");
         }
@@ -311,13 +311,13 @@
             Engine {
                 at,
                 role: view.map_or(runner.role, |v| v.report.role),
-                changing: self.desks.get(&runner.name).is_some_and(Desk::is_busy),
+                changing: self.desks.get(&runner.name).is_some_and(OrderSender::is_busy),
                 leaving: view.is_some_and(|v| !v.takes_work(now)),
                 changed: self.changed.get(&runner.name).copied(),
             }
         };
         let engines: Vec<Engine> = runners.iter().enumerate().map(engine).collect();
-        let price = Price {
+        let price = ChangeCost {
             away: AWAY,
             extra,
             away_limit: f64::from(service.away_limit.0) / 100.0,
@@ -332,8 +332,8 @@
         let fencing = self.snapshot().runner(runner).map(|r| r.fencing).unwrap_or_default();
         self.next_order += 1;
         let id = order::Id(format_smolstr!("{}-{epoch}-{}", self.service, self.next_order));
-        let desk = self.desks.entry(runner.clone()).or_insert_with(|| Desk::new(fencing));
-        if !desk.want(id, role) {
+        let desk = self.desks.entry(runner.clone()).or_insert_with(|| OrderSender::new(fencing));
+        if !desk.request(id, role) {
             // The order under way comes first; the wish is looked at again in the next step.
             self.configured.remove(runner);
         }
@@ -394,8 +394,10 @@
             }
             _ => self.await_return(runner).await,
         }
-        let desk =
-            self.desks.entry(runner.name.clone()).or_insert_with(|| Desk::new(runner.fencing));
+        let desk = self
+            .desks
+            .entry(runner.name.clone())
+            .or_insert_with(|| OrderSender::new(runner.fencing));
         let peer = Peer { name: runner.name.clone(), address: runner.address };
         let now = node.clock.now();
         let mut next = desk.poll(now, self.lease.authority(now), self.lease.is_doubtful());
@@ -403,17 +405,17 @@
             next = match action {
                 order::Action::Read => {
                     if let Ok(found) = read_intent(&node, &runner.name).await {
-                        desk.take_read(found);
+                        desk.on_read(found);
                     }
                     None
                 }
                 order::Action::Write { expected, intent } => {
                     let revision = write_intent(&node, &runner.name, expected, &intent).await;
-                    desk.take_written(revision);
+                    desk.on_written(revision);
                     None
                 }
-                order::Action::Ask => match node.engine.condition(&peer).await {
-                    Ok(condition) => desk.take_condition(&condition),
+                order::Action::Query => match node.engine.condition(&peer).await {
+                    Ok(condition) => desk.on_status(&condition),
                     Err(fault) => {
                         log::debug!(error:% = fault; "asking an engine for its condition");
                         None
@@ -426,7 +428,7 @@
                     let answer =
                         if still { node.engine.order(&peer, &order).await } else { Answer::Lost };
                     let label = match answer {
-                        Answer::Taken => "taken",
+                        Answer::Accepted => "taken",
                         Answer::Fenced => "fenced",
                         Answer::Lost => "lost",
                     };
@@ -435,7 +437,7 @@
                         runner:% = runner.name, order:% = order.id, epoch:% = order.epoch,
                         role:% = order.role, answer = label; "order"
                     );
-                    desk.take_answer(answer)
+                    desk.on_answer(answer)
                 }
             };
         }
--- a/node/src/claims.rs
+++ b/node/src/claims.rs
@@ -99,7 +99,7 @@
         log::warn!(error:% = error; "looking up a newer table of owners");
     }
     let table = node.table.load_full();
-    if key.birth < table.floor() {
+    if key.birth < table.oldest() {
         return Err(Denial::Doubt(Doubt::TooOld));
     }
     let Some(owner) = table.owner(&key.key, key.birth).cloned() else {
--- a/node/src/configuration.rs
+++ b/node/src/configuration.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use futures_util::future::try_join_all;
+use sardinepick_lib::assignment;
 use sardinepick_lib::config::chunk::Chunk;
 use sardinepick_lib::config::head::Head;
+use sardinepick_lib::config_fetch::{Action, ConfigFetchError, Source};
 use sardinepick_lib::hash::Digest;
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::Name;
 use sardinepick_lib::member::State;
-use sardinepick_lib::spread::{Action, Source, SpreadError};
-use sardinepick_lib::supply;
 use thiserror::Error;
 use tokio::net::UdpSocket;
 
@@ -51,7 +51,7 @@
     Peer(#[from] PeerError),
     /// What came is not a configuration.
     #[error(transparent)]
-    Spread(#[from] SpreadError),
+    Spread(#[from] ConfigFetchError),
     /// The head is not JSON of the expected form.
     #[error("reading {HEAD}: {0}")]
     Head(#[from] serde_json::Error),
@@ -87,7 +87,7 @@
         .map(|p| &p.update.name);
     let all = std::iter::once(&me.name).chain(near);
     let duty = format!("watch {}", me.data_centre);
-    supply::holders(&duty, all, WATCHERS).contains(&&me.name)
+    assignment::duty_nodes(&duty, all, WATCHERS).contains(&&me.name)
 }
 
 /// Watches the platform where it is this node's duty, or where it has no configuration yet, until
@@ -118,7 +118,7 @@
 async fn watch_once(node: &Node, seen: &mut Point) -> Result<(), FetchError> {
     if let Some((revision, head)) = read_head(node).await? {
         *seen = (*seen).max(revision);
-        node.spreader().take_head(head);
+        node.spreader().on_head(head);
         node.wanted.notify_one();
     }
     node.store.watch(HEAD, *seen, WATCH_WAIT).await?;
@@ -146,7 +146,7 @@
             Ok(false) => {}
             Err(error) => {
                 log::debug!(error:% = error; "fetching a configuration");
-                node.spreader().note_failed();
+                node.spreader().on_fetch_failed();
                 return;
             }
         }
@@ -166,9 +166,9 @@
             };
             match head {
                 Some(head) if head.generation >= node.spreader().wanted() => {
-                    node.spreader().take_head(head);
+                    node.spreader().on_head(head);
                 }
-                _ => node.spreader().note_failed(),
+                _ => node.spreader().on_fetch_failed(),
             }
             Ok(false)
         }
@@ -181,7 +181,7 @@
                 }
                 Source::Store => read_chunks(node, &digests).await?,
             };
-            let installed = node.spreader().take_chunks(chunks)?.is_some();
+            let installed = node.spreader().on_chunks(chunks)?.is_some();
             Ok(installed)
         }
     }
--- a/node/src/dump.rs
+++ b/node/src/dump.rs
@@ -110,7 +110,7 @@
     let pools = node.pools();
     let pools = pools.iter().map(|pool| {
         let peek = pool.peek();
-        let runner = |v: &sardinepick_lib::runner::View| RunnerDump {
+        let runner = |v: &sardinepick_lib::runner::RunnerView| RunnerDump {
             name: v.name.to_string(),
             takes_work: v.takes_work(now),
             in_flight: v.in_flight,
--- a/node/src/duty/tenure.rs
+++ b/node/src/duty/tenure.rs
@@ -123,12 +123,12 @@
             self.note_era(&mut state.lease);
             let wanted = leads && within(state.wished, KEPT);
             let holds = state.lease.holding(now).is_some();
-            let settles = state.lease.wants_settling();
+            let settles = state.lease.take_settling_read();
             if !wanted && !holds && !settles {
                 return true;
             }
             if !holds && !within(state.read, READ_PERIOD) {
-                state.lease.want_read();
+                state.lease.request_read();
             }
             (wanted, settles)
         };
@@ -154,7 +154,7 @@
 
     fn note_era(&self, lease: &mut Lease) {
         if let Some(since) = self.history.since() {
-            lease.note_era(self.history.era(), since);
+            lease.set_era(self.history.era(), since);
         }
     }
 
@@ -168,12 +168,12 @@
             Ok(found) => {
                 state.failures = 0;
                 let found = found.map(|object| decode(&object));
-                state.lease.take_read(now, self.term, found);
+                state.lease.on_read(now, self.term, found);
             }
             Err(error) => {
                 log::info!(error:% = error; "lease not read");
                 state.failures += 1;
-                state.lease.want_read();
+                state.lease.request_read();
             }
         }
     }
@@ -208,7 +208,7 @@
                 "lease {change}"
             );
         }
-        state.lease.take_written(now, self.term, written);
+        state.lease.on_written(now, self.term, written);
     }
 }
 
--- a/node/src/explain.rs
+++ b/node/src/explain.rs
@@ -33,7 +33,7 @@
     let work = pool.estimate_work(prompt, output, Prefix::default());
     let mut lines = pool.explain(&work);
     lines.sort_by(|a, b| {
-        let key = |l: &(_, sardinepick_lib::choose::Prediction, bool)| (!l.2, l.1.last);
+        let key = |l: &(_, sardinepick_lib::choose::Prediction, bool)| (!l.2, l.1.last_token);
         let (a, b) = (key(a), key(b));
         a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
     });
@@ -43,7 +43,7 @@
             SmolStr::new_static("usable")
         } else if view.leaving {
             SmolStr::new_static("leaving")
-        } else if view.avoid_until.is_some_and(|until| now < until) {
+        } else if view.backoff_until.is_some_and(|until| now < until) {
             format_smolstr!("left alone after {} faults", view.faults)
         } else {
             SmolStr::new_static("drained")
@@ -52,8 +52,8 @@
         vec![
             view.name.to_smolstr(),
             why,
-            seconds(prediction.first),
-            seconds(prediction.last),
+            seconds(prediction.first_token),
+            seconds(prediction.last_token),
             view.in_flight.to_smolstr(),
             age,
         ]
@@ -76,7 +76,7 @@
         };
         return table(&["why"], vec![vec![why]]);
     };
-    let division = |d: sardinepick_lib::role::Division| {
+    let division = |d: sardinepick_lib::role::RoleCounts| {
         format_smolstr!("{} prefill, {} decode, {} mixed", d.prefill, d.decode, d.mixed)
     };
     let row = vec![
--- a/node/src/front/addresses.rs
+++ b/node/src/front/addresses.rs
@@ -41,7 +41,7 @@
             None => Some(node.settings.data_centre.clone()),
         };
     let fronts = node.fronts();
-    let picked = directory::pick(&fronts, near.as_ref(), &mut *node.rng());
+    let picked = directory::pick_addresses(&fronts, near.as_ref(), &mut *node.rng());
     Ok(HttpResponseOk(Listing {
         addresses: picked.iter().map(ToString::to_string).collect(),
         valid_ms: u64::try_from(node.settings.validity.as_millis()).unwrap_or(u64::MAX),
--- a/node/src/front/completions.rs
+++ b/node/src/front/completions.rs
@@ -10,7 +10,7 @@
 use http_body_util::StreamBody;
 use hyper::body::{Frame, Incoming};
 use sardinepick_lib::config::object::Form;
-use sardinepick_lib::hash::place;
+use sardinepick_lib::hash::stable_hash;
 use sardinepick_lib::id::Name;
 use serde::{Deserialize, Serialize};
 use smol_str::{SmolStr, format_smolstr};
@@ -229,7 +229,7 @@
 pub fn request_id(node: &Node, headers: &HeaderMap) -> Result<SmolStr, Fault> {
     let Some(value) = headers.get(REQUEST_ID) else {
         let number = node.next_request();
-        let tag = place(node.incarnation.0, node.settings.name.as_str().as_bytes());
+        let tag = stable_hash(node.incarnation.0, node.settings.name.as_str().as_bytes());
         return Ok(format_smolstr!("req-{tag:016x}-{number}"));
     };
     match value.to_str() {
--- a/node/src/front/plain.rs
+++ b/node/src/front/plain.rs
@@ -15,13 +15,13 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use sardinepick_lib::admit::Offer;
+use sardinepick_lib::admit::AdmissionRequest;
 use sardinepick_lib::claim::{self, Outcome};
 use sardinepick_lib::config::object::{Account, Form, Service};
 use sardinepick_lib::config::snapshot::Snapshot;
-use sardinepick_lib::hash::place;
+use sardinepick_lib::hash::stable_hash;
 use sardinepick_lib::id::{Attempt, Name, Version};
-use sardinepick_lib::outcome::{self as request, Fault as Failed, Next, Repeat, Run};
+use sardinepick_lib::outcome::{self as request, Fault as Failed, NextStep, RetryMode, Run};
 use sardinepick_lib::runner::{Prefix, Work};
 use smallvec::SmallVec;
 use smol_str::{SmolStr, format_smolstr};
@@ -163,7 +163,7 @@
         return Err(Fault::bad(ATTEMPT, "attempts are counted from 1"));
     }
     let path = head.uri.path_and_query().map_or("", |p| p.as_str());
-    let request = place(place(0, path.as_bytes()), bytes);
+    let request = stable_hash(stable_hash(0, path.as_bytes()), bytes);
     Ok(Some(Key {
         key: format_smolstr!("{}/{}/{text}", account.name, service.name),
         attempt: Attempt(attempt),
@@ -197,7 +197,7 @@
     }
 
     fn outcome(&self) -> Outcome {
-        if self.bytes.len() > claim::LARGEST_ANSWER {
+        if self.bytes.len() > claim::MAX_ANSWER_BYTES {
             return Outcome::NotKept;
         }
         let kind = self.head.headers().get(header::CONTENT_TYPE);
@@ -256,7 +256,7 @@
             self.head.method,
             Method::GET | Method::HEAD | Method::PUT | Method::DELETE | Method::OPTIONS
         );
-        let repeat = if idempotent { Repeat::Idempotent } else { Repeat::Never };
+        let repeat = if idempotent { RetryMode::Idempotent } else { RetryMode::Never };
         let mut state = request::Request::new(repeat);
         state.admit();
         let (_, allowed) = terms(&self.snapshot, &self.service, &self.account, self.allowed);
@@ -291,11 +291,11 @@
             ticket.fault(failed.leaving);
             let few = attempt < Attempt(MOST_ATTEMPTS);
             let granted = few && (failed.leaving || pool.take_retry());
-            match state.fail(&failed.fault, granted) {
-                Next::Retry | Next::Resume { .. } => {
+            match state.on_fault(&failed.fault, granted) {
+                NextStep::Retry | NextStep::Resume { .. } => {
                     node.metrics.retries.with_label_values(&["retry"]).inc();
                 }
-                Next::Refuse(run) => {
+                NextStep::Refuse(run) => {
                     let cause = Cause::Upstream(failed.fault);
                     return Err(Denied { run, cause, after: DEFAULT_AFTER });
                 }
@@ -306,7 +306,7 @@
     async fn enter(&self, pool: &Shared) -> Result<Permit, Denied> {
         let node = &self.node;
         let (priority, allowed) = terms(&self.snapshot, &self.service, &self.account, self.allowed);
-        let offer = Offer {
+        let offer = AdmissionRequest {
             id: node.next_request(),
             account: self.account.name.clone(),
             priority,
@@ -316,7 +316,7 @@
         pool.enter(&self.account, offer).await.map_err(|refusal| Denied {
             run: Run::NotRun,
             cause: Cause::Admission(refusal),
-            after: refusal.after,
+            after: refusal.retry_after,
         })
     }
 
--- a/node/src/history/mod.rs
+++ b/node/src/history/mod.rs
@@ -7,7 +7,7 @@
 use http::HeaderMap;
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::fleet::outage::DOUBT;
-use sardinepick_lib::history::{Era, Point, Present, Sight};
+use sardinepick_lib::history::{CurrentEra, Era, EraChange, Point};
 use sardinepick_platform::store::read_era;
 use thiserror::Error;
 use tokio::sync::watch;
@@ -43,7 +43,7 @@
 pub struct Tracker {
     clock: Arc<dyn Clock>,
     metrics: Metrics,
-    present: Mutex<Present>,
+    present: Mutex<CurrentEra>,
     /// Whether an answer of the store has ever named an era.
     is_named: AtomicBool,
     logged: Mutex<Option<Instant>>,
@@ -64,7 +64,7 @@
         }
     }
 
-    fn present(&self) -> MutexGuard<'_, Present> {
+    fn present(&self) -> MutexGuard<'_, CurrentEra> {
         lock(&self.present)
     }
 
@@ -81,12 +81,12 @@
     /// Until when an entry that is missing now is doubted, as who wrote it writes it again after the
     /// store has come back from a copy.
     pub fn doubt(&self, now: Instant) -> Option<Instant> {
-        self.present().doubt(now, DOUBT)
+        self.present().grace_until(now, DOUBT)
     }
 
     /// Whether the store has come back from a copy in this process's life.
     pub fn has_come_back(&self) -> bool {
-        self.present().has_come_back()
+        self.present().was_restored()
     }
 
     /// Tells of each change of the era.
@@ -147,7 +147,7 @@
     fn begin_unnamed(&self) {
         let mut present = self.present();
         if present.since().is_none() {
-            present.note(Era::default(), self.clock.now());
+            present.observe(Era::default(), self.clock.now());
         }
     }
 
@@ -155,29 +155,29 @@
         let (known, sight) = {
             let mut present = self.present();
             let known = present.era();
-            (known, present.note(shown, self.clock.now()))
+            (known, present.observe(shown, self.clock.now()))
         };
         match sight {
-            Sight::Same => return Ok(shown),
-            Sight::First => {
+            EraChange::Same => return Ok(shown),
+            EraChange::First => {
                 self.count("first");
                 log::info!(era:% = shown, source = source; "store's era known");
             }
-            Sight::Later { before } => {
+            EraChange::Later { before } => {
                 self.count("later");
                 log::warn!(
                     era:% = shown, before:% = before, source = source;
                     "store came back from a copy"
                 );
             }
-            Sight::Former => {
+            EraChange::Earlier => {
                 self.count("former");
                 if self.is_log_due() {
                     log::warn!(era:% = shown, known:% = known; "answer of a former era not used");
                 }
                 return Err(EraError::Former { shown, known });
             }
-            Sight::Unconfirmed => {
+            EraChange::Unconfirmed => {
                 self.count("unconfirmed");
                 if self.is_log_due() {
                     log::warn!(era:% = shown, known:% = known; "store's era not believed yet");
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -9,16 +9,16 @@
 use arc_swap::ArcSwap;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
+use sardinepick_lib::assignment;
 use sardinepick_lib::claim::Register;
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::config::snapshot::Snapshot;
-use sardinepick_lib::directory::Front;
-use sardinepick_lib::hash::place;
+use sardinepick_lib::config_fetch::ConfigFetcher;
+use sardinepick_lib::directory::ClientEndpoint;
+use sardinepick_lib::hash::stable_hash;
 use sardinepick_lib::id::{Generation, Incarnation, Name, RequestId};
 use sardinepick_lib::member::{Addresses, Members, State, Update};
 use sardinepick_lib::owner::{Member, Table};
-use sardinepick_lib::spread::Spreader;
-use sardinepick_lib::supply;
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, watch};
 
@@ -64,7 +64,7 @@
     pub wanted: Notify,
     socket: OnceLock<Arc<UdpSocket>>,
     members: Mutex<Members>,
-    spreader: Mutex<Spreader>,
+    spreader: Mutex<ConfigFetcher>,
     register: Mutex<Register>,
     pools: Mutex<HashMap<Name, Shared>>,
     rng: Mutex<StdRng>,
@@ -93,10 +93,10 @@
             addresses: Addresses { peer: settings.peer, front: settings.front },
             data_centre: settings.data_centre.clone(),
         };
-        let seed = place(incarnation.0, settings.name.as_str().as_bytes());
+        let seed = stable_hash(incarnation.0, settings.name.as_str().as_bytes());
         Self {
             members: Mutex::new(Members::new(update, settings.seeds.clone())),
-            spreader: Mutex::new(Spreader::default()),
+            spreader: Mutex::new(ConfigFetcher::default()),
             register: Mutex::new(Register::new(me)),
             pools: Mutex::new(HashMap::new()),
             rng: Mutex::new(StdRng::seed_from_u64(seed)),
@@ -137,7 +137,7 @@
     }
 
     /// The spreading of configurations.
-    pub fn spreader(&self) -> MutexGuard<'_, Spreader> {
+    pub fn spreader(&self) -> MutexGuard<'_, ConfigFetcher> {
         self.spreader.lock().expect("no holder of the spreader's lock panics")
     }
 
@@ -193,12 +193,12 @@
         let mut pools = HashMap::new();
         for service in snapshot.services() {
             let pool = self.pool(&service.name).unwrap_or_else(|| {
-                let seed = place(self.incarnation.0, service.name.as_str().as_bytes());
+                let seed = stable_hash(self.incarnation.0, service.name.as_str().as_bytes());
                 Arc::new(Pool::new(service.name.clone(), self.clock.clone(), seed))
             });
             let mut mine = Vec::new();
             for runner in snapshot.runners(&service.name) {
-                supply::sharers(&runner.name, &nodes, &mut sharing);
+                assignment::assign_nodes(&runner.name, &nodes, &mut sharing);
                 if sharing.contains(&&self.settings.name) {
                     let shared = u32::try_from(sharing.len()).unwrap_or(u32::MAX);
                     mine.push((runner, shared));
@@ -211,18 +211,18 @@
     }
 
     /// The nodes that take callers.
-    pub fn fronts(&self) -> Vec<Front> {
+    pub fn fronts(&self) -> Vec<ClientEndpoint> {
         let members = self.members();
         let me = members.me();
         let load = u32::try_from(self.metrics.under_way.get()).unwrap_or(0);
-        let front = |update: &Update, load| Front {
+        let front = |update: &Update, load| ClientEndpoint {
             name: update.name.clone(),
             address: update.addresses.front,
             data_centre: update.data_centre.clone(),
             load,
         };
         let mine = (me.state == State::Serving).then(|| front(me, load));
-        let others = members.peers().filter(|p| p.takes_callers());
+        let others = members.peers().filter(|p| p.accepts_clients());
         mine.into_iter().chain(others.map(|p| front(&p.update, p.status.load))).collect()
     }
 
--- a/node/src/path.rs
+++ b/node/src/path.rs
@@ -4,11 +4,11 @@
 use std::time::{Duration, Instant};
 
 use futures_util::StreamExt as _;
-use sardinepick_lib::admit::{Offer, Refusal};
+use sardinepick_lib::admit::{AdmissionRequest, Refusal};
 use sardinepick_lib::config::object::{Account, Priority, Service};
 use sardinepick_lib::config::snapshot::Snapshot;
 use sardinepick_lib::id::{Attempt, Name};
-use sardinepick_lib::outcome::{Fault, Next, Repeat, Request, Run, Verdict};
+use sardinepick_lib::outcome::{Fault, NextStep, Request, RetryMode, Run, Verdict};
 use sardinepick_lib::runner::{Prefix, Work};
 use smallvec::SmallVec;
 use smol_str::SmolStr;
@@ -169,7 +169,7 @@
     let work = pool.estimate_work(prompt, wanted.max_tokens, prefix);
     pool.note_arrival(&work);
     let deadline = began + allowed;
-    let offer = Offer {
+    let offer = AdmissionRequest {
         id: node.next_request(),
         account: account.name.clone(),
         priority,
@@ -179,7 +179,7 @@
     let permit = pool.enter(account, offer).await.map_err(|refusal| Denied {
         run: Run::NotRun,
         cause: Cause::Admission(refusal),
-        after: refusal.after,
+        after: refusal.retry_after,
     })?;
     let model = service.model.as_ref().unwrap_or(&service.name);
     let completion = Completion {
@@ -190,7 +190,7 @@
         priority,
         resume_from: 0,
     };
-    let mut request = Request::new(Repeat::Resumable);
+    let mut request = Request::new(RetryMode::Resumable);
     request.admit();
     let (sender, mut parts) = mpsc::channel(FRAMES_AHEAD);
     let drive = Drive {
@@ -243,7 +243,7 @@
         let label = match end {
             Ok(Some(reason)) => {
                 permit.note_finished();
-                self.pool.note_output(self.completion.max_tokens, self.request.passed());
+                self.pool.note_output(self.completion.max_tokens, self.request.forwarded());
                 drop(permit);
                 let _ = self.sender.send(Part::Close(reason)).await;
                 "answered"
@@ -300,13 +300,13 @@
             request:% = self.completion.id, runner:% = self.tried.last().expect("just tried"),
             attempt:% = self.request.attempt(); "attempt failed: {fault}"
         );
-        let kind = match self.request.fail(&fault, granted) {
-            Next::Retry => "retry",
-            Next::Resume { from } => {
+        let kind = match self.request.on_fault(&fault, granted) {
+            NextStep::Retry => "retry",
+            NextStep::Resume { from } => {
                 self.completion.resume_from = from;
                 "resume"
             }
-            Next::Refuse(run) => {
+            NextStep::Refuse(run) => {
                 return Err(Denied { run, cause: Cause::Upstream(fault), after: DEFAULT_AFTER });
             }
         };
@@ -362,7 +362,7 @@
                 Err(_) => return broken(peer, "no sign of life"),
             };
             match frame {
-                Frame::Token { index, text } => match self.request.frame(attempt, index) {
+                Frame::Token { index, text } => match self.request.on_token(attempt, index) {
                     Verdict::Pass => {
                         ticket.note_first();
                         self.note_token();
--- a/node/src/peer/gossip.rs
+++ b/node/src/peer/gossip.rs
@@ -8,7 +8,7 @@
 use sardinepick_lib::config::object::Form;
 use sardinepick_lib::id::Name;
 use sardinepick_lib::member::{Outgoing, Status};
-use sardinepick_lib::{role, supply};
+use sardinepick_lib::{assignment, role};
 use sardinepick_wire::gossip::{Datagram, Reserve};
 use sardinepick_wire::load::{LOADS, Load, RunnerHash};
 use tokio::net::UdpSocket;
@@ -56,7 +56,7 @@
     let now = node.clock.now();
     let with = {
         let mut rng = node.rng();
-        node.members().exchange_with(now, &mut *rng)
+        node.members().full_sync_peer(now, &mut *rng)
     };
     if let Some(with) = with {
         tokio::spawn(exchange(node.clone(), with));
@@ -73,11 +73,11 @@
 
 /// Exchanges whole lists of the membership with another node.
 async fn exchange(node: Arc<Node>, with: SocketAddr) {
-    let all = node.members().all();
+    let all = node.members().all_updates();
     match node.peers.members(with, &all).await {
         Ok(updates) => {
             let now = node.clock.now();
-            node.members().take_all(now, updates);
+            node.members().merge_updates(now, updates);
         }
         Err(error) => log::debug!(error:% = error; "exchanging the membership"),
     }
@@ -90,7 +90,7 @@
         let mut rng = node.rng();
         let mut members = node.members();
         members.set_status(status);
-        members.tell(TELL, &mut *rng)
+        members.push_updates(TELL, &mut *rng)
     };
     send_all(node, socket, out).await;
 }
@@ -111,7 +111,7 @@
             let table = message.status.table;
             let out = node.members().receive(node.clock.now(), source, *message);
             if generation > node.config.load().generation {
-                node.spreader().hear(&from, generation);
+                node.spreader().on_advertised(&from, generation);
                 node.wanted.notify_one();
             }
             if table > node.table.load().newest() {
@@ -153,7 +153,7 @@
 pub async fn reserve(node: &Node, runner: &Name, span: Duration) {
     let nodes: Vec<Name> = node.members().active().cloned().collect();
     let mut sharing = Vec::new();
-    supply::sharers(runner, &nodes, &mut sharing);
+    assignment::assign_nodes(runner, &nodes, &mut sharing);
     let reserve = Reserve { runners: vec![RunnerHash::from(runner)], span };
     take_reserve(node, &reserve);
     let Some(socket) = node.socket() else { return };
@@ -209,7 +209,7 @@
             }
             _ = ticks.tick() => {
                 let nodes = node.members().active().count();
-                let period = supply::load_period(nodes, node.settings.load_period);
+                let period = assignment::load_period(nodes, node.settings.load_period);
                 let now = node.clock.now();
                 // A tick may come a little early, so three quarters of the period must have passed.
                 if asked.is_none_or(|at| now >= at + period * 3 / 4) {
@@ -239,7 +239,7 @@
             continue;
         }
         for (runner, address) in pool.runners() {
-            supply::sharers(&runner, &nodes, &mut sharing);
+            assignment::assign_nodes(&runner, &nodes, &mut sharing);
             if sharing.first() == Some(&&node.settings.name) {
                 let others = sharing.iter().skip(1).map(|n| (*n).clone()).collect();
                 let peer = Peer { name: runner, address };
--- a/node/src/peer/server.rs
+++ b/node/src/peer/server.rs
@@ -92,8 +92,8 @@
         let updates = updates.collect::<Result<Vec<_>, _>>().map_err(invalid)?;
         let now = self.node.clock.now();
         let mut members = self.node.members();
-        let all = members.all();
-        members.take_all(now, updates);
+        let all = members.all_updates();
+        members.merge_updates(now, updates);
         drop(members);
         let members = all.iter().map(pb::Update::from).collect();
         Ok(Response::new(pb::MembersReply { members }))
@@ -115,7 +115,7 @@
         &self,
         request: Request<pb::TableRequest>,
     ) -> Result<Response<pb::TableReply>, Status> {
-        let newer = self.node.table.load().after(Version(request.into_inner().since));
+        let newer = self.node.table.load().since(Version(request.into_inner().since));
         let table = serde_json::to_vec(&newer).map_err(invalid)?;
         Ok(Response::new(pb::TableReply { table }))
     }
--- a/node/src/pool.rs
+++ b/node/src/pool.rs
@@ -7,14 +7,14 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
-use sardinepick_lib::admit::{Decision, Event, Gate, Offer, Refusal, Setting};
+use sardinepick_lib::admit::{AdmissionQueue, AdmissionRequest, Decision, Event, Limits, Refusal};
 use sardinepick_lib::budget::Budget;
 use sardinepick_lib::choose::{self, Prediction};
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::config::object::{Account, Runner, Service};
 use sardinepick_lib::id::{Name, RequestId};
 use sardinepick_lib::role::{Demand, Estimate};
-use sardinepick_lib::runner::{Prefix, Report, View, Work};
+use sardinepick_lib::runner::{Prefix, Report, RunnerView, Work};
 use sardinepick_lib::unit::{Percent, Tokens};
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
@@ -44,10 +44,10 @@
 }
 
 struct Inner {
-    gate: Gate,
-    views: Vec<View>,
+    gate: AdmissionQueue,
+    views: Vec<RunnerView>,
     places: HashMap<Name, Place>,
-    setting: choose::Setting,
+    setting: choose::Settings,
     budget: Budget,
     waiting: HashMap<RequestId, Waiter>,
     output_part: f64,
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 pub struct Peek {
     /// The runners.
-    pub views: Vec<View>,
+    pub views: Vec<RunnerView>,
     /// Requests that wait.
     pub queue: usize,
     /// Requests under way.
@@ -80,12 +80,12 @@
     /// A pool without runners.
     pub fn new(service: Name, clock: Arc<dyn Clock>, seed: u64) -> Self {
         let now = clock.now();
-        let gate = Gate::new(Setting { places: 0, queue: 0, share: 1000 });
+        let gate = AdmissionQueue::new(Limits { max_concurrent: 0, max_queued: 0, share: 1000 });
         let inner = Inner {
             gate,
             views: Vec::new(),
             places: HashMap::new(),
-            setting: choose::Setting::default(),
+            setting: choose::Settings::default(),
             budget: Budget::new(Percent(0), now),
             waiting: HashMap::new(),
             output_part: 1.0,
@@ -108,7 +108,7 @@
         service: &Service,
         runners: &[(&Runner, u32)],
         nodes: u32,
-        queue: usize,
+        max_queued: usize,
     ) {
         let now = self.clock.now();
         let mut inner = self.lock();
@@ -121,7 +121,7 @@
             let old = inner.places.get(&runner.name).filter(same).map(|p| p.view);
             let mut view = match old {
                 Some(at) => inner.views[at].clone(),
-                None => View::new(runner.name.clone(), runner.slots, runner.state),
+                None => RunnerView::new(runner.name.clone(), runner.slots, runner.state),
             };
             view.state = runner.state;
             view.slots = runner.slots;
@@ -133,11 +133,11 @@
         }
         inner.views = views;
         inner.places = places;
-        inner.setting.sharers = sharers;
+        inner.setting.nodes_per_runner = sharers;
         inner.nodes = nodes;
-        let places = (slots * f64::from(OVERCOMMIT)).ceil().max(1.0) as u32;
+        let max_concurrent = (slots * f64::from(OVERCOMMIT)).ceil().max(1.0) as u32;
         let share = 1000_u32.div_ceil(nodes.max(1)).saturating_mul(SHARE_SLACK).min(1000);
-        inner.gate.set(Setting { places, queue, share });
+        inner.gate.set(Limits { max_concurrent, max_queued, share });
         inner.budget.set_share(service.retry_budget);
         let events = inner.pump(now);
         drop(inner);
@@ -167,7 +167,7 @@
         inner.arrived.prefill += f64::from(work.prompt.0) / prefill;
         let slots = inner.views.first().map_or(1, |v| v.slots.max(1));
         inner.arrived.decode += f64::from(work.output.0) / decode / f64::from(slots);
-        inner.budget.note_first();
+        inner.budget.record_first_attempt();
     }
 
     /// Closes one sample of demand.
@@ -179,8 +179,8 @@
         // Roles are decided for the whole service: one node's part alone would look like idleness.
         let nodes = f64::from(inner.nodes);
         let all = Demand { prefill: arrived.prefill * nodes, decode: arrived.decode * nodes };
-        inner.estimate.take(now, all);
-        inner.gate.forget(now, IDLE_ACCOUNT);
+        inner.estimate.add_sample(now, all);
+        inner.gate.evict_idle(now, IDLE_ACCOUNT);
     }
 
     /// Notes how much of the output that was allowed has come.
@@ -200,7 +200,7 @@
     pub async fn enter(
         self: &Arc<Self>,
         account: &Account,
-        offer: Offer,
+        offer: AdmissionRequest,
     ) -> Result<Permit, Refusal> {
         let permit = |pool: &Arc<Self>, cost| Permit {
             pool: pool.clone(),
@@ -216,7 +216,7 @@
             let now = self.clock.now();
             let mut inner = self.lock();
             let draw = inner.rng.random();
-            match inner.gate.offer(now, account, offer, draw) {
+            match inner.gate.submit(now, account, offer, draw) {
                 Decision::Start => return Ok(permit(self, cost)),
                 Decision::Refuse(refusal) => return Err(refusal),
                 Decision::Wait => {
@@ -274,7 +274,7 @@
             tried.iter().filter_map(|n| inner.places.get(n)).map(|p| p.view).collect();
         let choice = choose::choose(&inner.views, work, now, inner.setting, &skip, &mut inner.rng)?;
         let view = &mut inner.views[choice.at];
-        view.note_sent(now, work);
+        view.record_sent(now, work);
         let runner = view.name.clone();
         let address = inner.places.get(&runner)?.address;
         Some(Ticket {
@@ -290,10 +290,10 @@
     }
 
     /// What would be chosen for `work`, and what is predicted of every runner.
-    pub fn explain(&self, work: &Work) -> Vec<(View, Prediction, bool)> {
+    pub fn explain(&self, work: &Work) -> Vec<(RunnerView, Prediction, bool)> {
         let now = self.clock.now();
         let inner = self.lock();
-        let predict = |v: &View| {
+        let predict = |v: &RunnerView| {
             let prediction = choose::predict(v, work, now, inner.setting);
             (v.clone(), prediction, v.takes_work(now))
         };
@@ -312,7 +312,7 @@
         let at = now.checked_sub(age).unwrap_or(now);
         let mut inner = self.lock();
         let Some(place) = inner.places.get(runner).map(|p| p.view) else { return };
-        inner.views[place].take_report(at, report);
+        inner.views[place].apply_report(at, report);
     }
 
     /// Notes that a runner said itself that it leaves.
@@ -326,7 +326,7 @@
         self.with_view(runner, |view| view.reserved_until = Some(until));
     }
 
-    fn with_view(&self, runner: &Name, change: impl FnOnce(&mut View)) {
+    fn with_view(&self, runner: &Name, change: impl FnOnce(&mut RunnerView)) {
         let mut inner = self.lock();
         let Some(at) = inner.places.get(runner).map(|p| p.view) else { return };
         change(&mut inner.views[at]);
@@ -467,8 +467,8 @@
         }
         let mut inner = self.pool.lock();
         let Some(at) = inner.places.get(&self.runner).map(|p| p.view) else { return };
-        inner.views[at].note_first(now, &self.work);
-        inner.views[at].note_cached(self.work.prefix, now);
+        inner.views[at].record_first_token(now, &self.work);
+        inner.views[at].record_cached(self.work.prefix, now);
     }
 
     /// The attempt was answered whole.
@@ -476,9 +476,9 @@
         let now = self.pool.clock.now();
         let stayed = now.saturating_duration_since(self.sent).as_secs_f64();
         let mut inner = self.pool.lock();
-        inner.setting.learn_stay(stayed);
+        inner.setting.observe_residence(stayed);
         if let Some(at) = inner.places.get(&self.runner).map(|p| p.view) {
-            inner.views[at].note_well();
+            inner.views[at].record_success();
         }
     }
 
@@ -497,9 +497,9 @@
         let pending = if self.first.is_some() { Tokens(0) } else { self.work.prompt };
         let fault = self.fault;
         self.pool.with_view(&self.runner, |view| {
-            view.note_ended(now, pending);
+            view.record_end(now, pending);
             if fault {
-                view.note_fault(now);
+                view.record_fault(now);
             }
         });
     }
--- a/node/src/rows.rs
+++ b/node/src/rows.rs
@@ -8,7 +8,7 @@
 use sardinepick_lib::language::statement::{Column, Subject};
 use sardinepick_lib::member::{State, Update};
 use sardinepick_lib::query::Row;
-use sardinepick_lib::runner::View;
+use sardinepick_lib::runner::RunnerView;
 use smol_str::{SmolStr, ToSmolStr};
 
 use crate::node::Node;
@@ -110,10 +110,10 @@
 }
 
 /// How a runner's state is told: what it does before what it should.
-fn runner_state(view: Option<&View>, configured: SmolStr, now: Instant) -> SmolStr {
+fn runner_state(view: Option<&RunnerView>, configured: SmolStr, now: Instant) -> SmolStr {
     match view {
         Some(view) if view.leaving => SmolStr::new_static("leaving"),
-        Some(view) if view.avoid_until.is_some_and(|until| now < until) => {
+        Some(view) if view.backoff_until.is_some_and(|until| now < until) => {
             SmolStr::new_static("failing")
         }
         _ => configured,
--- a/node/src/run.rs
+++ b/node/src/run.rs
@@ -129,7 +129,7 @@
         match node.store.vms().await {
             Ok(vms) => {
                 let now = node.clock.now();
-                node.members().take_list(now, &vms);
+                node.members().apply_vm_list(now, &vms);
             }
             Err(error) => log::debug!(error:% = error; "reading the VM list"),
         }
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -13,7 +13,7 @@
 use sardinepick_lib::fleet::engine::Stage;
 use sardinepick_lib::fleet::route::Configuration;
 use sardinepick_lib::fleet::runner::{Entry, Runner, Tag};
-use sardinepick_lib::id::{Born, Epoch, RunnerId, ServiceId};
+use sardinepick_lib::id::{Epoch, RunnerId, ServiceId, StartTime};
 use sardinepick_platform::order::{Order, Reply, Report, ask, read_report, reply, request};
 use tokio::time::{sleep, timeout};
 
@@ -42,7 +42,7 @@
     answered: bool,
     /// The life of the runner that the order was for. One that was answered ends with it; one in
     /// doubt may yet be carried out by the next life, which counts its orders from the same zero.
-    born: Option<Born>,
+    born: Option<StartTime>,
 }
 
 impl Given {
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -18,7 +18,7 @@
 use sardinepick_lib::fleet::roster::{Contact, Record, Roster, Standing, Status};
 use sardinepick_lib::fleet::route::Configuration;
 use sardinepick_lib::fleet::runner::Tag;
-use sardinepick_lib::hash::place;
+use sardinepick_lib::hash::stable_hash;
 use sardinepick_lib::id::{Incarnation, NodeId, ServiceId};
 use sardinepick_lib::lease::Holder;
 use sardinepick_lib::rank;
@@ -139,7 +139,7 @@
             front: settings.front,
             peer: settings.peer,
         };
-        let seed = place(incarnation.0, settings.name.as_str().as_bytes());
+        let seed = stable_hash(incarnation.0, settings.name.as_str().as_bytes());
         let connections = Arc::new(Connections::new(clock.clone(), metrics.clone()));
         let history = Arc::new(Tracker::new(clock.clone(), metrics.clone()));
         let store =
@@ -302,7 +302,8 @@
         let me = roster.me();
         let ready = roster.present_records().chain([me]);
         let ready = ready.filter(|record| record.standing == Standing::Ready);
-        let mut first = rank::first(SUBJECT, ready, |record| &record.contact.id, MOST_FOLLOWERS);
+        let mut first =
+            rank::highest_ranked(SUBJECT, ready, |record| &record.contact.id, MOST_FOLLOWERS);
         // Where the store serves none of these it is away for all, and a change of the holder would only
         // add a turn of waiting once it is back.
         if first.iter().any(|record| record.served) {
--- a/node/src/sweep.rs
+++ b/node/src/sweep.rs
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use sardinepick_lib::assignment;
 use sardinepick_lib::config::chunk::Root;
 use sardinepick_lib::config::head::Head;
 use sardinepick_lib::hash::Digest;
 use sardinepick_lib::history::Point;
-use sardinepick_lib::supply;
 
 use crate::configuration::{FetchError, HEAD, read_chunks, read_head};
 use crate::node::Node;
@@ -43,7 +43,7 @@
         }
         let mine = {
             let members = node.members();
-            supply::holder(DUTY, members.serving()) == Some(&node.settings.name)
+            assignment::duty_node(DUTY, members.serving()) == Some(&node.settings.name)
         };
         if !mine {
             continue;
--- a/node/src/tables.rs
+++ b/node/src/tables.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
+use sardinepick_lib::assignment;
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::{Name, Version};
 use sardinepick_lib::member::State;
-use sardinepick_lib::owner::{LONGEST_STEP, Member, SHORTEST_STEP, Table};
-use sardinepick_lib::supply;
+use sardinepick_lib::owner::{MAX_VERSION_INTERVAL, MIN_VERSION_INTERVAL, Member, Table};
 use thiserror::Error;
 use tokio::sync::Notify;
 
@@ -113,7 +113,7 @@
     let members = node.members();
     let me = members.me();
     let mine = (me.state == State::Serving).then_some(me);
-    let others = members.peers().filter(|p| p.takes_callers()).map(|p| &p.update);
+    let others = members.peers().filter(|p| p.accepts_clients()).map(|p| &p.update);
     let mut wanted: Vec<Member> = mine
         .into_iter()
         .chain(others)
@@ -130,7 +130,7 @@
 async fn keep(node: &Node, last_step: &mut Option<Instant>) -> Result<(), TableError> {
     let writer = {
         let members = node.members();
-        supply::holder(DUTY, members.active()).cloned()
+        assignment::duty_node(DUTY, members.active()).cloned()
     };
     if writer.as_ref() != Some(&node.settings.name) {
         *last_step = None;
@@ -142,7 +142,9 @@
     let changed = node.table.load().members() != wanted.as_slice();
     let due = match passed {
         None => true,
-        Some(passed) => (changed && passed >= SHORTEST_STEP) || passed >= LONGEST_STEP,
+        Some(passed) => {
+            (changed && passed >= MIN_VERSION_INTERVAL) || passed >= MAX_VERSION_INTERVAL
+        }
     };
     if wanted.is_empty() || !due {
         return Ok(());
@@ -153,7 +155,7 @@
     if passed.is_none() && table.members() == wanted.as_slice() {
         return Ok(());
     }
-    let next = table.follow(wanted);
+    let next = table.with_next_version(wanted);
     let value = Bytes::from(serde_json::to_vec(&next)?);
     match node.store.put(OBJECT, revision, value).await {
         Ok(_) => take(node, &next),
--- a/node/src/upstream/completions.rs
+++ b/node/src/upstream/completions.rs
@@ -12,7 +12,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use sardinepick_lib::order::{Answer, Condition, Order};
+use sardinepick_lib::order::{Answer, EngineStatus, Order};
 use sardinepick_lib::outcome::Fault;
 use sardinepick_lib::runner::Report;
 use serde::{Deserialize, Serialize};
@@ -212,7 +212,7 @@
         self.ask(peer, "/v1/load").await
     }
 
-    async fn condition(&self, peer: &Peer) -> Result<Condition, Fault> {
+    async fn condition(&self, peer: &Peer) -> Result<EngineStatus, Fault> {
         self.ask(peer, "/v1/condition").await
     }
 
@@ -220,7 +220,7 @@
         let body = serde_json::to_vec(order).expect("an order is JSON");
         let sent = self.send(peer, Method::POST, "/v1/orders", Bytes::from(body));
         match tokio::time::timeout(QUESTION_TIMEOUT, sent).await {
-            Ok(Ok(response)) if response.status().is_success() => Answer::Taken,
+            Ok(Ok(response)) if response.status().is_success() => Answer::Accepted,
             Ok(Ok(response)) if response.status() == StatusCode::CONFLICT => Answer::Fenced,
             _ => Answer::Lost,
         }
--- a/node/src/upstream/mod.rs
+++ b/node/src/upstream/mod.rs
@@ -10,7 +10,7 @@
 use futures_util::stream::BoxStream;
 use sardinepick_lib::config::object::Priority;
 use sardinepick_lib::id::Name;
-use sardinepick_lib::order::{Answer, Condition, Order};
+use sardinepick_lib::order::{Answer, EngineStatus, Order};
 use sardinepick_lib::outcome::Fault;
 use sardinepick_lib::runner::Report;
 use smol_str::SmolStr;
@@ -79,7 +79,7 @@
     async fn load(&self, peer: &Peer) -> Result<Report, Fault>;
 
     /// Asks which role and order the engine has.
-    async fn condition(&self, peer: &Peer) -> Result<Condition, Fault>;
+    async fn condition(&self, peer: &Peer) -> Result<EngineStatus, Fault>;
 
     /// Gives an order.
     async fn order(&self, peer: &Peer, order: &Order) -> Answer;
--- a/node/src/usage/mod.rs
+++ b/node/src/usage/mod.rs
@@ -13,7 +13,7 @@
 use sardinepick_lib::usage::collection::{Collection, Life, Total};
 use sardinepick_lib::usage::tally::{Collector, Message, Tally};
 use sardinepick_lib::usage::window::Windows;
-use sardinepick_lib::wall::Estimate;
+use sardinepick_lib::wall_clock::Estimate;
 use sardinepick_wire::usage::{Body, Usage as Datagram};
 use tokio::net::UdpSocket;
 
@@ -64,7 +64,7 @@
 
     /// Takes what another node takes for the true time.
     pub fn note_time(&self, node: &NodeId, time: Duration, now: Instant) {
-        let moved = self.state().time.note_other(now, node, time);
+        let moved = self.state().time.observe_peer(now, node, time);
         if let Some(seconds) = moved {
             log::warn!(by_s = seconds; "this node's time was off; that of the others is taken");
         }
@@ -89,7 +89,7 @@
         let (now, wall) = (self.clock.now(), self.clock.wall());
         let mut state = self.state();
         let state = &mut *state;
-        state.time.note_wall(now, wall);
+        state.time.observe_wall_clock(now, wall);
         let newest = windows.at(state.time.at(now));
         state.collection.note(newest, lives);
         let others = || collectors.iter().filter(|collector| **collector != self.me);
--- a/node/src/write.rs
+++ b/node/src/write.rs
@@ -14,9 +14,9 @@
 use sardinepick_lib::config::chunk::{Chunk, Root, join};
 use sardinepick_lib::config::head::{ChangeId, Head, Operation};
 use sardinepick_lib::config::snapshot::Snapshot;
+use sardinepick_lib::config_fetch::Installed;
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::{Generation, Name};
-use sardinepick_lib::spread::Installed;
 use smol_str::SmolStr;
 use thiserror::Error;
 
@@ -181,7 +181,7 @@
         return Ok(Try::Again);
     }
     let generation = next.generation;
-    node.spreader().take_own(Installed { head: next, snapshot: prepared.snapshot, chunks: all });
+    node.spreader().install_own(Installed { head: next, snapshot: prepared.snapshot, chunks: all });
     configuration::install(node);
     Ok(Try::Applied(generation))
 }
@@ -252,14 +252,16 @@
     fetch_missing(node, &mut chunks, &parts).await?;
     let parts_chunks: Vec<Chunk> = parts.iter().map(|d| chunks[d].clone()).collect();
     let records = join(&parts_chunks).map_err(spread)?;
-    let snapshot = Snapshot::build(head.generation, records, Some(&held.snapshot))
-        .map_err(|e| spread(sardinepick_lib::spread::SpreadError::Invalid(head.generation, e)))?;
+    let snapshot =
+        Snapshot::build(head.generation, records, Some(&held.snapshot)).map_err(|e| {
+            spread(sardinepick_lib::config_fetch::ConfigFetchError::Invalid(head.generation, e))
+        })?;
     let kept = parts.into_iter().chain([head.root, head.operation]);
     let chunks = kept.map(|d| (d, chunks[&d].clone())).collect();
     Ok(Installed { head: head.clone(), snapshot, chunks })
 }
 
-fn spread(error: impl Into<sardinepick_lib::spread::SpreadError>) -> FetchError {
+fn spread(error: impl Into<sardinepick_lib::config_fetch::ConfigFetchError>) -> FetchError {
     FetchError::Spread(error.into())
 }
 
--- a/testutils/benches/scale.rs
+++ b/testutils/benches/scale.rs
@@ -8,14 +8,14 @@
 
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
-use sardinepick_lib::choose::{Setting, choose};
+use sardinepick_lib::assignment;
+use sardinepick_lib::choose::{Settings, choose};
 use sardinepick_lib::config::chunk::{join, split};
 use sardinepick_lib::config::object::Admission;
 use sardinepick_lib::config::snapshot::Snapshot;
 use sardinepick_lib::id::{Generation, Incarnation, Name};
 use sardinepick_lib::member::{Addresses, Members, State, Update};
-use sardinepick_lib::runner::{View, Work};
-use sardinepick_lib::supply;
+use sardinepick_lib::runner::{RunnerView, Work};
 use sardinepick_testutils::measure::figure::{self, Figure};
 use sardinepick_testutils::measure::{nodes, scale};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
@@ -58,7 +58,7 @@
         }
     };
     let mut members = Members::new(update(0), Vec::new());
-    members.take_all(Instant::now(), (1..count).map(update).collect());
+    members.merge_updates(Instant::now(), (1..count).map(update).collect());
     members
 }
 
@@ -109,7 +109,7 @@
         "time.sharers_all_ms",
         1e3 * seconds(|| {
             for runner in &runners {
-                supply::sharers(runner, &names, &mut out);
+                assignment::assign_nodes(runner, &names, &mut out);
                 black_box(out.len());
             }
         }),
@@ -122,14 +122,14 @@
     let now = Instant::now();
     let mut rng = StdRng::seed_from_u64(1);
     for count in [4, 18, 100, 1600] {
-        let view = |at| View::new(scale::name("runner", at), 32, Admission::Ready);
-        let views: Vec<View> = (0..count).map(view).collect();
+        let view = |at| RunnerView::new(scale::name("runner", at), 32, Admission::Ready);
+        let views: Vec<RunnerView> = (0..count).map(view).collect();
         let work = Work::default();
         let rounds = 10_000;
         let region = Region::new(ALLOCATOR);
         let taken = seconds(|| {
             for _ in 0..rounds {
-                black_box(choose(&views, &work, now, Setting::default(), &[], &mut rng));
+                black_box(choose(&views, &work, now, Settings::default(), &[], &mut rng));
             }
         });
         let allocations = region.change().allocations as f64;
@@ -142,7 +142,7 @@
                     &views,
                     &work,
                     now,
-                    Setting::default(),
+                    Settings::default(),
                     &mut rng,
                 );
                 black_box(best);
--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -12,9 +12,9 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
 use sardinepick_lib::config::object::Role;
-use sardinepick_lib::hash::place;
+use sardinepick_lib::hash::stable_hash;
 use sardinepick_lib::id::Epoch;
-use sardinepick_lib::order::{Condition, Id, Order};
+use sardinepick_lib::order::{EngineStatus, Id, Order};
 use sardinepick_lib::runner::Report;
 use sardinepick_lib::unit::{TokenRate, Tokens};
 use serde::{Deserialize, Serialize};
@@ -104,7 +104,7 @@
 
 /// Token `index` of the answer to `prompt`.
 pub fn token(prompt: &str, index: u64) -> String {
-    let hash = place(index, prompt.as_bytes());
+    let hash = stable_hash(index, prompt.as_bytes());
     format!(" t{:x}", hash & 0xffff)
 }
 
@@ -226,9 +226,9 @@
     }
 }
 
-fn condition(state: &State) -> Condition {
+fn condition(state: &State) -> EngineStatus {
     let inner = state.lock().expect("engine lock");
-    Condition {
+    EngineStatus {
         role: inner.role,
         changing: inner.changing,
         last: inner.last.clone(),
--- a/testutils/src/fleet/deployment.rs
+++ b/testutils/src/fleet/deployment.rs
@@ -8,7 +8,7 @@
 use log::LevelFilter;
 use sardinepick_lib::clock::{Clock, System};
 use sardinepick_lib::fleet::budget::Bounds;
-use sardinepick_lib::hash::place;
+use sardinepick_lib::hash::stable_hash;
 use sardinepick_node::serve::metrics::Metrics;
 use sardinepick_node::serve::run::{self, Running, Sockets};
 use sardinepick_node::serve::settings::Settings;
@@ -104,7 +104,7 @@
     let more = (0..routes).map(|n| {
         let mut route = route(&format!("tenant-{n}"), "/", "idempotent", PLAIN, 3);
         // Names as hashes give them, which no code shortens.
-        let name = place(n as u64, b"tenant");
+        let name = stable_hash(n as u64, b"tenant");
         route["host"] = json!(format!("{name:x}.example"));
         route["pathPrefix"] = json!(format!("/{:x}/", name.rotate_left(17)));
         route
--- a/testutils/src/measure/choosing.rs
+++ b/testutils/src/measure/choosing.rs
@@ -6,12 +6,12 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
+use sardinepick_lib::assignment;
 use sardinepick_lib::baseline;
-use sardinepick_lib::choose::{self, Setting};
+use sardinepick_lib::choose::{self, Settings};
 use sardinepick_lib::config::object::Admission;
 use sardinepick_lib::id::Name;
-use sardinepick_lib::runner::{Prefix, Report, View, Work};
-use sardinepick_lib::supply;
+use sardinepick_lib::runner::{Prefix, Report, RunnerView, Work};
 use sardinepick_lib::unit::Tokens;
 use strum::{EnumIter, IntoEnumIterator as _, IntoStaticStr};
 
@@ -49,10 +49,10 @@
 }
 
 struct Node {
-    views: Vec<View>,
+    views: Vec<RunnerView>,
     places: Vec<usize>,
     last: usize,
-    setting: Setting,
+    setting: Settings,
 }
 
 /// A report on its way.
@@ -73,19 +73,19 @@
             views: Vec::new(),
             places: Vec::new(),
             last: 0,
-            setting: Setting::default(),
+            setting: Settings::default(),
         })
         .collect();
     let mut sharing = Vec::new();
     for at in 0..case.runners {
         let runner = name("runner", at);
-        supply::sharers(&runner, &names, &mut sharing);
+        assignment::assign_nodes(&runner, &names, &mut sharing);
         for sharer in &sharing {
             let node = names.iter().position(|n| n == *sharer).expect("a sharer is a node");
-            let view = View::new(runner.clone(), SPEED.slots, Admission::Ready);
+            let view = RunnerView::new(runner.clone(), SPEED.slots, Admission::Ready);
             nodes[node].views.push(view);
             nodes[node].places.push(at);
-            nodes[node].setting.sharers = sharing.len() as u32;
+            nodes[node].setting.nodes_per_runner = sharing.len() as u32;
         }
     }
     nodes.retain(|n| !n.views.is_empty());
@@ -177,7 +177,7 @@
             cached: Tokens(job.shared),
         };
         let at = pick(way, node, &work, now, &mut rng);
-        node.views[at].note_sent(now, &work);
+        node.views[at].record_sent(now, &work);
         let course = engines[node.places[at]].send(now, &job);
         let event = |at_time, is_first| Own {
             at: at_time,
@@ -223,11 +223,11 @@
     let since = (event.at - event.sent).as_secs_f64();
     if event.is_first {
         let work = Work { prompt: Tokens(event.prompt), ..Work::default() };
-        view.note_first(event.at, &work);
-        view.note_cached(event.prefix, event.at);
+        view.record_first_token(event.at, &work);
+        view.record_cached(event.prefix, event.at);
     } else {
-        view.note_ended(event.at, Tokens(0));
-        node.setting.learn_stay(since);
+        view.record_end(event.at, Tokens(0));
+        node.setting.observe_residence(since);
     }
 }
 
@@ -237,7 +237,7 @@
 fn deliver(nodes: &mut [Node], late: &Late) {
     for node in nodes {
         for (view, place) in node.views.iter_mut().zip(&node.places) {
-            view.take_report(late.taken, late.reports[*place]);
+            view.apply_report(late.taken, late.reports[*place]);
         }
     }
 }
--- a/testutils/src/measure/mixes.rs
+++ b/testutils/src/measure/mixes.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use sardinepick_lib::config::object::Role;
 use sardinepick_lib::role::{
-    Change, Demand, Division, Engine, Estimate, MIXED_EFFICIENCY, Price, decide,
+    Change, ChangeCost, Demand, Engine, Estimate, MIXED_EFFICIENCY, RoleCounts, decide,
 };
 
 /// The length of a step in seconds.
@@ -135,8 +135,8 @@
     }
 
     /// The division of the engines that are there.
-    pub fn division(&self) -> Division {
-        let mut division = Division::default();
+    pub fn division(&self) -> RoleCounts {
+        let mut division = RoleCounts::default();
         for place in self.places.iter().filter(|p| !p.lost) {
             match place.role {
                 Role::Prefill => division.prefill += 1,
@@ -180,7 +180,7 @@
     }
 
     /// Moves to a division, changing the engines that are nearest to hand.
-    pub fn move_to(&mut self, target: Division, away: f64) {
+    pub fn move_to(&mut self, target: RoleCounts, away: f64) {
         let mut changes = Vec::new();
         let mut now = self.division();
         for (at, place) in self.places.iter().enumerate().filter(|(_, p)| !p.lost) {
@@ -342,7 +342,7 @@
             Way::NoChange => {}
             Way::Threshold => threshold(&mut fleet, mix.away),
             Way::Policy { price } => {
-                let price = Price {
+                let price = ChangeCost {
                     away: Duration::from_secs_f64(mix.away),
                     extra: Duration::from_secs(u64::from(price)),
                     away_limit: 0.25,
@@ -377,7 +377,7 @@
         };
         let demand = Demand { prefill: mean(|d| d.prefill), decode: mean(|d| d.decode) };
         let when = start + Duration::from_secs_f64(at as f64 * STEP + mix.late);
-        estimate.take(when, demand);
+        estimate.add_sample(when, demand);
     }
 }
 
--- a/testutils/src/measure/nodes.rs
+++ b/testutils/src/measure/nodes.rs
@@ -11,10 +11,10 @@
 use sardinepick_lib::config::chunk::Chunk;
 use sardinepick_lib::config::head::{Head, Operation};
 use sardinepick_lib::config::snapshot::Snapshot;
+use sardinepick_lib::config_fetch::{Action, ConfigFetcher, Source};
 use sardinepick_lib::hash::Digest;
 use sardinepick_lib::id::{Generation, Incarnation, Name};
 use sardinepick_lib::member::{Addresses, Members, Message, Outgoing, State, Status, Update};
-use sardinepick_lib::spread::{Action, Source, Spreader};
 use sardinepick_wire::gossip::Datagram;
 use smol_str::SmolStr;
 
@@ -59,7 +59,7 @@
 
 struct Node {
     members: Members,
-    spreader: Spreader,
+    spreader: ConfigFetcher,
     up: bool,
     paused_until: Option<Instant>,
     sent: u64,
@@ -113,8 +113,8 @@
         let all: Vec<Update> = (0..count).map(update).collect();
         let node = |at: usize| {
             let mut members = Members::new(all[at].clone(), Vec::new());
-            members.take_all(now, all.clone());
-            let spreader = Spreader::default();
+            members.merge_updates(now, all.clone());
+            let spreader = ConfigFetcher::default();
             Node { members, spreader, up: true, paused_until: None, sent: 0, received: 0 }
         };
         let mut world = Self {
@@ -186,7 +186,7 @@
                 let from = message.from.clone();
                 let generation = message.status.generation;
                 let out = self.nodes[to].members.receive(self.now, source, *message);
-                self.nodes[to].spreader.hear(&from, generation);
+                self.nodes[to].spreader.on_advertised(&from, generation);
                 self.send(to, out);
                 self.fetch(to);
             }
@@ -214,21 +214,22 @@
     /// Exchanges whole lists, both ways, where the membership asks for it. The call between the nodes
     /// is taken as one step; its bytes are counted.
     fn exchange(&mut self, at: usize) {
-        let Some(with) = self.nodes[at].members.exchange_with(self.now, &mut self.rng) else {
+        let Some(with) = self.nodes[at].members.full_sync_peer(self.now, &mut self.rng) else {
             return;
         };
         let other = index(with);
         if !self.nodes[other].up || self.lost(at, other) {
             return;
         }
-        let (mine, theirs) = (self.nodes[at].members.all(), self.nodes[other].members.all());
+        let (mine, theirs) =
+            (self.nodes[at].members.all_updates(), self.nodes[other].members.all_updates());
         let bytes = ((mine.len() + theirs.len()) * UPDATE_BYTES) as u64;
         for node in [at, other] {
             self.nodes[node].sent += bytes / 2;
             self.nodes[node].received += bytes / 2;
         }
-        self.nodes[other].members.take_all(self.now, mine);
-        self.nodes[at].members.take_all(self.now, theirs);
+        self.nodes[other].members.merge_updates(self.now, mine);
+        self.nodes[at].members.merge_updates(self.now, theirs);
     }
 
     fn fetch(&mut self, at: usize) {
@@ -254,14 +255,14 @@
         let Some((head, chunks)) = self.published.clone() else { return };
         let has = from == at || self.nodes[from].spreader.installed().head == head;
         if !has || !self.nodes[from].up || self.lost(at, from) {
-            self.nodes[at].spreader.note_failed();
+            self.nodes[at].spreader.on_fetch_failed();
             return;
         }
         match action {
-            Action::Head(_) => self.nodes[at].spreader.take_head(head),
+            Action::Head(_) => self.nodes[at].spreader.on_head(head),
             Action::Chunks(_, digests) => {
                 let found = chunks.into_iter().filter(|c| digests.contains(&c.digest)).collect();
-                let installed = self.nodes[at].spreader.take_chunks(found);
+                let installed = self.nodes[at].spreader.on_chunks(found);
                 if installed.expect("the chunks are right").is_some() {
                     self.tell(at);
                 }
@@ -273,7 +274,7 @@
     fn tell(&mut self, at: usize) {
         let generation = self.nodes[at].spreader.installed().head.generation;
         self.nodes[at].members.set_status(Status { generation, ..Status::default() });
-        let out = self.nodes[at].members.tell(TELL, &mut self.rng);
+        let out = self.nodes[at].members.push_updates(TELL, &mut self.rng);
         self.send(at, out);
     }
 
@@ -299,7 +300,7 @@
         for at in 0..(2 * DATA_CENTRES).min(self.nodes.len()) {
             // A watch that returns, and the read of the head that follows it.
             self.store_calls += 2;
-            self.nodes[at].spreader.take_head(head.clone());
+            self.nodes[at].spreader.on_head(head.clone());
             self.fetch(at);
         }
     }
--- a/testutils/src/measure/offline.rs
+++ b/testutils/src/measure/offline.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use sardinepick_lib::config::object::Role;
-use sardinepick_lib::role::{Demand, Division};
+use sardinepick_lib::role::{Demand, RoleCounts};
 
 use super::mixes::{Fleet, Mix, STEP, advance, arrivals, steps_per_decision};
 
@@ -20,12 +20,12 @@
 /// can be reached; since only one course a division is kept, a better one may exist.
 pub fn plan(mix: &Mix, engines: usize) -> Fleet {
     let arrivals = arrivals(mix, engines);
-    let mut courses: BTreeMap<Division, Fleet> = BTreeMap::new();
+    let mut courses: BTreeMap<RoleCounts, Fleet> = BTreeMap::new();
     let first = Fleet::new(engines);
     courses.insert(first.division(), first);
     let step = (engines / 20).max(1) as u32;
     for part in arrivals.chunks(steps_per_decision()) {
-        let mut next: BTreeMap<Division, Fleet> = BTreeMap::new();
+        let mut next: BTreeMap<RoleCounts, Fleet> = BTreeMap::new();
         for (division, fleet) in &courses {
             for target in targets(*division, engines, step) {
                 let mut fleet = fleet.clone();
@@ -47,7 +47,7 @@
     fleet.answered - f64::from(fleet.changes) * WORTH - waiting
 }
 
-fn keep(courses: &mut BTreeMap<Division, Fleet>, fleet: Fleet) {
+fn keep(courses: &mut BTreeMap<RoleCounts, Fleet>, fleet: Fleet) {
     let division = fleet.division();
     match courses.get(&division) {
         Some(best) if worth(best) >= worth(&fleet) => {}
@@ -58,7 +58,7 @@
 }
 
 /// The divisions that can be reached in one interval by moves between two roles.
-fn targets(from: Division, engines: usize, step: u32) -> Vec<Division> {
+fn targets(from: RoleCounts, engines: usize, step: u32) -> Vec<RoleCounts> {
     const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
     let most = (engines as f64 * MOVES).max(1.0) as u32;
     let mut targets = vec![from];
--- a/testutils/src/measure/scale.rs
+++ b/testutils/src/measure/scale.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use sardinepick_lib::assignment;
 use sardinepick_lib::config::chunk::{Chunk, split};
 use sardinepick_lib::config::record::{Assignment, Field, Key, Kind, Record};
 use sardinepick_lib::hash::Digest;
 use sardinepick_lib::id::{Incarnation, Name};
-use sardinepick_lib::owner::{KEPT, Member, Table};
+use sardinepick_lib::owner::{KEPT_VERSIONS, Member, Table};
 use sardinepick_lib::runner::Report;
-use sardinepick_lib::supply;
 use sardinepick_lib::unit::{TokenRate, Tokens};
 use sardinepick_wire::gossip::Datagram;
 use sardinepick_wire::load::{LOADS, Load, RunnerHash};
@@ -96,9 +96,9 @@
     };
     let mut members: Vec<Member> = (0..nodes).map(member).collect();
     let mut table = Table::default();
-    for version in 0..KEPT {
+    for version in 0..KEPT_VERSIONS {
         members[version % nodes].incarnation.0 += 1000;
-        table = table.follow(members.clone());
+        table = table.with_next_version(members.clone());
     }
     table
 }
@@ -127,7 +127,7 @@
     let mut sharing = Vec::new();
     for at in 0..size.runners {
         let runner = name("runner", at);
-        supply::sharers(&runner, &nodes, &mut sharing);
+        assignment::assign_nodes(&runner, &nodes, &mut sharing);
         let observer = place[sharing[0]];
         for sharer in &sharing {
             used[place[sharer]] += 1;
@@ -144,7 +144,7 @@
             bytes[to] += len;
         }
     }
-    let period = supply::load_period(size.nodes, LOAD_PERIOD).as_secs_f64();
+    let period = assignment::load_period(size.nodes, LOAD_PERIOD).as_secs_f64();
     let total: usize = bytes.iter().sum();
     let mean = total as f64 / size.nodes as f64 / period;
     let most = bytes.iter().max().copied().unwrap_or(0) as f64 / period;
@@ -206,7 +206,7 @@
         let table = table(size.nodes);
         let stored = serde_json::to_vec(&table).expect("a table is JSON").len();
         add("table_bytes", stored as f64);
-        let newest = table.after(sardinepick_lib::id::Version(KEPT as u64 - 1));
+        let newest = table.since(sardinepick_lib::id::Version(KEPT_VERSIONS as u64 - 1));
         let delta = serde_json::to_vec(&newest).expect("a table is JSON").len();
         add("table_step_bytes", delta as f64);
         let (root, chunks) = split(&records(size));
--- a/testutils/src/measure/waking.rs
+++ b/testutils/src/measure/waking.rs
@@ -7,7 +7,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
-use sardinepick_lib::admit::{Decision, Event, Gate, Offer, Setting};
+use sardinepick_lib::admit::{AdmissionQueue, AdmissionRequest, Decision, Event, Limits};
 use sardinepick_lib::config::object::{Account, Priority};
 use sardinepick_lib::hash::Digest;
 use sardinepick_lib::id::{Name, RequestId};
@@ -90,7 +90,8 @@
 fn with_gate() -> Outcome {
     let start = Instant::now();
     let mut rng = StdRng::seed_from_u64(5);
-    let mut gate = Gate::new(Setting { places: PLACES, queue: 100_000, share: 1000 });
+    let mut gate =
+        AdmissionQueue::new(Limits { max_concurrent: PLACES, max_queued: 100_000, share: 1000 });
     let mut asked: Vec<Ask> = Vec::new();
     let mut events: BinaryHeap<Reverse<(Instant, What)>> = BinaryHeap::new();
     for (at, ask) in asks(&mut rng, start) {
@@ -114,21 +115,21 @@
         match what {
             What::Arrive(at) => {
                 let ask = asked[at].clone();
-                let offer = Offer {
+                let offer = AdmissionRequest {
                     id: RequestId(at as u64),
                     account: name(ask.account),
                     priority: Priority::Normal,
                     deadline: ask.deadline,
                     cost: ask.cost,
                 };
-                match gate.offer(now, &account(ask.account), offer, rng.random()) {
+                match gate.submit(now, &account(ask.account), offer, rng.random()) {
                     Decision::Start => {
                         under_way.insert(at as u64, (at, now));
                         events.push(Reverse((now + ask.cost, What::End(at as u64))));
                     }
                     Decision::Wait => {}
                     Decision::Refuse(refusal) => {
-                        let back = now + refusal.after;
+                        let back = now + refusal.retry_after;
                         *returns.entry((back - start).as_secs()).or_default() += 1;
                     }
                 }
@@ -157,7 +158,7 @@
                     if now > asked[id as usize].deadline {
                         refused_late += 1;
                     }
-                    let back = now + refusal.after;
+                    let back = now + refusal.retry_after;
                     *returns.entry((back - start).as_secs()).or_default() += 1;
                 }
             }
--- a/wire/src/gossip.rs
+++ b/wire/src/gossip.rs
@@ -116,7 +116,7 @@
         let (purpose, target, relay) = match &message.purpose {
             Purpose::Ping => (pb::Purpose::Ping, String::new(), String::new()),
             Purpose::Ack => (pb::Purpose::Ack, String::new(), String::new()),
-            Purpose::News => (pb::Purpose::News, String::new(), String::new()),
+            Purpose::Gossip => (pb::Purpose::News, String::new(), String::new()),
             Purpose::Relay { target, address } => {
                 (pb::Purpose::Relay, target.to_string(), address.to_string())
             }
@@ -130,7 +130,7 @@
             table: message.status.table.0,
             relay_target: target,
             relay_address: relay,
-            news: message.news.iter().map(pb::Update::from).collect(),
+            news: message.updates.iter().map(pb::Update::from).collect(),
         }
     }
 }
@@ -142,7 +142,7 @@
         let purpose = match gossip.purpose() {
             pb::Purpose::Ping => Purpose::Ping,
             pb::Purpose::Ack => Purpose::Ack,
-            pb::Purpose::News => Purpose::News,
+            pb::Purpose::News => Purpose::Gossip,
             pb::Purpose::Relay => Purpose::Relay {
                 target: name(&gossip.relay_target)?,
                 address: address(&gossip.relay_address)?,
@@ -158,7 +158,7 @@
                 table: Version(gossip.table),
                 load: gossip.load,
             },
-            news: gossip.news.into_iter().map(TryInto::try_into).collect::<Result<_, _>>()?,
+            updates: gossip.news.into_iter().map(TryInto::try_into).collect::<Result<_, _>>()?,
         })
     }
 }
--- a/wire/src/load.rs
+++ b/wire/src/load.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sardinepick_lib::config::object::Role;
-use sardinepick_lib::hash::place;
+use sardinepick_lib::hash::stable_hash;
 use sardinepick_lib::id::Name;
 use sardinepick_lib::runner::Report;
 use sardinepick_lib::unit::{TokenRate, Tokens};
@@ -22,7 +22,7 @@
 
 impl From<&Name> for RunnerHash {
     fn from(name: &Name) -> Self {
-        Self(place(RUNNER_SEED, name.as_str().as_bytes()))
+        Self(stable_hash(RUNNER_SEED, name.as_str().as_bytes()))
     }
 }
 
--- a/wire/src/mark.rs
+++ b/wire/src/mark.rs
@@ -1,7 +1,7 @@
 //! Marks and points of the store's history between nodes.
 
 use sardinepick_lib::fleet::mark::Mark;
-use sardinepick_lib::history::{Era, LAST_ERA, Point};
+use sardinepick_lib::history::{Era, MAX_ERA, Point};
 
 use crate::error::WireError;
 
@@ -11,7 +11,7 @@
 /// It is larger than any that is believed.
 pub fn read_era(era: Option<u32>, present: Era) -> Result<Era, WireError> {
     let era = era.map_or(present, Era);
-    if era > LAST_ERA { Err(WireError::Value("era")) } else { Ok(era) }
+    if era > MAX_ERA { Err(WireError::Value("era")) } else { Ok(era) }
 }
 
 /// Reads a mark by its order and its era.
--- a/wire/tests/beat.rs
+++ b/wire/tests/beat.rs
@@ -11,7 +11,7 @@
 use sardinepick_lib::fleet::roster::{Contact, MOST_RECORDS, Record, Standing, Status};
 use sardinepick_lib::fleet::runner::Tag;
 use sardinepick_lib::fleet::suspect::MOST_ENDS;
-use sardinepick_lib::history::{Era, LAST_ERA};
+use sardinepick_lib::history::{Era, MAX_ERA};
 use sardinepick_lib::id::{ConfigVersion, Incarnation};
 use sardinepick_wire::beat::{Beat, MOST_BYTES, nodes, read_nodes};
 use sardinepick_wire::fleet as pb;
@@ -39,7 +39,7 @@
         status: Status {
             standing: Standing::Ready,
             version: ConfigVersion(1 << 40),
-            register: Mark { era: LAST_ERA, order: 1 << 56 },
+            register: Mark { era: MAX_ERA, order: 1 << 56 },
             served: true,
         },
         answer: true,
@@ -155,7 +155,7 @@
     let read = |era| Beat::decode(&pb::Beat { era, ..sent.clone() }.encode_to_vec(), Era(7));
     let era = |era| read(era).expect("it is one").status.register.era;
     assert_eq!((era(None), era(Some(0)), era(Some(8))), (Era(7), Era(0), Era(8)));
-    assert!(read(Some(LAST_ERA.0 + 1)).is_err());
+    assert!(read(Some(MAX_ERA.0 + 1)).is_err());
 }
 
 /// Guards against beats that grow: a node sends 40 a second.
@@ -169,5 +169,5 @@
     let without = pb::Beat { era: None, ..pb::Beat::decode(&*beat(0).encode()).expect("one") };
     let register = pb::Beat { register: 1 << 24, ..without };
     assert!(length(1) <= register.encoded_len() + 4);
-    assert!(length(LAST_ERA.0) <= register.encoded_len() + 4);
+    assert!(length(MAX_ERA.0) <= register.encoded_len() + 4);
 }
