--- a/lib/src/admit.rs
+++ b/lib/src/admit.rs
@@ -85,7 +85,7 @@
 
 /// The limits of one account at one node.
 #[derive(Clone, Debug)]
-struct Usage {
+struct AccountUsage {
     tokens: f64,
     filled: Instant,
     under_way: u32,
@@ -134,9 +134,9 @@
 }
 
 /// The longest time after which a refused caller is asked back.
-pub const LONGEST_AFTER: Duration = Duration::from_secs(30);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// The shortest time after which a refused caller is asked back.
-pub const SHORTEST_AFTER: Duration = Duration::from_millis(100);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// How many of the next requests are looked through for one that is about to be late.
 const LOOK_AHEAD: usize = 8;
@@ -146,7 +146,7 @@
 pub struct AdmissionQueue {
     setting: Limits,
     waiting: BTreeMap<Rank, Waiting>,
-    usage: HashMap<Name, Usage>,
+    usage: HashMap<Name, AccountUsage>,
     under_way: u32,
     queued: Duration,
     virtual_time: f64,
@@ -209,7 +209,7 @@
         if !at_once && self.waiting.len() >= self.setting.max_queued && self.is_last(rank) {
             return Decision::Refuse(self.refusal(Reason::Full, draw));
         }
-        self.take(account, rank);
+        self.charge(account, rank);
         if at_once {
             self.start(rank, offer.cost);
             return Decision::Start;
@@ -226,7 +226,7 @@
         let rate = (f64::from(account.rate.0) * share).max(0.001);
         let burst = (f64::from(account.burst) * share).max(1.0);
         let limit = (f64::from(account.concurrency) * share).ceil().max(1.0) as u32;
-        let usage = self.usage.entry(account.name.clone()).or_insert_with(|| Usage {
+        let usage = self.usage.entry(account.name.clone()).or_insert_with(|| AccountUsage {
             tokens: burst,
             filled: now,
             under_way: 0,
@@ -240,13 +240,13 @@
         }
         if usage.tokens < 1.0 {
             let retry_after = Duration::from_secs_f64((1.0 - usage.tokens) / rate * (1.0 + draw));
-            let retry_after = retry_after.clamp(SHORTEST_AFTER, LONGEST_AFTER);
+            let retry_after = retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
             return Some(Refusal { reason: Reason::Rate, retry_after });
         }
         None
     }
 
-    fn take(&mut self, account: &Account, rank: Rank) {
+    fn charge(&mut self, account: &Account, rank: Rank) {
         let usage = self.usage.get_mut(&account.name).expect("checked before");
         usage.tokens -= 1.0;
         usage.under_way += 1;
@@ -286,8 +286,8 @@
     }
 
     fn refusal(&self, reason: Reason, draw: f64) -> Refusal {
-        let clear = self.time_for(self.queued).max(SHORTEST_AFTER);
-        let retry_after = clear.mul_f64(1.0 + draw).clamp(SHORTEST_AFTER, LONGEST_AFTER);
+        let clear = self.time_for(self.queued).max(MIN_RETRY_AFTER);
+        let retry_after = clear.mul_f64(1.0 + draw).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Refusal { reason, retry_after }
     }
 
@@ -303,7 +303,7 @@
         let mut events = Vec::new();
         self.refuse_late(now, &mut draw, &mut events);
         while self.under_way < self.setting.max_concurrent {
-            let Some(rank) = self.pick(now) else { break };
+            let Some(rank) = self.select_next(now) else { break };
             let waiting = self.remove(rank);
             self.start(rank, waiting.cost);
             events.push(Event::Start(rank.id));
@@ -313,9 +313,9 @@
 
     /// The next to start: the first in rank, unless one close behind it would become late by
     /// waiting for it.
-    fn pick(&self, now: Instant) -> Option<Rank> {
+    fn select_next(&self, now: Instant) -> Option<Rank> {
         let (first, head) = self.waiting.first_key_value()?;
-        let turn = self.time_for(head.cost).max(SHORTEST_AFTER);
+        let turn = self.time_for(head.cost).max(MIN_RETRY_AFTER);
         let urgent = self
             .waiting
             .iter()
@@ -343,7 +343,7 @@
         }
         for rank in late {
             let waiting = self.remove(rank);
-            self.leave(&waiting.account);
+            self.release(&waiting.account);
             events.push(Event::Refuse(rank.id, self.refusal(Reason::Late, draw())));
         }
     }
@@ -354,7 +354,7 @@
         waiting
     }
 
-    fn leave(&mut self, account: &Name) {
+    fn release(&mut self, account: &Name) {
         if let Some(usage) = self.usage.get_mut(account) {
             usage.under_way = usage.under_way.saturating_sub(1);
         }
@@ -366,17 +366,17 @@
             return false;
         };
         let waiting = self.remove(rank);
-        self.leave(&waiting.account);
+        self.release(&waiting.account);
         true
     }
 
     /// Notes that a request under way has ended, after `took` where `cost` was expected.
     pub fn end(&mut self, account: &Name, cost: Duration, took: Option<Duration>) {
         self.under_way = self.under_way.saturating_sub(1);
-        self.leave(account);
+        self.release(account);
         if let Some(took) = took {
             let seen = cost.as_secs_f64() / took.as_secs_f64().max(0.001);
-            let seen = seen.clamp(SLOWEST_PACE, FASTEST_PACE);
+            let seen = seen.clamp(MIN_PACE, MAX_PACE);
             self.pace += (seen - self.pace) * PACE_GAIN;
         }
     }
@@ -390,6 +390,6 @@
 /// How fast the pace follows what is seen.
 const PACE_GAIN: f64 = 0.05;
 /// The lowest pace that is believed.
-const SLOWEST_PACE: f64 = 0.1;
+const MIN_PACE: f64 = 0.1;
 /// The highest pace that is believed.
-const FASTEST_PACE: f64 = 10.0;
+const MAX_PACE: f64 = 10.0;
--- a/lib/src/baseline.rs
+++ b/lib/src/baseline.rs
@@ -19,8 +19,8 @@
 
 /// The next runner in turn after `last`.
 pub fn round_robin(views: &[RunnerView], now: Instant, last: &mut usize) -> Option<usize> {
-    let places = (1..=views.len()).map(|step| (*last + step) % views.len());
-    let found = places.into_iter().find(|at| views[*at].takes_work(now))?;
+    let candidates = (1..=views.len()).map(|step| (*last + step) % views.len());
+    let found = candidates.into_iter().find(|at| views[*at].takes_work(now))?;
     *last = found;
     Some(found)
 }
--- a/lib/src/choose.rs
+++ b/lib/src/choose.rs
@@ -23,10 +23,10 @@
 use crate::runner::{Load, RunnerView, Work};
 
 /// How many runners are compared besides those with the prompt cached.
-pub const SAMPLE: usize = 4;
+pub const SAMPLE_SIZE: usize = 4;
 
 /// How many runners are taken for a prefix by hash, so that prompts with the same start meet.
-pub const AFFINE: usize = 2;
+pub const PREFIX_CANDIDATES: usize = 2;
 
 /// Up to this number of runners all are compared.
 pub const COMPARE_ALL: usize = 32;
@@ -44,20 +44,20 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { nodes_per_runner: 1, sample: SAMPLE, residence: FIRST_STAY }
+        Self { nodes_per_runner: 1, sample: SAMPLE_SIZE, residence: INITIAL_RESIDENCE }
     }
 }
 
 /// What is assumed of a request's stay until some have ended, in seconds.
-const FIRST_STAY: f64 = 2.0;
+const INITIAL_RESIDENCE: f64 = 2.0;
 
 /// The gain with which the average stay follows what is seen.
-const STAY_GAIN: f64 = 0.02;
+const RESIDENCE_GAIN: f64 = 0.02;
 
 impl Settings {
     /// Learns from a request that stayed for `stay` seconds.
     pub fn observe_residence(&mut self, stay: f64) {
-        self.residence += (stay - self.residence) * STAY_GAIN;
+        self.residence += (stay - self.residence) * RESIDENCE_GAIN;
     }
 }
 
@@ -85,11 +85,11 @@
         requests: f64::from(view.in_flight) + view.others.requests,
         backlog: view.own_backlog as f64 + view.others.backlog,
     };
-    course(view, load, work, now, setting)
+    predict_with_load(view, load, work, now, setting)
 }
 
 /// The course of `work` at a runner that has `load`.
-fn course(
+fn predict_with_load(
     view: &RunnerView,
     load: Load,
     work: &Work,
@@ -108,9 +108,9 @@
     let slot_wait = rounds * setting.residence;
 
     // More requests in a batch slow each other a little even while slots are free.
-    let crowding = (load.requests / slots).min(1.0) * CROWDING * output_time;
+    let batch_slowdown = (load.requests / slots).min(1.0) * BATCH_SLOWDOWN * output_time;
     let first_token = (load.backlog + prompt) / prefill_rate + slot_wait;
-    Prediction { first_token, last_token: first_token + output_time + crowding }
+    Prediction { first_token, last_token: first_token + output_time + batch_slowdown }
 }
 
 /// The rank of a runner for `work`, in seconds; the lowest is chosen. `draw` is a random number
@@ -122,14 +122,14 @@
         backlog: view.own_backlog as f64 * sharers + view.others.backlog,
     };
     let unit = setting.residence / f64::from(view.slots.max(1)) * sharers;
-    course(view, load, work, now, setting).last_token + draw * unit * DITHER
+    predict_with_load(view, load, work, now, setting).last_token + draw * unit * RANK_JITTER
 }
 
 /// The random part of a rank, in waits that one request of each sharer makes for others.
-const DITHER: f64 = 0.25;
+const RANK_JITTER: f64 = 0.25;
 
 /// By how much a full batch is slower than an empty one; breaks ties in favour of empty runners.
-const CROWDING: f64 = 0.25;
+const BATCH_SLOWDOWN: f64 = 0.25;
 
 /// Chooses a runner for `work`, or none if none takes work. `skip` are places that were tried.
 pub fn choose<R: Rng>(
@@ -137,16 +137,16 @@
     work: &Work,
     now: Instant,
     setting: Settings,
-    skip: &[usize],
+    excluded: &[usize],
     rng: &mut R,
 ) -> Option<Choice> {
-    let sampled = candidates(views, work, now, setting, skip, rng);
-    let found = best(views, work, now, setting, sampled.iter().copied(), rng);
+    let sample = candidates(views, work, now, setting, excluded, rng);
+    let found = best(views, work, now, setting, sample.iter().copied(), rng);
     if found.is_some() {
         return found;
     }
     // The sample had no usable runner; none is overlooked as long as one is left.
-    let usable = |at: &usize| views[*at].takes_work(now) && !skip.contains(at);
+    let usable = |at: &usize| views[*at].takes_work(now) && !excluded.contains(at);
     best(views, work, now, setting, (0..views.len()).filter(usable), rng)
 }
 
@@ -155,43 +155,43 @@
     work: &Work,
     now: Instant,
     setting: Settings,
-    places: impl Iterator<Item = usize>,
+    candidates: impl Iterator<Item = usize>,
     rng: &mut R,
 ) -> Option<Choice> {
-    let ranked = places.map(|at| (rank(&views[at], work, now, setting, rng.random()), at));
+    let ranked = candidates.map(|at| (rank(&views[at], work, now, setting, rng.random()), at));
     let (_, at) = ranked.min_by(|a, b| a.0.total_cmp(&b.0))?;
     Some(Choice { at, prediction: predict(&views[at], work, now, setting) })
 }
 
-type Places = SmallVec<[usize; COMPARE_ALL]>;
+type Candidates = SmallVec<[usize; COMPARE_ALL]>;
 
 fn candidates<R: Rng>(
     views: &[RunnerView],
     work: &Work,
     now: Instant,
     setting: Settings,
-    skip: &[usize],
+    excluded: &[usize],
     rng: &mut R,
-) -> Places {
-    let usable = |at: usize| views[at].takes_work(now) && !skip.contains(&at);
+) -> Candidates {
+    let usable = |at: usize| views[at].takes_work(now) && !excluded.contains(&at);
     if views.len() <= COMPARE_ALL.max(setting.sample) {
         return (0..views.len()).filter(|at| usable(*at)).collect();
     }
-    let mut places = Places::new();
+    let mut candidates = Candidates::new();
     if work.cached.0 > 0 {
-        for turn in 0..AFFINE {
+        for turn in 0..PREFIX_CANDIDATES {
             let hash = stable_hash(turn as u64, &work.prefix.0.to_le_bytes());
             let at = (hash % views.len() as u64) as usize;
-            if usable(at) && !places.contains(&at) {
-                places.push(at);
+            if usable(at) && !candidates.contains(&at) {
+                candidates.push(at);
             }
         }
     }
     for _ in 0..setting.sample {
         let at = rng.random_range(0..views.len());
-        if usable(at) && !places.contains(&at) {
-            places.push(at);
+        if usable(at) && !candidates.contains(&at) {
+            candidates.push(at);
         }
     }
-    places
+    candidates
 }
--- a/lib/src/claim.rs
+++ b/lib/src/claim.rs
@@ -114,7 +114,7 @@
     me: Member,
     table: Table,
     entries: HashMap<Version, HashMap<SmolStr, Entry>>,
-    kept: VecDeque<(Version, SmolStr, usize)>,
+    kept_answers: VecDeque<(Version, SmolStr, usize)>,
     kept_bytes: usize,
 }
 
@@ -125,7 +125,7 @@
             me,
             table: Table::default(),
             entries: HashMap::new(),
-            kept: VecDeque::new(),
+            kept_answers: VecDeque::new(),
             kept_bytes: 0,
         }
     }
@@ -138,7 +138,7 @@
         self.table = table.clone();
         let floor = self.table.oldest();
         self.entries.retain(|version, _| *version >= floor);
-        while self.kept.front().is_some_and(|(version, ..)| *version < floor) {
+        while self.kept_answers.front().is_some_and(|(version, ..)| *version < floor) {
             self.drop_oldest_answer();
         }
     }
@@ -153,7 +153,7 @@
         self.len() == 0
     }
 
-    fn owns(&self, key: &str, birth: Version) -> Result<(), Doubt> {
+    fn check_owner(&self, key: &str, birth: Version) -> Result<(), Doubt> {
         if birth < self.table.oldest() {
             return Err(Doubt::TooOld);
         }
@@ -167,7 +167,7 @@
 
     /// Judges a claim.
     pub fn claim(&mut self, claim: &Claim) -> Verdict {
-        if let Err(doubt) = self.owns(&claim.key, claim.birth) {
+        if let Err(doubt) = self.check_owner(&claim.key, claim.birth) {
             return Verdict::Doubt(doubt);
         }
         let entries = self.entries.entry(claim.birth).or_default();
@@ -188,14 +188,14 @@
 
     /// Notes what came of a request that `claimant` was granted.
     pub fn end(&mut self, key: &str, birth: Version, claimant: &Claimant, outcome: Outcome) {
-        let Some(entry) = self.claimed(key, birth, claimant) else { return };
+        let Some(entry) = self.claimed_entry(key, birth, claimant) else { return };
         let size = match &outcome {
             Outcome::Answered(answer) => answer.body.len(),
             Outcome::NotKept | Outcome::Unknown => 0,
         };
         entry.record = Record::Ended(outcome);
         if size > 0 {
-            self.kept.push_back((birth, SmolStr::new(key), size));
+            self.kept_answers.push_back((birth, SmolStr::new(key), size));
             self.kept_bytes += size;
         }
         while self.kept_bytes > MAX_KEPT_BYTES {
@@ -205,14 +205,19 @@
 
     /// Gives a key back that `claimant` was granted and has not sent, and will not send.
     pub fn release(&mut self, key: &str, birth: Version, claimant: &Claimant) {
-        if self.claimed(key, birth, claimant).is_some()
+        if self.claimed_entry(key, birth, claimant).is_some()
             && let Some(entries) = self.entries.get_mut(&birth)
         {
             entries.remove(key);
         }
     }
 
-    fn claimed(&mut self, key: &str, birth: Version, claimant: &Claimant) -> Option<&mut Entry> {
+    fn claimed_entry(
+        &mut self,
+        key: &str,
+        birth: Version,
+        claimant: &Claimant,
+    ) -> Option<&mut Entry> {
         let entry = self.entries.get_mut(&birth)?.get_mut(key)?;
         match &entry.record {
             Record::Claimed(holder) if holder == claimant => Some(entry),
@@ -222,7 +227,7 @@
 
     /// Drops the body of the oldest answer; that the key has been run stays known.
     fn drop_oldest_answer(&mut self) {
-        let Some((version, key, size)) = self.kept.pop_front() else { return };
+        let Some((version, key, size)) = self.kept_answers.pop_front() else { return };
         self.kept_bytes -= size;
         let entry = self.entries.get_mut(&version).and_then(|entries| entries.get_mut(&key));
         if let Some(entry) = entry {
--- a/lib/src/clock.rs
+++ b/lib/src/clock.rs
@@ -1,18 +1,18 @@
-//! The clock as an interface, so that tests and benchmarks pass in a time of their own.
+//! A clock trait, so that tests and benchmarks can control time.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Where a process takes its time from.
+/// A source of time.
 pub trait Clock: Send + Sync {
     /// The monotonic time, for intervals.
     fn now(&self) -> Instant;
 
-    /// The time of day, for records that people read. No decision is taken on it.
+    /// The time of day, for records that people read. No decision depends on it.
     fn wall(&self) -> SystemTime;
 }
 
-/// The clock of the machine.
+/// The system clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct System;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A clock that stands still until it is moved.
+/// A clock that only moves when told to.
 #[derive(Debug)]
 pub struct Manual {
     start: Instant,
--- a/lib/src/config_fetch.rs
+++ b/lib/src/config_fetch.rs
@@ -23,7 +23,7 @@
 pub const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How many sources are remembered for a generation.
-const SOURCES: usize = 4;
+const MAX_SOURCES: usize = 4;
 
 /// Where a head or chunk comes from.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -50,18 +50,18 @@
     #[error(transparent)]
     Chunk(#[from] ChunkError),
     /// The head and its operation do not belong together.
-    #[error("head of generation {0} does not fit its operation")]
+    #[error("head of generation {0} does not match its operation")]
     Mismatch(Generation),
     /// The configuration is not right, as one made by a newer release may seem.
-    #[error("generation {0} is not accepted: {1:?}")]
+    #[error("configuration of generation {0} is invalid: {1:?}")]
     Invalid(Generation, Vec<ObjectError>),
 }
 
 #[derive(Clone, Debug)]
 struct Fetch {
     head: Option<Head>,
-    sources: SmallVec<[Name; SOURCES]>,
-    tried: usize,
+    sources: SmallVec<[Name; MAX_SOURCES]>,
+    attempts: usize,
     asked: Option<Instant>,
     chunks: BTreeMap<Digest, Chunk>,
 }
@@ -106,7 +106,7 @@
             self.fetch = Some(Fetch::new(None));
         }
         if let Some(fetch) = &mut self.fetch
-            && fetch.sources.len() < SOURCES
+            && fetch.sources.len() < MAX_SOURCES
             && !fetch.sources.contains(peer)
         {
             fetch.sources.push(peer.clone());
@@ -162,7 +162,7 @@
     pub fn on_fetch_failed(&mut self) {
         if let Some(fetch) = &mut self.fetch {
             fetch.asked = None;
-            fetch.tried += 1;
+            fetch.attempts += 1;
         }
     }
 
@@ -174,7 +174,7 @@
             if now < asked + FETCH_TIMEOUT {
                 return None;
             }
-            fetch.tried += 1;
+            fetch.attempts += 1;
         }
         fetch.asked = Some(now);
         let source = fetch.source();
@@ -186,12 +186,12 @@
 
 impl Fetch {
     fn new(head: Option<Head>) -> Self {
-        Self { head, sources: SmallVec::new(), tried: 0, asked: None, chunks: BTreeMap::new() }
+        Self { head, sources: SmallVec::new(), attempts: 0, asked: None, chunks: BTreeMap::new() }
     }
 
     /// Peers in turn, then the store, then all again.
     fn source(&self) -> Source {
-        let turn = self.tried % (self.sources.len() + 1);
+        let turn = self.attempts % (self.sources.len() + 1);
         self.sources.get(turn).map_or(Source::Store, |name| Source::Peer(name.clone()))
     }
 }
--- a/lib/src/decimal.rs
+++ b/lib/src/decimal.rs
@@ -1,28 +1,29 @@
-//! Decimal numbers in text from outside: digits and at most one point, without sign or exponent.
+//! Parsing of decimal numbers from external text: digits and at most one point, without a sign or
+//! an exponent.
 
 use thiserror::Error;
 
-/// Why a text is no such number.
+/// An error from parsing a decimal number.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum DecimalError {
-    /// It is longer than any that is meant.
-    #[error("a number of {0} bytes")]
+    /// The text is longer than the accepted maximum.
+    #[error("number of {0} bytes is longer than {MAX_LEN} bytes")]
     TooLong(usize),
-    /// It is something else.
-    #[error("{0:?} is no decimal number")]
+    /// The text is not a decimal number.
+    #[error("{0:?} is not a decimal number")]
     NotANumber(String),
 }
 
-/// The longest text that is read, in bytes.
-const LONGEST: usize = 24;
+/// The maximum length of the text in bytes.
+const MAX_LEN: usize = 24;
 
-/// Reads a number; spaces around it do not matter.
+/// Parses a number and ignores surrounding whitespace.
 ///
 /// # Errors
-/// It is none.
+/// The text is too long or not a decimal number.
 pub fn read(text: &str) -> Result<f64, DecimalError> {
     let text = text.trim();
-    if text.len() > LONGEST {
+    if text.len() > MAX_LEN {
         return Err(DecimalError::TooLong(text.len()));
     }
     let is_decimal = text.chars().all(|c| c.is_ascii_digit() || c == '.');
--- a/lib/src/directory.rs
+++ b/lib/src/directory.rs
@@ -13,7 +13,7 @@
 pub const VALIDITY: Duration = Duration::from_secs(20);
 
 /// How many addresses an answer has.
-pub const ADDRESSES: usize = 3;
+pub const ADDRESSES_PER_ANSWER: usize = 3;
 
 /// A node as callers can use it.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -35,12 +35,12 @@
     fronts: &[ClientEndpoint],
     data_centre: Option<&Name>,
     rng: &mut R,
-) -> SmallVec<[SocketAddr; ADDRESSES]> {
+) -> SmallVec<[SocketAddr; ADDRESSES_PER_ANSWER]> {
     let near = |f: &&ClientEndpoint| Some(&f.data_centre) == data_centre;
     let mut pool: Vec<&ClientEndpoint> = fronts.iter().filter(near).collect();
     let mut rest: Vec<&ClientEndpoint> = fronts.iter().filter(|f| !near(f)).collect();
     let mut picked = SmallVec::new();
-    while picked.len() < ADDRESSES {
+    while picked.len() < ADDRESSES_PER_ANSWER {
         if pool.is_empty() {
             std::mem::swap(&mut pool, &mut rest);
         }
--- a/lib/src/news.rs
+++ b/lib/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other about the nodes there are.
+//! Messages that nodes exchange about the members of the cluster.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::id::{Generation, Incarnation, Name, Version};
 
-/// The state of a node; a later one outweighs an earlier one of the same serial.
+/// The state of a node. Between updates with the same serial the later state wins.
 #[derive(
     Clone,
     Copy,
@@ -29,112 +29,112 @@
 #[serde(rename_all = "snake_case")]
 #[repr(u8)]
 pub enum State {
-    /// It has no configuration yet and takes no callers.
+    /// It has no configuration yet and accepts no clients.
     Joining,
-    /// It takes callers.
+    /// It accepts clients.
     Serving,
-    /// It finishes what it has.
+    /// It finishes the requests that it has.
     Leaving,
-    /// It did not answer and may object.
+    /// It did not answer a probe and may still refute the suspicion.
     Suspected,
-    /// It has ended, or cannot be reached by anyone.
+    /// It has ended or cannot be reached by any node.
     Gone,
 }
 
-/// Where a node can be reached.
+/// The addresses of a node.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct Addresses {
-    /// For other nodes: datagrams and calls.
+    /// For other nodes, both datagrams and calls.
     pub peer: SocketAddr,
-    /// For callers.
+    /// For clients.
     pub front: SocketAddr,
 }
 
-/// News about one node.
+/// An update about one node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Update {
     /// The node.
     pub name: Name,
-    /// Its life.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// Goes up whenever the node itself says something new about itself.
+    /// Incremented whenever the node announces a change of itself.
     pub serial: u32,
     /// Its state.
     pub state: State,
-    /// Where it can be reached.
+    /// Its addresses.
     pub addresses: Addresses,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: Name,
 }
 
 impl Update {
-    /// Whether this is newer than `other`, which is about the same node.
+    /// Whether this is newer than `other`, an update about the same node.
     pub fn supersedes(&self, other: &Update) -> bool {
         let rank = |u: &Update| (u.incarnation, u.serial, u.state);
         rank(self) > rank(other)
     }
 }
 
-/// What a node says of itself with every message.
+/// The status that a node includes in every message.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The generation that it has in force.
+    /// The generation of the configuration in force.
     pub generation: Generation,
-    /// The version of the table of owners that it has.
+    /// The version of its owner table.
     pub table: Version,
-    /// How many requests it has.
+    /// The number of its current requests.
     pub load: u32,
 }
 
-/// What a message is for.
+/// The purpose of a message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Purpose {
-    /// Asks for an answer.
+    /// Requests an acknowledgement.
     Ping,
-    /// Answers a ping.
+    /// Acknowledges a ping.
     Ack,
-    /// Asks the receiver to ping another.
+    /// Asks the receiver to ping another node on behalf of the sender.
     Relay {
         /// The node to ping.
         target: Name,
-        /// Where it is.
+        /// Its address.
         address: SocketAddr,
     },
-    /// Only carries news.
+    /// Only carries updates.
     Gossip,
 }
 
 /// A message between nodes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Message {
-    /// What it is for.
+    /// Its purpose.
     pub purpose: Purpose,
-    /// Matches an answer to its question.
+    /// Matches an acknowledgement to its ping.
     pub sequence: u64,
-    /// Who sends it.
+    /// The sender.
     pub from: Name,
-    /// What the sender says of itself.
+    /// The status of the sender.
     pub status: Status,
-    /// News.
+    /// Updates about nodes.
     pub updates: SmallVec<[Update; 4]>,
 }
 
-/// A message with its address.
+/// A message and its destination.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Outgoing {
-    /// Where to.
+    /// The destination.
     pub to: SocketAddr,
     /// The message.
     pub message: Message,
 }
 
-/// One line of the platform's VM list.
+/// An entry of the platform's VM list.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Vm {
-    /// The VM, named as its node.
+    /// The name of the VM, which is also that of its node.
     pub name: Name,
-    /// Where its node hears other nodes.
+    /// The peer address of its node.
     pub address: SocketAddr,
-    /// It is being taken away.
+    /// Whether the VM is being removed.
     pub leaving: bool,
 }
--- a/lib/src/hash.rs
+++ b/lib/src/hash.rs
@@ -20,18 +20,18 @@
 #[serde(try_from = "SmolStr", into = "SmolStr")]
 pub struct Digest(pub [u8; DIGEST_LEN]);
 
-/// Text that is not a digest.
+/// An error from parsing a [`Digest`].
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
-#[error("a digest is {} hexadecimal digits", DIGEST_LEN * 2)]
+#[error("digest does not have {} hexadecimal digits", DIGEST_LEN * 2)]
 pub struct DigestError;
 
 impl Digest {
-    /// The digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(Sha256::digest(bytes).into())
     }
 
-    /// Whether two digests are equal, in a time that does not depend on where they differ.
+    /// Compares two digests in constant time.
     pub fn matches(&self, other: &Digest) -> bool {
         self.0.ct_eq(&other.0).into()
     }
@@ -56,7 +56,7 @@
     bytes.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
 }
 
-/// Reads as many bytes as asked for from hexadecimal digits; none if the text is anything else.
+/// Parses exactly `N` bytes of hexadecimal digits. Returns `None` for any other text.
 pub(crate) fn read_hex<const N: usize>(text: &str) -> Option<[u8; N]> {
     if text.len() != N * 2 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
@@ -82,12 +82,13 @@
     }
 }
 
-/// A hash for placement, the same in every process and release.
+/// A hash that is the same in every process and release. It is used for placement.
 pub fn stable_hash(seed: u64, bytes: &[u8]) -> u64 {
     xxh3_64_with_seed(bytes, seed)
 }
 
-/// The weight of `member` for `duty` in rendezvous hashing; the highest weight has the duty.
+/// The weight of `member` for `duty` in rendezvous hashing. The member with the highest weight is
+/// chosen.
 pub fn rendezvous_weight(duty: u64, member: &[u8]) -> u64 {
     stable_hash(duty, member)
 }
--- a/lib/src/history.rs
+++ b/lib/src/history.rs
@@ -1,8 +1,9 @@
-//! Points in the history of the platform's store.
+//! Positions in the change history of the platform's store.
 //!
-//! The store may come back from a copy that lacks its last changes. Its revisions then go back and are
-//! given out again, so a revision says what is newer only within one era: the time from one such
-//! return to the next, as log positions are only compared within one epoch of a replicated log.
+//! The store may be restored from a backup that lacks its last changes. Its revisions then go back
+//! and are reused, so two revisions can only be compared within one era, which is the period
+//! between two restores. This is the same rule as comparing log positions only within one epoch of
+//! a replicated log.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -13,19 +14,19 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The number of an era of the store; it rises by one with each return from a copy.
+/// The number of an era of the store. It increases by one with each restore from a backup.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Era(pub u32);
 
-/// The largest era that is believed: the numbers of its points have 32 bits for a store of some
+/// The largest accepted era. With it, [`Point::number`] stays within 32 bits for a store of a few
 /// thousand changes.
 pub const MAX_ERA: Era = Era(4_095);
-/// How many changes a copy may lack without the numbers of points falling: 43 minutes of 400 changes a
-/// second, while copies are some seconds old.
-const MOST_LOST: u64 = 1 << 20;
+/// How many changes a backup may lack without [`Point::number`] decreasing. This is 43 minutes at
+/// 400 changes per second; backups are usually a few seconds old.
+const MAX_LOST_CHANGES: u64 = 1 << 20;
 
 impl fmt::Display for Era {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -33,14 +34,14 @@
     }
 }
 
-/// Text that is not an era.
+/// An error from parsing an [`Era`].
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum EraError {
-    /// It is no whole number.
-    #[error("an era is a whole number: {0}")]
+    /// The text is not a whole number.
+    #[error("era is not a whole number: {0}")]
     Number(#[from] ParseIntError),
-    /// It is larger than any that is believed.
-    #[error("an era is at most {MAX_ERA}")]
+    /// The era is larger than [`MAX_ERA`].
+    #[error("era is larger than {MAX_ERA}")]
     TooLarge,
 }
 
@@ -53,8 +54,7 @@
     }
 }
 
-/// The number of a change within an era. Revisions have no order of their own: that of [`Point`] is
-/// the order of changes.
+/// The number of a change within an era. It is not `Ord`: changes are ordered by [`Point`].
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Revision(pub u64);
@@ -65,29 +65,29 @@
     }
 }
 
-/// The place of a change in the store's history: by its era, then by its revision. Written as
-/// `ERA.REVISION`.
+/// The position of a change in the store's history, ordered by era and then by revision. The text
+/// form is `ERA.REVISION`.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Point {
-    /// The era in which the change was made, or shown again by a copy.
+    /// The era in which the change was made, or in which a restored backup contained it.
     pub era: Era,
-    /// Its number within the era.
+    /// The revision within the era.
     pub revision: Revision,
 }
 
 impl Point {
-    /// A point in an era.
+    /// Creates the position of `revision` in `era`.
     pub fn new(era: Era, revision: u64) -> Self {
         Self { era, revision: Revision(revision) }
     }
 
-    /// A number that is larger than that of any earlier point, in this era or one before, unless a copy
-    /// lacked more than 2^20 changes.
+    /// Returns a number that is larger than that of any earlier point, also across eras, unless a
+    /// backup lacked more than 2^20 changes.
     pub fn number(self) -> u64 {
-        u64::from(self.era.0) * MOST_LOST + self.revision.0
+        u64::from(self.era.0) * MAX_LOST_CHANGES + self.revision.0
     }
 
-    /// A point in the history of a store that names no eras.
+    /// Creates a position in a store that does not report eras.
     pub fn without_era(revision: u64) -> Self {
         Self::new(Era::default(), revision)
     }
@@ -111,17 +111,17 @@
     }
 }
 
-/// Text that is not a point.
+/// An error from parsing a [`Point`].
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum PointError {
-    /// It has no dot between two numbers.
-    #[error("a point is written as ERA.REVISION")]
+    /// The text does not consist of two parts separated by a dot.
+    #[error("position is not of the form ERA.REVISION")]
     Form,
-    /// Its era is none.
+    /// The era is invalid.
     #[error(transparent)]
     Era(#[from] EraError),
-    /// Its revision is none.
-    #[error("a revision is a whole number: {0}")]
+    /// The revision is invalid.
+    #[error("revision is not a whole number: {0}")]
     Revision(#[from] ParseIntError),
 }
 
@@ -134,47 +134,47 @@
     }
 }
 
-/// What an era that was shown says beside the one that is known.
+/// How an era reported by the store or a peer relates to the known one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EraChange {
-    /// It is the one that is known.
+    /// It equals the known era.
     Same,
-    /// It is the first.
+    /// It is the first era that was reported.
     First,
-    /// The store has come back from a copy since.
+    /// The store has been restored from a backup since.
     Later {
         /// The era that was known before.
         before: Era,
     },
-    /// It is over: what shows it is older than what is known.
+    /// It is older than the known era, so what reported it is out of date.
     Earlier,
-    /// It is more than one later, and not believed before it is shown again: one torn header would
-    /// else have all later answers taken for old ones.
+    /// It is more than one ahead and has been reported only once. A single corrupted header would
+    /// otherwise make all later answers look out of date.
     Unconfirmed,
 }
 
-/// The present era as one node knows it.
+/// The current era as known to one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CurrentEra {
     known: Option<(Era, Instant)>,
-    /// An era that is more than one later, shown once.
+    /// An era more than one ahead that has been reported once.
     unconfirmed: Option<Era>,
-    /// When the store was last known to have come back from a copy.
-    came_back: Option<Instant>,
+    /// When this node last learned that the store had been restored.
+    restored_at: Option<Instant>,
 }
 
 impl CurrentEra {
-    /// The present era; that of a store which names none until one is known.
+    /// Returns the current era, or the default era if none is known yet.
     pub fn era(&self) -> Era {
         self.known.map(|(era, _)| era).unwrap_or_default()
     }
 
-    /// Since when it has been known; none if none is.
+    /// Returns when the current era became known.
     pub fn since(&self) -> Option<Instant> {
         self.known.map(|(_, since)| since)
     }
 
-    /// Takes in an era that an answer of the store or another node has shown.
+    /// Processes an era reported by the store or by another node.
     pub fn observe(&mut self, shown: Era, now: Instant) -> EraChange {
         let Some((known, _)) = self.known else {
             self.known = Some((shown, now));
@@ -193,20 +193,21 @@
                 }
                 self.unconfirmed = None;
                 self.known = Some((shown, now));
-                self.came_back = Some(now);
+                self.restored_at = Some(now);
                 EraChange::Later { before: known }
             }
         }
     }
 
-    /// Whether the store has come back from a copy since the first era was known.
+    /// Whether the store has been restored from a backup since the first known era.
     pub fn was_restored(&self) -> bool {
-        self.came_back.is_some()
+        self.restored_at.is_some()
     }
 
-    /// Until when an entry that is missing now is doubted for `span` after a return from a copy, if
-    /// it is: who wrote it writes it again.
+    /// Returns the end of the grace period of length `span` after a restore, if it is still
+    /// running. Until then a missing entry may be one that the backup lacked and that its owner
+    /// will write again.
     pub fn grace_until(&self, now: Instant, span: Duration) -> Option<Instant> {
-        self.came_back.map(|at| at + span).filter(|until| *until > now)
+        self.restored_at.map(|at| at + span).filter(|until| *until > now)
     }
 }
--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -1,21 +1,25 @@
-//! The lease on a duty that one node at a time has, such as orders to engines.
+//! A lease on a task that one node at a time performs, such as sending role changes to engines.
 //!
-//! The lease is one object of the platform's store, changed by conditional update. What goes wrong
-//! without care: a holder that was paused believes that it still holds; an answer to a write is
-//! lost although the write took effect; the clocks of two machines differ. So a holder counts its
-//! time from before it asked, on a clock that counts suspension, and looks again as the last thing
-//! before it sends an order; a challenger takes over only after the object stood unchanged for the
-//! whole term, by its own clock and from its own first sight of it; a write whose answer was lost
-//! is settled by reading whose it is. Whoever takes over from a holder that has given the lease back,
-//! or whose process has ended, waits before its first call: calls of two holders that alternate
-//! quickly could arrive out of order. No time of day is ever compared between machines.
+//! The lease is one object in the platform's store and is changed by conditional writes. Three
+//! failures have to be handled: a holder that was paused believes that it still holds the lease;
+//! the answer to a write is lost although the write took effect; the clocks of two machines differ.
+//! Therefore:
 //!
-//! The store may come back from a copy that lacks the last writes, and give revisions out again. A
-//! holder keeps its authority for the rest of its term and writes its record again, over the copy's.
-//! Nobody takes the lease over on the word of a copy before the terms have run out that a holder it
-//! does not show can have: the grace period of a lock service after its recovery. A write that was
-//! made in a former era and arrives in a later one gives no authority, whatever it replaces. Fencing
-//! numbers grow with the store's points, so that none is given out twice.
+//! - A holder counts its term from before it sent the write, on a clock that includes suspension,
+//!   and checks its authority as the last step before sending an order.
+//! - A challenger takes over only after the object has been unchanged for the whole term plus a
+//!   margin, measured by its own clock from when it first read that version.
+//! - A write with a lost answer is resolved by reading the object.
+//! - A new holder that follows one which released the lease, or whose process ended, waits before
+//!   its first call. Otherwise calls of two alternating holders could arrive out of order.
+//! - Times of day are never compared between machines.
+//!
+//! The store may be restored from a backup that lacks the last writes, and then reuses revisions. A
+//! holder keeps its authority for the rest of its term and writes its record again. No other node
+//! takes over based on restored data until the term of any holder missing from it must have
+//! expired, like the grace period of a lock service after recovery. A write sent in an earlier era
+//! that is applied in a later one gives no authority. Fencing tokens increase with the store's
+//! history, so none is reused.
 
 use std::time::{Duration, Instant};
 
@@ -25,42 +29,42 @@
 use crate::history::{Era, Point};
 use crate::id::{Epoch, Incarnation, NodeId};
 
-/// One life of a node, as the holder of leases.
+/// A node process as holder of leases.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Holder {
     /// The node.
     pub name: NodeId,
-    /// Its life.
+    /// The incarnation of the node's process.
     pub incarnation: Incarnation,
 }
 
-/// The lease object.
+/// The stored lease object.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Who holds it; none when it was given back.
+    /// The current holder; `None` after a release.
     pub holder: Option<Holder>,
-    /// The fencing number of this holding.
+    /// The fencing token of the current holder.
     pub epoch: Epoch,
-    /// Goes up with each renewal, so that an unchanged object means a silent holder.
+    /// Incremented by each renewal, so that an unchanged object means that the holder is silent.
     pub beat: u64,
-    /// Earlier holders that neither gave the lease back nor are known to be gone. An engine that
-    /// ignores fencing numbers gets no orders while any of them may still be at work.
+    /// Earlier holders that neither released the lease nor are known to have ended. An engine that
+    /// ignores fencing tokens gets no orders while one of them may still be running.
     pub doubtful: SmallVec<[Holder; 2]>,
-    /// The node that gave the lease back, while nobody holds it.
+    /// The node that released the lease, while it has no holder.
     #[serde(default)]
     pub former: Option<NodeId>,
-    /// The era of the store in which this was written.
+    /// The era of the store in which this record was written.
     #[serde(default)]
     pub era: Era,
 }
 
-/// How long a lease holds.
+/// The duration of a lease.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Term {
-    /// For how long a write gives authority to its holder.
+    /// How long a successful write authorizes its holder.
     pub ttl: Duration,
-    /// By how much a challenger waits longer, for clocks that run at different speeds and so that the
-    /// calls of two holders are apart.
+    /// How much longer a challenger waits. It covers differences in clock speed and separates the
+    /// calls of two holders.
     pub margin: Duration,
 }
 
@@ -70,48 +74,47 @@
     }
 }
 
-/// What a lease wants done.
+/// A store operation that the caller has to perform.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Action {
     /// Read the object.
     Read,
-    /// Write the object if its revision is still the expected one; none means that it must not
-    /// exist yet.
+    /// Write the object if it still has the expected revision. `None` means that it must not exist.
     Write {
-        /// The revision that the object must have.
+        /// The required current revision.
         expected: Option<Point>,
         /// The new content.
         record: Record,
     },
 }
 
-/// What came of a write.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Written {
-    /// It took effect and made this revision.
+    /// It took effect and created this revision.
     Done(Point),
     /// The object had another revision.
     Conflict,
-    /// No answer came: it may have taken effect.
+    /// No answer arrived; the write may have taken effect.
     Lost,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct Seen {
-    /// The era in which it was read.
+struct Observed {
+    /// The era in which the record was read.
     era: Era,
     revision: Option<Point>,
     record: Record,
-    /// Whether the record, though it names this node, gives it no authority: it is from before a return
-    /// of the store from a copy, or was written across one.
+    /// Set if the record names this node but gives it no authority: it was written before a restore
+    /// of the store, or sent before one and applied after it.
     is_void: bool,
-    first: Instant,
-    /// The latest time at which a holder before it can have acted, once the lease has been given back.
-    acted: Instant,
+    first_seen: Instant,
+    /// After a release, the latest time at which the previous holder can have acted.
+    predecessor_active_until: Instant,
 }
 
-impl Seen {
-    /// The point of the store's history at which it was read, as far as it is known.
+impl Observed {
+    /// The position in the store's history at which the record was read, as far as known.
     fn point(&self) -> Point {
         self.revision.unwrap_or(Point::new(self.era, 0))
     }
@@ -121,32 +124,32 @@
 struct Pending {
     record: Record,
     sent: Instant,
-    /// From when on it gives authority.
+    /// When the write starts to give authority.
     from: Instant,
-    /// The era in which it was sent.
+    /// The era in which the write was sent.
     era: Era,
 }
 
-/// A node's part in the lease of one service.
+/// One node's view of a lease.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Lease {
     me: Holder,
-    seen: Option<Seen>,
+    seen: Option<Observed>,
     pending: Option<Pending>,
     held_until: Option<Instant>,
-    /// From when on this node may act in its present holding.
+    /// When this node may start to act as the current holder.
     held_from: Option<Instant>,
-    read_wanted: bool,
-    /// The present era, and since when it has been known; none where the store names no eras.
-    present: Option<(Era, Instant)>,
-    /// Whether the era has changed in this process's life.
-    has_crossed: bool,
-    /// Whether this node's record has to be written again, as the store has come back without it.
-    is_lost: bool,
+    read_requested: bool,
+    /// The current era and when it became known. `None` if the store does not report eras.
+    current_era: Option<(Era, Instant)>,
+    /// Whether the era has changed since this process started.
+    era_changed: bool,
+    /// Whether this node's record must be written again because a restored backup lacks it.
+    needs_rewrite: bool,
 }
 
 impl Lease {
-    /// A lease of which nothing is known yet.
+    /// Creates a lease whose state has not been read yet.
     pub fn new(me: Holder) -> Self {
         Self {
             me,
@@ -154,66 +157,65 @@
             pending: None,
             held_until: None,
             held_from: None,
-            read_wanted: true,
-            present: None,
-            has_crossed: false,
-            is_lost: false,
+            read_requested: true,
+            current_era: None,
+            era_changed: false,
+            needs_rewrite: false,
         }
     }
 
-    /// Takes in the store's present era, and since when it has been known. What was read in another one
-    /// is read again.
+    /// Sets the store's current era and when it became known. If the era changed, the lease is read
+    /// again.
     pub fn set_era(&mut self, era: Era, since: Instant) {
-        let before = self.present.replace((era, since));
+        let before = self.current_era.replace((era, since));
         if before.is_some_and(|(before, _)| before != era) {
-            self.has_crossed = true;
-            self.read_wanted = true;
+            self.era_changed = true;
+            self.read_requested = true;
         }
     }
 
     fn era(&self) -> Era {
-        self.present.map(|(era, _)| era).unwrap_or_default()
+        self.current_era.map(|(era, _)| era).unwrap_or_default()
     }
 
-    /// The lease's content as last seen.
+    /// The lease record as last read or written.
     pub fn record(&self) -> Option<&Record> {
         self.seen.as_ref().map(|s| &s.record)
     }
 
-    /// The fencing number, if this node may give orders at `now`. Ask as the last thing before an
-    /// order is sent: a process that was paused between asking and sending has lost its authority
-    /// without noticing.
+    /// Returns the fencing token if this node may act at `now`. Call this as the last step before
+    /// sending an order: a process that is paused in between loses its authority without noticing.
     pub fn authority(&self, now: Instant) -> Option<Epoch> {
         self.authority_for(now, Duration::ZERO)
     }
 
-    /// The fencing number, if this node may make a call at `now` that arrives within `call`. A call
-    /// that arrived after the end of the term could follow one of a successor.
+    /// Returns the fencing token if this node may make a call at `now` that takes up to `call` to
+    /// arrive. A call that arrives after the end of the term could follow one of a successor.
     pub fn authority_for(&self, now: Instant, call: Duration) -> Option<Epoch> {
         let (from, until) = (self.held_from?, self.held_until?);
         let seen = self.seen.as_ref()?;
         let in_term = from <= now && now + call < until && !seen.is_void;
-        (in_term && self.is_mine(&seen.record)).then_some(seen.record.epoch)
+        (in_term && self.is_own(&seen.record)).then_some(seen.record.epoch)
     }
 
-    /// Until when this node holds the lease, if it does at `now`, and its number.
+    /// Returns the fencing token and the end of the term if this node holds the lease at `now`.
     pub fn holding(&self, now: Instant) -> Option<(Epoch, Instant)> {
         let until = self.held_until.filter(|until| now < *until)?;
-        let seen = self.seen.as_ref().filter(|seen| self.is_mine(&seen.record))?;
+        let seen = self.seen.as_ref().filter(|seen| self.is_own(&seen.record))?;
         Some((seen.record.epoch, until))
     }
 
-    /// Whether earlier holders may still be at work.
+    /// Whether earlier holders may still be running.
     pub fn is_doubtful(&self) -> bool {
         self.record().is_some_and(|r| !r.doubtful.is_empty())
     }
 
-    fn is_mine(&self, record: &Record) -> bool {
+    fn is_own(&self, record: &Record) -> bool {
         record.holder.as_ref() == Some(&self.me)
     }
 
-    /// What to do at `now`. `wanted` says whether this node should hold the lease; `is_gone`
-    /// whether a holder's process is known to have ended.
+    /// Returns the next action at `now`. `wanted` says whether this node should hold the lease, and
+    /// `is_gone` whether the process of a holder is known to have ended.
     pub fn poll(
         &mut self,
         now: Instant,
@@ -224,21 +226,21 @@
         if self.pending.is_some() {
             return None;
         }
-        if self.read_wanted {
-            self.read_wanted = false;
+        if self.read_requested {
+            self.read_requested = false;
             return Some(Action::Read);
         }
         let seen = self.seen.clone()?;
-        let (mut record, from) = if self.is_mine(&seen.record) && !seen.is_void {
-            let record = self.renewal(now, term, wanted, &seen, &is_gone)?;
+        let (mut record, from) = if self.is_own(&seen.record) && !seen.is_void {
+            let record = self.renewed_record(now, term, wanted, &seen, &is_gone)?;
             (record, self.held_from.unwrap_or(now + term.margin))
         } else if wanted {
-            self.takeover(now, term, &seen, &is_gone)?
+            self.takeover_record(now, term, &seen, &is_gone)?
         } else {
             return None;
         };
-        if !self.is_mine(&record) {
-            // Authority ends before the release can be seen by anyone.
+        if !self.is_own(&record) {
+            // Give up authority before the release becomes visible.
             self.held_until = None;
         }
         record.era = self.era();
@@ -246,12 +248,12 @@
         Some(Action::Write { expected: seen.revision, record })
     }
 
-    fn renewal(
+    fn renewed_record(
         &self,
         now: Instant,
         term: Term,
         wanted: bool,
-        seen: &Seen,
+        seen: &Observed,
         is_gone: &impl Fn(&Holder) -> bool,
     ) -> Option<Record> {
         let mut record = seen.record.clone();
@@ -263,20 +265,20 @@
         }
         let half_over = self.held_until.is_none_or(|until| now + term.ttl / 2 >= until);
         let fewer = record.doubtful.len() < seen.record.doubtful.len();
-        (half_over || fewer || self.is_lost).then_some(record)
+        (half_over || fewer || self.needs_rewrite).then_some(record)
     }
 
-    fn takeover(
+    fn takeover_record(
         &self,
         now: Instant,
         term: Term,
-        seen: &Seen,
+        seen: &Observed,
         is_gone: &impl Fn(&Holder) -> bool,
     ) -> Option<(Record, Instant)> {
-        let silent = now.saturating_duration_since(seen.first) >= term.ttl + term.margin;
+        let silent = now.saturating_duration_since(seen.first_seen) >= term.ttl + term.margin;
         let old = seen.record.holder.as_ref();
         let known_gone = old.is_none_or(is_gone);
-        let is_free = known_gone && self.is_of_present(now, term, seen);
+        let is_free = known_gone && self.covers_all_holders(now, term, seen);
         if !is_free && !silent {
             return None;
         }
@@ -285,8 +287,8 @@
             doubtful.push(old.clone());
         }
         doubtful.retain(|h| !is_gone(h));
-        // A silent holder's last call lies the margin back already.
-        // Any other may have one under way, also this node itself.
+        // A silent holder's last call was at least `margin` ago. Any other predecessor, including
+        // this node itself, may have a call in flight.
         let waits = !silent && (old.is_some() || seen.record.former.is_some());
         let record = Record {
             holder: Some(self.me.clone()),
@@ -296,21 +298,23 @@
             former: None,
             era: self.era(),
         };
-        let from = if old.is_some() { now } else { seen.acted } + term.margin;
+        let from = if old.is_some() { now } else { seen.predecessor_active_until } + term.margin;
         Some((record, if waits { from.max(now) } else { now }))
     }
 
-    /// Whether what was seen shows all holders of the present era and the one before: it was written in
-    /// this era, or there is nothing and terms of the era before have run out.
-    fn is_of_present(&self, now: Instant, term: Term, seen: &Seen) -> bool {
-        let Some((era, since)) = self.present else { return true };
+    /// Whether the observed record accounts for all holders of this era and the previous one: it
+    /// was written in this era, or there is no record and all terms of the previous era have
+    /// expired.
+    fn covers_all_holders(&self, now: Instant, term: Term, seen: &Observed) -> bool {
+        let Some((era, since)) = self.current_era else { return true };
         if seen.revision.is_some() {
             return seen.record.era == era;
         }
         now.saturating_duration_since(since) >= term.ttl + term.margin
     }
 
-    /// Takes in what a read gave: the point and content, or nothing where there is no object.
+    /// Handles the result of a read: the position and content, or `None` if the object does not
+    /// exist.
     pub fn on_read(&mut self, now: Instant, term: Term, found: Option<(Point, Record)>) {
         let (revision, record) = match found {
             Some((revision, record)) => (Some(revision), record),
@@ -318,19 +322,19 @@
         };
         let era = revision.map_or(self.era(), |point| point.era);
         if self.seen.as_ref().is_some_and(|seen| era > seen.era) {
-            self.cross(now, era, revision, record);
+            self.on_restore(now, era, revision, record);
             return;
         }
-        let stale = |seen: &Seen| (era, revision) < (seen.era, seen.revision);
+        let stale = |seen: &Observed| (era, revision) < (seen.era, seen.revision);
         if self.seen.as_ref().is_some_and(stale) {
-            // A read that was served from an old copy must not bring an old holder back.
-            self.read_wanted = true;
+            // A read served from a stale replica must not bring an old holder back.
+            self.read_requested = true;
             return;
         }
         let unchanged = self.seen.as_ref().is_some_and(|s| s.revision == revision);
         if unchanged {
-            // Once a lost write is known not to have happened yet it still may; the next
-            // conditional write on this revision decides between them.
+            // A write with a lost answer may still be applied. The next conditional write on this
+            // revision settles which of the two takes effect.
             self.pending = None;
             return;
         }
@@ -338,82 +342,104 @@
         if let Some(pending) = self.pending.take()
             && pending.record == record
             && pending.era == era
-            && self.is_mine(&record)
+            && self.is_own(&record)
         {
             self.held_until = Some(pending.sent + term.ttl);
             self.held_from = Some(pending.from);
-        } else if !self.is_mine(&record) {
+        } else if !self.is_own(&record) {
             self.held_until = None;
         } else {
-            // A write of a former era may have arrived in this one, in place of another holder's.
-            is_void = self.has_crossed;
+            // A write sent in an earlier era may have replaced another holder's record in this one.
+            is_void = self.era_changed;
         }
-        let acted = self.last_act(now, term, &record);
-        self.seen = Some(Seen { era, revision, record, is_void, first: now, acted });
+        let predecessor_active_until = self.last_activity(now, term, &record);
+        self.seen = Some(Observed {
+            era,
+            revision,
+            record,
+            is_void,
+            first_seen: now,
+            predecessor_active_until,
+        });
     }
 
-    /// Takes in the first read after the store came back from a copy. A holder whose term lasts goes on,
-    /// unless the lease has been taken over in the new era, and has its record written again.
-    fn cross(&mut self, now: Instant, era: Era, revision: Option<Point>, found: Record) {
-        self.has_crossed = true;
+    /// Handles the first read after a restore of the store. A holder within its term keeps the
+    /// lease, and rewrites its record, unless another node has taken over in the new era.
+    fn on_restore(&mut self, now: Instant, era: Era, revision: Option<Point>, found: Record) {
+        self.era_changed = true;
         self.pending = None;
         let before = self.seen.take();
         let mine = before.map(|seen| seen.record).filter(|record| {
             let holds = self.held_until.is_some_and(|until| now < until);
-            holds && self.is_mine(record) && found.epoch <= record.epoch
+            holds && self.is_own(record) && found.epoch <= record.epoch
         });
-        self.is_lost = mine.is_some();
+        self.needs_rewrite = mine.is_some();
         if mine.is_none() {
             self.held_until = None;
         }
-        let is_void = mine.is_none() && self.is_mine(&found);
+        let is_void = mine.is_none() && self.is_own(&found);
         let record = mine.unwrap_or(found);
-        self.seen = Some(Seen { era, revision, record, is_void, first: now, acted: now });
+        self.seen = Some(Observed {
+            era,
+            revision,
+            record,
+            is_void,
+            first_seen: now,
+            predecessor_active_until: now,
+        });
     }
 
-    /// When the holder that gave the lease back can have acted last. If it has not renewed since the
-    /// record that was seen before, its term had run out by then.
-    fn last_act(&self, now: Instant, term: Term, record: &Record) -> Instant {
+    /// Returns when the holder that released the lease can have acted last. If it had not renewed
+    /// since the previously observed record, its term was over by then.
+    fn last_activity(&self, now: Instant, term: Term, record: &Record) -> Instant {
         let before = self.seen.as_ref().filter(|seen| {
             seen.record.epoch == record.epoch && seen.record.beat + 1 == record.beat
         });
-        before.map_or(now, |seen| now.min(seen.first + term.ttl))
+        before.map_or(now, |seen| now.min(seen.first_seen + term.ttl))
     }
 
-    /// Takes in what came of the write that [`Lease::poll`] asked for.
+    /// Handles the result of the write returned by [`Lease::poll`].
     pub fn on_written(&mut self, now: Instant, term: Term, written: Written) {
         match written {
             Written::Done(revision) => {
                 let Some(pending) = self.pending.take() else { return };
-                if pending.era != revision.era && self.present.is_some() {
-                    self.read_wanted = true;
+                if pending.era != revision.era && self.current_era.is_some() {
+                    self.read_requested = true;
                     return;
                 }
-                self.is_lost = false;
-                if self.is_mine(&pending.record) {
+                self.needs_rewrite = false;
+                if self.is_own(&pending.record) {
                     self.held_until = Some(pending.sent + term.ttl);
                     self.held_from = Some(pending.from);
                 }
                 let revision = Some(revision);
                 let record = pending.record;
                 let (era, is_void) = (pending.era, false);
-                self.seen = Some(Seen { era, revision, record, is_void, first: now, acted: now });
+                self.seen = Some(Observed {
+                    era,
+                    revision,
+                    record,
+                    is_void,
+                    first_seen: now,
+                    predecessor_active_until: now,
+                });
             }
             Written::Conflict => {
                 self.pending = None;
-                self.read_wanted = true;
+                self.read_requested = true;
             }
-            Written::Lost => self.read_wanted = true,
+            Written::Lost => self.read_requested = true,
         }
     }
 
-    /// Asks for a read at the next poll, as when a watch has fired or a poll interval has passed.
+    /// Requests a read at the next poll, for instance after a watch event or a poll interval.
     pub fn request_read(&mut self) {
-        self.read_wanted = true;
+        self.read_requested = true;
     }
 
-    /// The read that settles a lost write must be done although a write is pending.
+    /// Returns whether a read is due that resolves a pending write with a lost answer, and clears
+    /// the request.
     pub fn take_settling_read(&mut self) -> bool {
-        self.pending.is_some() && std::mem::take(&mut self.read_wanted)
+        self.pending.is_some() && std::mem::take(&mut self.read_requested)
     }
 }
--- a/lib/src/member.rs
+++ b/lib/src/member.rs
@@ -16,41 +16,41 @@
 use rand::{Rng, RngExt as _};
 use smallvec::SmallVec;
 
+pub use crate::gossip::{Addresses, Message, Outgoing, Purpose, State, Status, Update, Vm};
 use crate::id::{Incarnation, Name};
-pub use crate::news::{Addresses, Message, Outgoing, Purpose, State, Status, Update, Vm};
 
 /// How often a node probes another.
-pub const PERIOD: Duration = Duration::from_secs(1);
+pub const PROBE_PERIOD: Duration = Duration::from_secs(1);
 /// How long a probe may go unanswered before others are asked to probe.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How many others are asked to probe.
-pub const HELPERS: usize = 3;
+pub const INDIRECT_PROBES: usize = 3;
 /// How long a suspected node has to object.
-pub const SUSPICION: Duration = Duration::from_secs(4);
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(4);
 /// How often a node that is taken for gone is probed.
-pub const HEAL_PERIOD: Duration = Duration::from_secs(5);
+pub const GONE_PROBE_PERIOD: Duration = Duration::from_secs(5);
 /// How long a node that is taken for gone is remembered. Longer than regions lose each other.
-pub const REMEMBERED: Duration = Duration::from_secs(2 * 3600);
+pub const GONE_RETENTION: Duration = Duration::from_secs(2 * 3600);
 /// How much news goes with a message at the most.
-pub const NEWS: usize = 12;
+pub const MAX_UPDATES: usize = 12;
 /// How often a piece of news is passed on, times the logarithm of the number of nodes.
-pub const REPEATS: u32 = 3;
+pub const RETRANSMIT_FACTOR: u32 = 3;
 /// More waiting news than these make whole lists worth exchanging.
-pub const MANY_NEWS: usize = 40;
+pub const FULL_SYNC_THRESHOLD: usize = 40;
 /// How often whole lists are exchanged then. At 550 nodes a list has some 40 KB.
-pub const EXCHANGE_PERIOD: Duration = Duration::from_secs(5);
+pub const FULL_SYNC_PERIOD: Duration = Duration::from_secs(5);
 /// How often all nodes are looked through for suspicions that are over.
-pub const SCAN_PERIOD: Duration = Duration::from_millis(500);
+pub const SUSPECT_CHECK_PERIOD: Duration = Duration::from_millis(500);
 /// A tick that comes so much late means that this process was paused.
-pub const PAUSE: Duration = Duration::from_millis(1500);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(1500);
 
 /// The reads of the VM list a period that all nodes make together, at the most about: the
 /// platform's rates grow more slowly than the fleet.
-pub const LIST_READERS: usize = 20;
+pub const LIST_READS_PER_PERIOD: usize = 20;
 
 /// How often one of `nodes` nodes reads the VM list, where few do it every `base`.
 pub fn list_period(nodes: usize, base: Duration) -> Duration {
-    let factor = nodes.div_ceil(LIST_READERS).max(1);
+    let factor = nodes.div_ceil(LIST_READS_PER_PERIOD).max(1);
     base * u32::try_from(factor).unwrap_or(u32::MAX)
 }
 
@@ -88,19 +88,19 @@
     target: Name,
     sequence: u64,
     sent: Instant,
-    relayed: bool,
+    indirect: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Relay {
     sequence: u64,
-    asker: SocketAddr,
-    asker_sequence: u64,
+    requester: SocketAddr,
+    requester_sequence: u64,
     sent: Instant,
 }
 
 #[derive(Clone, Debug)]
-struct Rumour {
+struct QueuedUpdate {
     update: Update,
     sent: u32,
 }
@@ -112,16 +112,16 @@
     status: Status,
     peers: BTreeMap<Name, Peer>,
     seeds: Vec<SocketAddr>,
-    round: Vec<Name>,
+    probe_round: Vec<Name>,
     probe: Option<Probe>,
     relays: Vec<Relay>,
-    rumours: Vec<Rumour>,
+    queued_updates: Vec<QueuedUpdate>,
     sequence: u64,
     last_tick: Option<Instant>,
     last_probe: Option<Instant>,
-    last_heal: Option<Instant>,
-    last_scan: Option<Instant>,
-    last_exchange: Option<Instant>,
+    last_gone_probe: Option<Instant>,
+    last_suspect_check: Option<Instant>,
+    last_full_sync: Option<Instant>,
     active: usize,
 }
 
@@ -133,16 +133,16 @@
             status: Status::default(),
             peers: BTreeMap::new(),
             seeds,
-            round: Vec::new(),
+            probe_round: Vec::new(),
             probe: None,
             relays: Vec::new(),
-            rumours: Vec::new(),
+            queued_updates: Vec::new(),
             sequence: 0,
             last_tick: None,
             last_probe: None,
-            last_heal: None,
-            last_scan: None,
-            last_exchange: None,
+            last_gone_probe: None,
+            last_suspect_check: None,
+            last_full_sync: None,
             active: 0,
         }
     }
@@ -203,7 +203,7 @@
     fn announce(&mut self) {
         self.me.serial += 1;
         let me = self.me.clone();
-        self.spread(me);
+        self.queue_update(me);
     }
 
     /// Takes in the platform's list.
@@ -220,7 +220,7 @@
         }
         // A suspected node that is no longer listed need not be waited for. One that is named as
         // leaving is told of to the others, as few nodes look at the list at a time.
-        let news: Vec<Update> = self
+        let updates: Vec<Update> = self
             .peers
             .values()
             .filter_map(|p| {
@@ -232,8 +232,8 @@
                 Some(Update { state, ..p.update.clone() })
             })
             .collect();
-        for update in news {
-            self.learn(now, update);
+        for update in updates {
+            self.apply_update(now, update);
         }
         let me_leaving = vms.iter().any(|vm| vm.name == self.me.name && vm.leaving);
         if me_leaving && self.me.state == State::Serving {
@@ -245,30 +245,30 @@
 
     /// What to send at `now`. Call it about ten times a second.
     pub fn tick<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Vec<Outgoing> {
-        let paused = self.last_tick.is_some_and(|last| now > last + PAUSE);
+        let paused = self.last_tick.is_some_and(|last| now > last + PAUSE_THRESHOLD);
         self.last_tick = Some(now);
         if paused {
-            self.forgive(now);
+            self.reset_after_pause(now);
         }
         let mut out = Vec::new();
         self.check_probe(now, rng, &mut out);
-        if self.last_scan.is_none_or(|last| now >= last + SCAN_PERIOD) {
-            self.last_scan = Some(now);
+        if self.last_suspect_check.is_none_or(|last| now >= last + SUSPECT_CHECK_PERIOD) {
+            self.last_suspect_check = Some(now);
             self.active = self.active().count();
-            self.check_suspects(now);
+            self.expire_suspects(now);
         }
-        self.relays.retain(|r| now < r.sent + PERIOD);
-        let due = self.last_probe.is_none_or(|last| now >= last + PERIOD);
+        self.relays.retain(|r| now < r.sent + PROBE_PERIOD);
+        let due = self.last_probe.is_none_or(|last| now >= last + PROBE_PERIOD);
         if due && self.probe.is_none() {
             self.last_probe = Some(now);
             self.start_probe(now, rng, &mut out);
         }
-        self.heal(now, rng, &mut out);
+        self.probe_gone(now, rng, &mut out);
         out
     }
 
     /// After a pause of this process: what it did not hear then says nothing about others.
-    fn forgive(&mut self, now: Instant) {
+    fn reset_after_pause(&mut self, now: Instant) {
         self.probe = None;
         for peer in self.peers.values_mut() {
             if peer.update.state == State::Suspected {
@@ -279,16 +279,21 @@
 
     fn check_probe<R: Rng>(&mut self, now: Instant, rng: &mut R, out: &mut Vec<Outgoing>) {
         let Some(probe) = self.probe.clone() else { return };
-        if now >= probe.sent + PERIOD {
+        if now >= probe.sent + PROBE_PERIOD {
             self.probe = None;
             self.suspect(now, &probe.target);
-        } else if !probe.relayed && now >= probe.sent + PROBE_TIMEOUT {
-            self.ask_helpers(&probe, rng, out);
-            self.probe = Some(Probe { relayed: true, ..probe });
+        } else if !probe.indirect && now >= probe.sent + PROBE_TIMEOUT {
+            self.send_indirect_probes(&probe, rng, out);
+            self.probe = Some(Probe { indirect: true, ..probe });
         }
     }
 
-    fn ask_helpers<R: Rng>(&mut self, probe: &Probe, rng: &mut R, out: &mut Vec<Outgoing>) {
+    fn send_indirect_probes<R: Rng>(
+        &mut self,
+        probe: &Probe,
+        rng: &mut R,
+        out: &mut Vec<Outgoing>,
+    ) {
         let Some(target) = self.peers.get(&probe.target) else { return };
         let address = target.update.addresses.peer;
         let mut helpers: Vec<SocketAddr> = self
@@ -297,8 +302,8 @@
             .filter(|p| p.is_active() && p.update.name != probe.target)
             .map(|p| p.update.addresses.peer)
             .collect();
-        let (chosen, _) = helpers.partial_shuffle(rng, HELPERS);
-        let chosen: SmallVec<[SocketAddr; HELPERS]> = chosen.iter().copied().collect();
+        let (chosen, _) = helpers.partial_shuffle(rng, INDIRECT_PROBES);
+        let chosen: SmallVec<[SocketAddr; INDIRECT_PROBES]> = chosen.iter().copied().collect();
         for to in chosen {
             let purpose = Purpose::Relay { target: probe.target.clone(), address };
             self.push(out, to, purpose, probe.sequence);
@@ -309,12 +314,13 @@
         let Some(peer) = self.peers.get(name) else { return };
         if peer.is_active() {
             let update = Update { state: State::Suspected, ..peer.update.clone() };
-            self.learn(now, update);
+            self.apply_update(now, update);
         }
     }
 
-    fn check_suspects(&mut self, now: Instant) {
-        let over = |p: &&Peer| p.update.state == State::Suspected && now >= p.since + SUSPICION;
+    fn expire_suspects(&mut self, now: Instant) {
+        let over =
+            |p: &&Peer| p.update.state == State::Suspected && now >= p.since + SUSPICION_TIMEOUT;
         let gone: Vec<Update> = self
             .peers
             .values()
@@ -322,9 +328,9 @@
             .map(|p| Update { state: State::Gone, ..p.update.clone() })
             .collect();
         for update in gone {
-            self.learn(now, update);
+            self.apply_update(now, update);
         }
-        self.peers.retain(|_, p| p.update.state != State::Gone || now < p.since + REMEMBERED);
+        self.peers.retain(|_, p| p.update.state != State::Gone || now < p.since + GONE_RETENTION);
     }
 
     fn start_probe<R: Rng>(&mut self, now: Instant, rng: &mut R, out: &mut Vec<Outgoing>) {
@@ -332,7 +338,7 @@
             // A seed has no name yet, so its silence is not held against it.
             self.push(out, seed, Purpose::Ping, 0);
         }
-        while let Some(target) = self.next_in_round(rng) {
+        while let Some(target) = self.next_probe_target(rng) {
             let Some(peer) = self.peers.get(&target) else { continue };
             if !peer.is_active() && peer.update.state != State::Suspected {
                 continue;
@@ -340,30 +346,30 @@
             let to = peer.update.addresses.peer;
             self.sequence += 1;
             let sequence = self.sequence;
-            self.probe = Some(Probe { target, sequence, sent: now, relayed: false });
+            self.probe = Some(Probe { target, sequence, sent: now, indirect: false });
             self.push(out, to, Purpose::Ping, sequence);
             return;
         }
     }
 
-    fn next_in_round<R: Rng>(&mut self, rng: &mut R) -> Option<Name> {
-        if self.round.is_empty() {
-            self.round = self
+    fn next_probe_target<R: Rng>(&mut self, rng: &mut R) -> Option<Name> {
+        if self.probe_round.is_empty() {
+            self.probe_round = self
                 .peers
                 .values()
                 .filter(|p| p.update.state != State::Gone)
                 .map(|p| p.update.name.clone())
                 .collect();
-            self.round.shuffle(rng);
+            self.probe_round.shuffle(rng);
         }
-        self.round.pop()
+        self.probe_round.pop()
     }
 
-    fn heal<R: Rng>(&mut self, now: Instant, rng: &mut R, out: &mut Vec<Outgoing>) {
-        if self.last_heal.is_some_and(|last| now < last + HEAL_PERIOD) {
+    fn probe_gone<R: Rng>(&mut self, now: Instant, rng: &mut R, out: &mut Vec<Outgoing>) {
+        if self.last_gone_probe.is_some_and(|last| now < last + GONE_PROBE_PERIOD) {
             return;
         }
-        self.last_heal = Some(now);
+        self.last_gone_probe = Some(now);
         let gone: Vec<SocketAddr> = self
             .peers
             .values()
@@ -382,28 +388,28 @@
     }
 
     fn message(&mut self, purpose: Purpose, sequence: u64) -> Message {
-        let updates = self.pick_news();
+        let updates = self.select_updates();
         Message { purpose, sequence, from: self.me.name.clone(), status: self.status, updates }
     }
 
     /// This node's own news first, so that a stranger learns who speaks; then the news that has
     /// been passed on least.
-    fn pick_news(&mut self) -> SmallVec<[Update; 4]> {
-        let mut news = SmallVec::new();
-        news.push(self.me.clone());
-        let limit = REPEATS * (usize::BITS - self.active.leading_zeros()).max(1);
-        self.rumours.sort_by_key(|r| r.sent);
-        for rumour in self.rumours.iter_mut().take(NEWS - 1) {
+    fn select_updates(&mut self) -> SmallVec<[Update; 4]> {
+        let mut updates = SmallVec::new();
+        updates.push(self.me.clone());
+        let limit = RETRANSMIT_FACTOR * (usize::BITS - self.active.leading_zeros()).max(1);
+        self.queued_updates.sort_by_key(|r| r.sent);
+        for rumour in self.queued_updates.iter_mut().take(MAX_UPDATES - 1) {
             rumour.sent += 1;
-            news.push(rumour.update.clone());
+            updates.push(rumour.update.clone());
         }
-        self.rumours.retain(|r| r.sent < limit);
-        news
+        self.queued_updates.retain(|r| r.sent < limit);
+        updates
     }
 
-    fn spread(&mut self, update: Update) {
-        self.rumours.retain(|r| r.update.name != update.name);
-        self.rumours.push(Rumour { update, sent: 0 });
+    fn queue_update(&mut self, update: Update) {
+        self.queued_updates.retain(|r| r.update.name != update.name);
+        self.queued_updates.push(QueuedUpdate { update, sent: 0 });
     }
 
     /// Messages that carry news at once to `count` nodes drawn at random, as when a new generation
@@ -428,23 +434,23 @@
     pub fn receive(&mut self, now: Instant, source: SocketAddr, message: Message) -> Vec<Outgoing> {
         let mut out = Vec::new();
         for update in message.updates {
-            self.learn(now, update);
+            self.apply_update(now, update);
         }
         if let Some(peer) = self.peers.get_mut(&message.from) {
             peer.heard = Some(now);
             peer.status = message.status;
         }
-        self.tell_mistaken(source, &message.from, &mut out);
+        self.notify_if_suspected(source, &message.from, &mut out);
         match message.purpose {
             Purpose::Ping => self.push(&mut out, source, Purpose::Ack, message.sequence),
-            Purpose::Ack => self.take_ack(&message.from, message.sequence, &mut out),
+            Purpose::Ack => self.on_ack(&message.from, message.sequence, &mut out),
             Purpose::Relay { address, .. } => {
                 self.sequence += 1;
                 let sequence = self.sequence;
                 self.relays.push(Relay {
                     sequence,
-                    asker: source,
-                    asker_sequence: message.sequence,
+                    requester: source,
+                    requester_sequence: message.sequence,
                     sent: now,
                 });
                 self.push(&mut out, address, Purpose::Ping, sequence);
@@ -459,19 +465,19 @@
     /// Without this, regions that lost each other never find together again: what the other says of
     /// itself weighs no more than what was concluded about it, and it does not know that it has to
     /// contradict.
-    fn tell_mistaken(&mut self, source: SocketAddr, from: &Name, out: &mut Vec<Outgoing>) {
+    fn notify_if_suspected(&mut self, source: SocketAddr, from: &Name, out: &mut Vec<Outgoing>) {
         let Some(peer) = self.peers.get(from) else { return };
         if peer.update.state < State::Suspected {
             return;
         }
         let update = peer.update.clone();
         let mut message = self.message(Purpose::Gossip, 0);
-        message.updates.truncate(NEWS - 1);
+        message.updates.truncate(MAX_UPDATES - 1);
         message.updates.push(update);
         out.push(Outgoing { to: source, message });
     }
 
-    fn take_ack(&mut self, from: &Name, sequence: u64, out: &mut Vec<Outgoing>) {
+    fn on_ack(&mut self, from: &Name, sequence: u64, out: &mut Vec<Outgoing>) {
         if self.probe.as_ref().is_some_and(|p| p.sequence == sequence) {
             self.probe = None;
             return;
@@ -480,18 +486,18 @@
         let Some(at) = self.relays.iter().position(|r| r.sequence == sequence) else { return };
         let relay = self.relays.swap_remove(at);
         debug_assert_ne!(*from, self.me.name);
-        self.push(out, relay.asker, Purpose::Ack, relay.asker_sequence);
+        self.push(out, relay.requester, Purpose::Ack, relay.requester_sequence);
     }
 
     /// Takes in a whole list of nodes, as a node that joins gets it from the first it reaches.
     ///
     /// It is not passed on: whoever gave it has done so.
     pub fn merge_updates(&mut self, now: Instant, updates: Vec<Update>) {
-        let rumours = std::mem::take(&mut self.rumours);
+        let rumours = std::mem::take(&mut self.queued_updates);
         for update in updates {
-            self.learn(now, update);
+            self.apply_update(now, update);
         }
-        self.rumours = rumours;
+        self.queued_updates = rumours;
     }
 
     /// The node to exchange whole lists with at `now`, if there is more news than messages have room
@@ -501,11 +507,11 @@
     /// and nodes disagree for minutes. Whole lists end that in a few rounds; their period keeps their
     /// cost within a node's bytes.
     pub fn full_sync_peer<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Option<SocketAddr> {
-        let due = self.last_exchange.is_none_or(|last| now >= last + EXCHANGE_PERIOD);
-        if !due || self.rumours.len() < MANY_NEWS {
+        let due = self.last_full_sync.is_none_or(|last| now >= last + FULL_SYNC_PERIOD);
+        if !due || self.queued_updates.len() < FULL_SYNC_THRESHOLD {
             return None;
         }
-        self.last_exchange = Some(now);
+        self.last_full_sync = Some(now);
         let active: Vec<SocketAddr> = self
             .peers
             .values()
@@ -521,9 +527,9 @@
         std::iter::once(self.me.clone()).chain(peers).collect()
     }
 
-    fn learn(&mut self, now: Instant, update: Update) {
+    fn apply_update(&mut self, now: Instant, update: Update) {
         if update.name == self.me.name {
-            self.object(&update);
+            self.refute(&update);
             return;
         }
         let Some(peer) = self.peers.get_mut(&update.name) else {
@@ -538,7 +544,7 @@
                     unlisted: false,
                 };
                 self.peers.insert(update.name.clone(), peer);
-                self.spread(update);
+                self.queue_update(update);
             }
             return;
         };
@@ -547,12 +553,12 @@
                 peer.since = now;
             }
             peer.update = update.clone();
-            self.spread(update);
+            self.queue_update(update);
         }
     }
 
     /// Contradicts news that takes this life of this node for suspected or gone.
-    fn object(&mut self, update: &Update) {
+    fn refute(&mut self, update: &Update) {
         let same_life = update.incarnation == self.me.incarnation;
         if same_life && update.state >= State::Suspected && update.serial >= self.me.serial {
             self.me.serial = update.serial;
--- a/lib/src/order.rs
+++ b/lib/src/order.rs
@@ -1,10 +1,10 @@
-//! Orders to engines: written down as an intent before they are sent, settled by whoever holds the
-//! authority next.
+//! Role change orders to engines. Each is stored as an intent before it is sent, and is completed
+//! by whichever node holds the lease next.
 //!
-//! An order whose answer was lost, or whose sender died, may have taken effect or may still do so.
-//! Sending another one blindly gives an engine conflicting orders. So every order is first an
-//! intent in the store; a successor reads the intents, asks each engine what it runs, and finishes
-//! what is open under a number of its own. An engine is asked and never assumed.
+//! An order whose answer was lost, or whose sender crashed, may or may not have taken effect, and
+//! may still do so. Sending another order without checking can give an engine conflicting orders. A
+//! new lease holder therefore reads the intents, queries each engine for its role, and completes
+//! open intents under its own fencing token. It never assumes the state of an engine.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 use crate::history::Point;
 use crate::id::Epoch;
 
-/// The identity of an order; an engine does an order of the same identity once.
+/// The identity of an order. An engine executes each identity once.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Id(pub SmolStr);
@@ -27,155 +27,155 @@
     }
 }
 
-/// What an engine is ordered to do.
+/// A role change order to an engine.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct Order {
-    /// Its identity.
+    /// The identity.
     pub id: Id,
-    /// The fencing number of its sender.
+    /// The fencing token of the sender.
     pub epoch: Epoch,
-    /// The role to take.
+    /// The new role.
     pub role: Role,
 }
 
-/// How far an intent has come.
+/// The progress of an intent.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// The order may be sent or have been sent.
+    /// The order may have been sent.
     Open,
-    /// The engine has done it.
+    /// The engine has executed the order.
     Done,
 }
 
-/// The stored intent of one runner.
+/// The stored intent for one runner.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct Intent {
     /// The order.
     pub order: Order,
-    /// The role before it.
+    /// The role before the order.
     pub from: Role,
-    /// How far it has come.
+    /// The progress.
     pub stage: Stage,
 }
 
-/// What an engine says of itself.
+/// The status reported by an engine.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// The role it works in, or is changing to.
+    /// The current role, or the one it is changing to.
     pub role: Role,
-    /// It is away for a change.
+    /// Whether it is unavailable because of a role change.
     pub changing: bool,
-    /// The last order that it took.
+    /// The last order that it accepted.
     pub last: Option<Id>,
-    /// The highest fencing number that it has seen.
+    /// The highest fencing token that it has seen.
     pub fence: Epoch,
 }
 
-/// What a desk wants done.
+/// An operation that the caller of [`OrderSender`] has to perform.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Action {
     /// Write the intent if the stored one has the expected revision.
     Write {
-        /// The revision that the stored intent must have; none if there must be none.
+        /// The required revision of the stored intent; `None` if there must be none.
         expected: Option<Point>,
-        /// The intent.
+        /// The new intent.
         intent: Intent,
     },
-    /// Read the intent.
+    /// Read the stored intent.
     Read,
-    /// Ask the engine for its condition.
+    /// Query the engine for its status.
     Query,
     /// Send the order.
     Send(Order),
 }
 
-/// What came of sending an order.
+/// The result of sending an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// The engine took it.
+    /// The engine accepted it.
     Accepted,
-    /// The engine refused its fencing number.
+    /// The engine rejected its fencing token.
     Fenced,
-    /// No answer came: it may have been taken.
+    /// No answer arrived; the engine may have accepted it.
     Lost,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 enum Step {
-    /// The stored intent is not known under this authority.
+    /// The stored intent has not been read under the current fencing token.
     Unread,
-    /// The engine must be asked, as an open intent may have been done.
+    /// An open intent may have been executed; the engine must be queried.
     Unsettled,
-    /// Nothing is open.
+    /// No intent is open.
     Idle,
-    /// A write of the intent is out; then what it says.
+    /// The intent is being written.
     Writing,
-    /// The open intent is stored under this authority and may be sent.
+    /// The open intent is stored under the current fencing token and may be sent.
     Ready,
-    /// The order is out.
+    /// The order has been sent and not answered.
     Sent,
 }
 
-/// The orders to one runner as given by one node.
+/// Sends orders from one node to one runner.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct OrderSender {
     fencing: Fencing,
     epoch: Option<Epoch>,
     revision: Option<Point>,
     intent: Option<Intent>,
-    condition: Option<EngineStatus>,
+    status: Option<EngineStatus>,
     writing: Option<Intent>,
-    wanted: Option<(Id, Role)>,
+    requested: Option<(Id, Role)>,
     step: Step,
-    asked: Option<Instant>,
+    queried_at: Option<Instant>,
 }
 
-/// How long an engine that is away is left before it is asked again.
-pub const ASK_AGAIN: Duration = Duration::from_millis(500);
+/// How long to wait before querying an unavailable engine again.
+pub const QUERY_RETRY: Duration = Duration::from_millis(500);
 
 impl OrderSender {
-    /// A desk that knows nothing yet.
+    /// Creates a sender that has read no state yet.
     pub fn new(fencing: Fencing) -> Self {
         Self {
             fencing,
             epoch: None,
             revision: None,
             intent: None,
-            condition: None,
+            status: None,
             writing: None,
-            wanted: None,
+            requested: None,
             step: Step::Unread,
-            asked: None,
+            queried_at: None,
         }
     }
 
-    /// The runner's condition as last heard.
-    pub fn condition(&self) -> Option<&EngineStatus> {
-        self.condition.as_ref()
+    /// The engine status as last reported.
+    pub fn status(&self) -> Option<&EngineStatus> {
+        self.status.as_ref()
     }
 
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub fn is_busy(&self) -> bool {
-        self.wanted.is_some() || !matches!(self.step, Step::Idle)
+        self.requested.is_some() || !matches!(self.step, Step::Idle)
     }
 
-    /// Whether the next thing to do is to send an order, for which the engine must be idle.
+    /// Whether the next step is to send an order, for which the engine must be idle.
     pub fn is_about_to_send(&self) -> bool {
         self.step == Step::Ready
     }
 
-    /// Asks for a role. Only one order is under way for a runner; false if it is not taken.
+    /// Requests a role change. Returns `false` if another one is in progress.
     pub fn request(&mut self, id: Id, role: Role) -> bool {
         if self.is_busy() {
             return false;
         }
-        self.wanted = Some((id, role));
+        self.requested = Some((id, role));
         true
     }
 
-    /// What to do at `now` under `authority`, the fencing number that the lease gives at this
-    /// moment. `doubtful` says that an earlier holder may still be at work.
+    /// Returns the next action at `now`. `authority` is the fencing token of the lease at this
+    /// moment, and `doubtful` says that an earlier lease holder may still be running.
     pub fn poll(
         &mut self,
         now: Instant,
@@ -183,61 +183,61 @@
         doubtful: bool,
     ) -> Option<Action> {
         let Some(epoch) = authority else {
-            self.forget();
+            self.reset();
             return None;
         };
         if self.epoch != Some(epoch) {
-            // Another holder may have been at work since: all is read and asked anew.
-            self.forget();
+            // Another holder may have acted in between, so the state is read again.
+            self.reset();
             self.epoch = Some(epoch);
         }
         match self.step {
             Step::Unread => Some(Action::Read),
-            Step::Unsettled => self.ask(now),
-            Step::Idle => self.begin(now, epoch, doubtful),
+            Step::Unsettled => self.query(now),
+            Step::Idle => self.start(now, epoch, doubtful),
             Step::Writing | Step::Sent => None,
             Step::Ready => self.send(epoch, doubtful),
         }
     }
 
-    fn forget(&mut self) {
-        let wanted = self.wanted.take();
-        *self = Self { wanted, ..Self::new(self.fencing) };
+    fn reset(&mut self) {
+        let requested = self.requested.take();
+        *self = Self { requested, ..Self::new(self.fencing) };
     }
 
-    fn ask(&mut self, now: Instant) -> Option<Action> {
-        let due = self.asked.is_none_or(|at| now >= at + ASK_AGAIN);
+    fn query(&mut self, now: Instant) -> Option<Action> {
+        let due = self.queried_at.is_none_or(|at| now >= at + QUERY_RETRY);
         if !due {
             return None;
         }
-        self.asked = Some(now);
+        self.queried_at = Some(now);
         Some(Action::Query)
     }
 
-    /// Whether orders may go to this engine at all. One that ignores fencing numbers would obey an
-    /// earlier holder's late order after ours.
+    /// Whether orders may be sent to this engine at all. An engine that ignores fencing tokens
+    /// would execute a delayed order of an earlier holder after one of this node.
     fn may_order(&self, doubtful: bool) -> bool {
         self.fencing == Fencing::Checked || !doubtful
     }
 
-    fn begin(&mut self, now: Instant, epoch: Epoch, doubtful: bool) -> Option<Action> {
-        self.wanted.as_ref()?;
+    fn start(&mut self, now: Instant, epoch: Epoch, doubtful: bool) -> Option<Action> {
+        self.requested.as_ref()?;
         if !self.may_order(doubtful) {
             return None;
         }
-        let Some(condition) = self.condition.clone() else {
-            return self.ask(now);
+        let Some(status) = self.status.clone() else {
+            return self.query(now);
         };
-        if condition.changing {
-            self.condition = None;
+        if status.changing {
+            self.status = None;
             return None;
         }
-        let (id, role) = self.wanted.take()?;
-        if condition.role == role {
+        let (id, role) = self.requested.take()?;
+        if status.role == role {
             return None;
         }
         let order = Order { id, epoch, role };
-        Some(self.write(Intent { order, from: condition.role, stage: Stage::Open }))
+        Some(self.write(Intent { order, from: status.role, stage: Stage::Open }))
     }
 
     fn write(&mut self, intent: Intent) -> Action {
@@ -253,11 +253,11 @@
         let order = self.intent.as_ref()?.order.clone();
         debug_assert_eq!(order.epoch, epoch);
         self.step = Step::Sent;
-        self.condition = None;
+        self.status = None;
         Some(Action::Send(order))
     }
 
-    /// Takes in the stored intent.
+    /// Handles the stored intent.
     pub fn on_read(&mut self, found: Option<(Point, Intent)>) {
         let settles = self.writing.take();
         let (revision, intent) = found.unzip();
@@ -275,8 +275,9 @@
         };
     }
 
-    /// Takes in what came of a write: its revision, or `None` when it conflicted or no answer
-    /// came. In both cases the stored intent is read again, which settles whose it is.
+    /// Handles the result of a write: its revision, or `None` on a conflict or a lost answer. In
+    /// both of the latter cases the stored intent is read again to find out which write took
+    /// effect.
     pub fn on_written(&mut self, revision: Option<Point>) {
         if self.step != Step::Writing {
             return;
@@ -291,34 +292,35 @@
         self.step = if open { Step::Ready } else { Step::Idle };
     }
 
-    /// Takes in the engine's word of itself, and settles an open intent by it.
-    pub fn on_status(&mut self, condition: &EngineStatus) -> Option<Action> {
-        self.condition = Some(condition.clone());
-        if self.step != Step::Unsettled || condition.changing {
+    /// Handles the engine's status and resolves an open intent with it.
+    pub fn on_status(&mut self, status: &EngineStatus) -> Option<Action> {
+        self.status = Some(status.clone());
+        if self.step != Step::Unsettled || status.changing {
             return None;
         }
         let epoch = self.epoch?;
         let mut intent = self.intent.clone()?;
-        let done = condition.last.as_ref() == Some(&intent.order.id)
-            && condition.role == intent.order.role;
+        let done =
+            status.last.as_ref() == Some(&intent.order.id) && status.role == intent.order.role;
         if done {
             intent.stage = Stage::Done;
             return Some(self.write(intent));
         }
         if intent.order.epoch == epoch {
-            // Our own order was not taken: send it once more, under the same identity.
+            // This node's order was not accepted. Send it again under the same identity.
             self.step = Step::Ready;
             return None;
         }
-        // An earlier holder's order was not taken, and may still come late. Sending the same order
-        // under our own number ends the matter: the engine does it once, whoever is first, and an
-        // engine that checks numbers refuses the earlier one from then on.
+        // The order of an earlier holder was not accepted and may still arrive late. Sending the
+        // same order under this node's fencing token resolves this: the engine executes the
+        // identity once, whichever arrives first, and an engine that checks tokens rejects the
+        // earlier one from then on.
         intent.order.epoch = epoch;
-        intent.from = condition.role;
+        intent.from = status.role;
         Some(self.write(intent))
     }
 
-    /// Takes in what came of sending the order.
+    /// Handles the result of sending the order.
     pub fn on_answer(&mut self, answer: Answer) -> Option<Action> {
         if self.step != Step::Sent {
             return None;
@@ -330,13 +332,13 @@
                 Some(self.write(intent))
             }
             Answer::Fenced => {
-                // A later holder has been at the engine: this authority is over.
-                self.forget();
+                // A later holder has reached the engine, so this node's authority is over.
+                self.reset();
                 None
             }
             Answer::Lost => {
                 self.step = Step::Unsettled;
-                self.asked = None;
+                self.queried_at = None;
                 None
             }
         }
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Fault {
     /// No connection: no byte of the request left.
-    #[error("connecting to {peer}: {detail}")]
+    #[error("connection to {peer} failed: {detail}")]
     Connect {
         /// The runner.
         peer: Name,
@@ -43,7 +43,7 @@
         detail: SmolStr,
     },
     /// The runner says that it did not start the request.
-    #[error("{peer} refused the request unstarted: {detail}")]
+    #[error("{peer} refused the request before starting it: {detail}")]
     Refused {
         /// The runner.
         peer: Name,
@@ -51,7 +51,7 @@
         detail: SmolStr,
     },
     /// The answer broke off, or never came.
-    #[error("answer of {peer} broke off: {detail}")]
+    #[error("response of {peer} was interrupted: {detail}")]
     Broken {
         /// The runner.
         peer: Name,
@@ -59,7 +59,7 @@
         detail: SmolStr,
     },
     /// The answer is not one to this request: a token is missing, or the form is wrong.
-    #[error("answer of {peer} does not fit: {detail}")]
+    #[error("response of {peer} is invalid: {detail}")]
     Wrong {
         /// The runner.
         peer: Name,
@@ -126,11 +126,11 @@
     state: State,
     repeat: RetryMode,
     attempt: Attempt,
-    passed: u64,
+    forwarded: u64,
     /// The attempt under way has been sent and not been proved unstarted.
     sent: bool,
     /// An earlier attempt may have run.
-    doubt: bool,
+    may_have_run: bool,
 }
 
 impl Request {
@@ -140,9 +140,9 @@
             state: State::Received,
             repeat,
             attempt: Attempt(0),
-            passed: 0,
+            forwarded: 0,
             sent: false,
-            doubt: false,
+            may_have_run: false,
         }
     }
 
@@ -158,7 +158,7 @@
 
     /// How many tokens the caller has.
     pub fn forwarded(&self) -> u64 {
-        self.passed
+        self.forwarded
     }
 
     /// Notes that the request may use the system.
@@ -185,14 +185,14 @@
         if attempt != self.attempt || !matches!(self.state, State::Sent | State::Streaming) {
             return Verdict::Drop;
         }
-        if index < self.passed {
+        if index < self.forwarded {
             return Verdict::Drop;
         }
-        if index > self.passed {
+        if index > self.forwarded {
             return Verdict::Gap;
         }
         self.state = State::Streaming;
-        self.passed += 1;
+        self.forwarded += 1;
         Verdict::Pass
     }
 
@@ -208,18 +208,18 @@
     /// What to do after `fault` of the attempt under way. `granted` says whether the retry budget
     /// and the deadline allow another.
     pub fn on_fault(&mut self, fault: &Fault, granted: bool) -> NextStep {
-        self.doubt |= self.sent && !fault.proves_not_run();
+        self.may_have_run |= self.sent && !fault.proves_not_run();
         self.sent = false;
         let repeatable = match self.repeat {
-            RetryMode::Never => !self.doubt,
-            RetryMode::Idempotent => self.passed == 0,
+            RetryMode::Never => !self.may_have_run,
+            RetryMode::Idempotent => self.forwarded == 0,
             RetryMode::Resumable => true,
         };
         if !granted || !repeatable {
             return NextStep::Refuse(self.refuse());
         }
         self.state = State::Admitted;
-        match (self.repeat, self.passed) {
+        match (self.repeat, self.forwarded) {
             (RetryMode::Resumable, from) if from > 0 => NextStep::Resume { from },
             _ => NextStep::Retry,
         }
@@ -228,6 +228,6 @@
     /// Ends the request without an answer and says what may be said of it.
     pub fn refuse(&mut self) -> Run {
         self.state = State::Refused;
-        if self.sent || self.doubt { Run::Unknown } else { Run::NotRun }
+        if self.sent || self.may_have_run { Run::Unknown } else { Run::NotRun }
     }
 }
--- a/lib/src/owner.rs
+++ b/lib/src/owner.rs
@@ -32,7 +32,7 @@
 
 /// The members of one version.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Roll {
+pub struct VersionMembers {
     /// The version.
     pub version: Version,
     /// Its members, sorted.
@@ -44,7 +44,7 @@
 #[serde(try_from = "Stored", into = "Stored")]
 pub struct Table {
     /// The rolls, with versions that follow one another.
-    pub rolls: VecDeque<Roll>,
+    pub versions: VecDeque<VersionMembers>,
 }
 
 /// How many versions are kept. A key whose birth version is older is refused. The table's writer
@@ -62,35 +62,35 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Stored {
     members: Vec<Member>,
-    rolls: Vec<StoredRoll>,
+    rolls: Vec<StoredVersion>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct StoredRoll {
+struct StoredVersion {
     version: Version,
     members: Vec<u32>,
 }
 
 /// A stored table that names members it does not have, or whose versions do not follow one another.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
-#[error("the table of owners is damaged at version {0}")]
+#[error("owner table is corrupt at version {0}")]
 pub struct TableError(pub Version);
 
 impl From<Table> for Stored {
     fn from(table: Table) -> Self {
-        let mut places: BTreeMap<&Member, u32> = BTreeMap::new();
-        for member in table.rolls.iter().flat_map(|r| r.members.iter()) {
-            let next = places.len() as u32;
-            places.entry(member).or_insert(next);
+        let mut indices: BTreeMap<&Member, u32> = BTreeMap::new();
+        for member in table.versions.iter().flat_map(|r| r.members.iter()) {
+            let next = indices.len() as u32;
+            indices.entry(member).or_insert(next);
         }
-        let roll = |r: &Roll| StoredRoll {
+        let stored = |r: &VersionMembers| StoredVersion {
             version: r.version,
-            members: r.members.iter().map(|m| places[m]).collect(),
+            members: r.members.iter().map(|m| indices[m]).collect(),
         };
-        let rolls = table.rolls.iter().map(roll).collect();
-        let mut ranked: Vec<(&Member, u32)> = places.into_iter().collect();
-        ranked.sort_by_key(|(_, place)| *place);
-        Self { members: ranked.into_iter().map(|(m, _)| m.clone()).collect(), rolls }
+        let rolls = table.versions.iter().map(stored).collect();
+        let mut indexed: Vec<(&Member, u32)> = indices.into_iter().collect();
+        indexed.sort_by_key(|(_, index)| *index);
+        Self { members: indexed.into_iter().map(|(m, _)| m.clone()).collect(), rolls }
     }
 }
 
@@ -98,57 +98,61 @@
     type Error = TableError;
 
     fn try_from(stored: Stored) -> Result<Self, TableError> {
-        let mut rolls: VecDeque<Roll> = VecDeque::new();
-        for roll in stored.rolls {
-            let follows = rolls.back().is_none_or(|last| last.version.next() == roll.version);
+        let mut versions: VecDeque<VersionMembers> = VecDeque::new();
+        for entry in stored.rolls {
+            let follows = versions.back().is_none_or(|last| last.version.next() == entry.version);
             let found = |at: &u32| stored.members.get(*at as usize).cloned();
-            let members: Option<Vec<Member>> = roll.members.iter().map(found).collect();
-            let members = members.filter(|_| follows).ok_or(TableError(roll.version))?;
-            rolls.push_back(Roll { version: roll.version, members: Arc::new(members) });
+            let members: Option<Vec<Member>> = entry.members.iter().map(found).collect();
+            let members = members.filter(|_| follows).ok_or(TableError(entry.version))?;
+            versions
+                .push_back(VersionMembers { version: entry.version, members: Arc::new(members) });
         }
-        Ok(Self { rolls })
+        Ok(Self { versions })
     }
 }
 
 impl Table {
     /// The newest version, or nought for an empty table.
     pub fn newest(&self) -> Version {
-        self.rolls.back().map_or(Version(0), |r| r.version)
+        self.versions.back().map_or(Version(0), |r| r.version)
     }
 
     /// The oldest version that is kept.
     pub fn oldest(&self) -> Version {
-        self.rolls.front().map_or(Version(0), |r| r.version)
+        self.versions.front().map_or(Version(0), |r| r.version)
     }
 
     /// The roll of a version.
-    pub fn roll(&self, version: Version) -> Option<&Roll> {
+    pub fn members_at(&self, version: Version) -> Option<&VersionMembers> {
         let first = self.oldest().0;
         let at = version.0.checked_sub(first)?;
-        self.rolls.get(usize::try_from(at).ok()?)
+        self.versions.get(usize::try_from(at).ok()?)
     }
 
     /// The owner of a key that was born under `version`.
     pub fn owner(&self, key: &str, version: Version) -> Option<&Member> {
         let hash = stable_hash(KEY_SEED, key.as_bytes());
-        let members = &self.roll(version)?.members;
+        let members = &self.members_at(version)?.members;
         members.iter().max_by_key(|m| rendezvous_weight(hash, m.name.as_str().as_bytes()))
     }
 
     /// The table with one more version.
     pub fn with_next_version(&self, mut members: Vec<Member>) -> Self {
         members.sort();
-        let mut rolls = self.rolls.clone();
-        rolls.push_back(Roll { version: self.newest().next(), members: Arc::new(members) });
-        while rolls.len() > KEPT_VERSIONS {
-            rolls.pop_front();
+        let mut versions = self.versions.clone();
+        versions.push_back(VersionMembers {
+            version: self.newest().next(),
+            members: Arc::new(members),
+        });
+        while versions.len() > KEPT_VERSIONS {
+            versions.pop_front();
         }
-        Self { rolls }
+        Self { versions }
     }
 
     /// The versions after `since` only.
     pub fn since(&self, since: Version) -> Self {
-        Self { rolls: self.rolls.iter().filter(|r| r.version > since).cloned().collect() }
+        Self { versions: self.versions.iter().filter(|r| r.version > since).cloned().collect() }
     }
 
     /// Takes in newer versions. Those of `other` that do not follow on are left out, unless it
@@ -157,20 +161,20 @@
         if other.newest() <= self.newest() {
             return self.clone();
         }
-        if self.rolls.is_empty() || other.oldest() > self.newest().next() {
+        if self.versions.is_empty() || other.oldest() > self.newest().next() {
             return other.clone();
         }
         let newer = other.since(self.newest());
-        let mut rolls = self.rolls.clone();
-        rolls.extend(newer.rolls);
-        while rolls.len() > KEPT_VERSIONS {
-            rolls.pop_front();
+        let mut versions = self.versions.clone();
+        versions.extend(newer.versions);
+        while versions.len() > KEPT_VERSIONS {
+            versions.pop_front();
         }
-        Self { rolls }
+        Self { versions }
     }
 
     /// The members of the newest version.
     pub fn members(&self) -> &[Member] {
-        self.rolls.back().map(|r| r.members.as_slice()).unwrap_or_default()
+        self.versions.back().map(|r| r.members.as_slice()).unwrap_or_default()
     }
 }
--- a/lib/src/query.rs
+++ b/lib/src/query.rs
@@ -34,7 +34,7 @@
     }
 }
 
-fn holds(cell: &str, condition: &Condition) -> bool {
+fn satisfies(cell: &str, condition: &Condition) -> bool {
     let order = compare(cell, &condition.value);
     match condition.operator {
         Operator::Equal => order == Ordering::Equal,
@@ -47,12 +47,12 @@
     }
 }
 
-fn position(columns: &[Column], column: Column) -> usize {
+fn column_index(columns: &[Column], column: Column) -> usize {
     columns.iter().position(|c| *c == column).expect("the parser checked the column")
 }
 
 fn matches(columns: &[Column], row: &Row, conditions: &[Condition]) -> bool {
-    conditions.iter().all(|c| holds(&row.cells[position(columns, c.column)], c))
+    conditions.iter().all(|c| satisfies(&row.cells[column_index(columns, c.column)], c))
 }
 
 /// Answers `query` from all rows of its subject.
@@ -61,7 +61,7 @@
     let mut rows: Vec<Row> =
         rows.into_iter().filter(|row| matches(all, row, &query.conditions)).collect();
     if let Some(order) = query.order {
-        let at = position(all, order.column);
+        let at = column_index(all, order.column);
         rows.sort_by(|a, b| {
             let by = compare(&a.cells[at], &b.cells[at]);
             if order.descending { by.reverse() } else { by }
@@ -71,8 +71,8 @@
         rows.truncate(limit);
     }
     let shown = if query.columns.is_empty() { all } else { &query.columns };
-    let places: Vec<usize> = shown.iter().map(|c| position(all, *c)).collect();
-    let pick = |row: Row| Row { cells: places.iter().map(|at| row.cells[*at].clone()).collect() };
+    let indices: Vec<usize> = shown.iter().map(|c| column_index(all, *c)).collect();
+    let pick = |row: Row| Row { cells: indices.iter().map(|at| row.cells[*at].clone()).collect() };
     Table {
         columns: shown.iter().map(|c| SmolStr::new_static((*c).into())).collect(),
         rows: rows.into_iter().map(pick).collect(),
@@ -89,7 +89,7 @@
         let rows = vec![Row { cells: vec![number] }];
         return Table { columns: vec![SmolStr::new("count")], rows, missing: Vec::new() };
     };
-    let at = position(all, by);
+    let at = column_index(all, by);
     let mut groups: BTreeMap<SmolStr, usize> = BTreeMap::new();
     for row in kept {
         *groups.entry(row.cells[at].clone()).or_default() += 1;
--- a/lib/src/role.rs
+++ b/lib/src/role.rs
@@ -89,13 +89,13 @@
 pub const MIXED_EFFICIENCY: f64 = 0.85;
 
 /// The work that `division` does of `demand`, in engines' worth.
-pub fn served_work(division: RoleCounts, demand: Demand, mixed_efficiency: f64) -> f64 {
+pub fn served_work(counts: RoleCounts, demand: Demand, mixed_efficiency: f64) -> f64 {
     if demand.total() <= 0.0 {
         return 0.0;
     }
-    let prefill = f64::from(division.prefill);
-    let decode = f64::from(division.decode);
-    let mixed = f64::from(division.mixed) * mixed_efficiency;
+    let prefill = f64::from(counts.prefill);
+    let decode = f64::from(counts.decode);
+    let mixed = f64::from(counts.mixed) * mixed_efficiency;
     let mut part: f64 = 1.0;
     if demand.prefill > 0.0 {
         part = part.min((prefill + mixed) / demand.prefill);
@@ -140,33 +140,33 @@
 /// How many samples of the past are kept: ten minutes.
 pub const SAMPLES: usize = 600;
 /// The gain of the average by which a mix is taken to be the mix of now.
-const FAST_GAIN: f64 = 0.2;
+const CURRENT_GAIN: f64 = 0.2;
 /// By how much the share of prompts must move for the mix to count as another.
-const SHIFT: f64 = 0.15;
+const MIX_SHIFT: f64 = 0.15;
 /// What is assumed of how long a mix holds before one has been seen to end.
-const FIRST_HOLD: Duration = Duration::from_secs(60);
+const INITIAL_MIX_DURATION: Duration = Duration::from_secs(60);
 /// No change is decided while what is known of the demand is older.
-pub const OLDEST: Duration = Duration::from_secs(15);
+pub const MAX_DEMAND_AGE: Duration = Duration::from_secs(15);
 
 /// The estimate of demand from admitted work.
 #[derive(Clone, Debug)]
 pub struct Estimate {
-    fast: Demand,
+    current: Demand,
     samples: VecDeque<Demand>,
-    anchor: f64,
-    anchored: Option<Instant>,
-    hold: Duration,
+    reference_share: f64,
+    reference_since: Option<Instant>,
+    expected_duration: Duration,
     updated: Option<Instant>,
 }
 
 impl Default for Estimate {
     fn default() -> Self {
         Self {
-            fast: Demand::default(),
+            current: Demand::default(),
             samples: VecDeque::new(),
-            anchor: 0.5,
-            anchored: None,
-            hold: FIRST_HOLD,
+            reference_share: 0.5,
+            reference_since: None,
+            expected_duration: INITIAL_MIX_DURATION,
             updated: None,
         }
     }
@@ -176,45 +176,46 @@
     /// Takes in the demand of one [`SAMPLE_PERIOD`].
     pub fn add_sample(&mut self, now: Instant, demand: Demand) {
         if self.updated.is_none() {
-            self.fast = demand;
+            self.current = demand;
         }
         self.updated = Some(now);
-        self.fast.blend(demand, FAST_GAIN);
+        self.current.blend(demand, CURRENT_GAIN);
         self.samples.push_back(demand);
         if self.samples.len() > SAMPLES {
             self.samples.pop_front();
         }
-        self.follow_mix(now);
+        self.update_expected_duration(now);
     }
 
     /// Learns how long a mix holds from the times between shifts.
-    fn follow_mix(&mut self, now: Instant) {
-        let total = self.fast.total();
+    fn update_expected_duration(&mut self, now: Instant) {
+        let total = self.current.total();
         if total <= 0.0 {
             return;
         }
-        let share = self.fast.prefill / total;
-        let since = *self.anchored.get_or_insert(now);
-        if (share - self.anchor).abs() > SHIFT {
+        let share = self.current.prefill / total;
+        let since = *self.reference_since.get_or_insert(now);
+        if (share - self.reference_share).abs() > MIX_SHIFT {
             let held = now.saturating_duration_since(since);
             if held > SAMPLE_PERIOD * 5 {
-                self.hold = (self.hold * 2 + held) / 3;
+                self.expected_duration = (self.expected_duration * 2 + held) / 3;
             }
-            self.anchor = share;
-            self.anchored = Some(now);
+            self.reference_share = share;
+            self.reference_since = Some(now);
         }
     }
 
     /// How long the mix of now is expected to go on.
     pub fn remaining(&self, now: Instant) -> Duration {
-        let held = self.anchored.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        let held =
+            self.reference_since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         // A mix that has outlived its expectation is expected to go on as long as it has.
-        self.hold.saturating_sub(held).max(held / 2)
+        self.expected_duration.saturating_sub(held).max(held / 2)
     }
 
     /// The demand of now.
     pub fn current(&self) -> Demand {
-        self.fast
+        self.current
     }
 
     /// When demand was last heard of.
@@ -223,19 +224,19 @@
     }
 
     /// The mean work that `division` would have done of the recent past.
-    fn mean_served(&self, division: RoleCounts, efficiency: f64) -> f64 {
+    fn mean_served(&self, counts: RoleCounts, efficiency: f64) -> f64 {
         if self.samples.is_empty() {
             return 0.0;
         }
-        let step = self.samples.len().div_ceil(LOOKED_AT);
+        let step = self.samples.len().div_ceil(MAX_EVALUATED_SAMPLES);
         let looked = self.samples.iter().step_by(step);
         let count = looked.len();
-        looked.map(|d| served_work(division, *d, efficiency)).sum::<f64>() / count as f64
+        looked.map(|d| served_work(counts, *d, efficiency)).sum::<f64>() / count as f64
     }
 }
 
 /// How many samples of the past are looked at for one division.
-const LOOKED_AT: usize = 60;
+const MAX_EVALUATED_SAMPLES: usize = 60;
 
 /// Why a decision came out as it did.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
@@ -303,7 +304,8 @@
         gain: 0.0,
         cost: 0.0,
     };
-    let fresh = estimate.updated.is_some_and(|at| now.saturating_duration_since(at) <= OLDEST);
+    let fresh =
+        estimate.updated.is_some_and(|at| now.saturating_duration_since(at) <= MAX_DEMAND_AGE);
     if !fresh {
         return stay(Reason::Stale);
     }
@@ -346,9 +348,9 @@
     }
 
     /// The work that `division` does over the time ahead.
-    fn value(&self, division: RoleCounts) -> f64 {
-        let now = served_work(division, self.estimate.current(), self.efficiency);
-        let later = self.estimate.mean_served(division, self.efficiency);
+    fn value(&self, counts: RoleCounts) -> f64 {
+        let now = served_work(counts, self.estimate.current(), self.efficiency);
+        let later = self.estimate.mean_served(counts, self.efficiency);
         now * self.near + later * self.far * LATER_WEIGHT
     }
 
@@ -364,7 +366,7 @@
         for target in reachable(current, room) {
             let gain = self.value(target) - base;
             let cost = self.cost(current.changes_to(&target));
-            if gain - cost > best.gain - best.cost + NOISE {
+            if gain - cost > best.gain - best.cost + MIN_NET_GAIN {
                 best = Best { target, gain, cost };
             }
         }
@@ -376,7 +378,7 @@
 const LATER_WEIGHT: f64 = 0.25;
 
 /// Differences below this many engine seconds are taken for nothing.
-const NOISE: f64 = 0.5;
+const MIN_NET_GAIN: f64 = 0.5;
 
 /// The step widths tried for the number of engines that move, for any size of fleet.
 fn steps(room: u32) -> SmallVec<[u32; 16]> {
--- a/lib/src/runner.rs
+++ b/lib/src/runner.rs
@@ -1,5 +1,5 @@
-//! What a node knows of the runners of one service: their late reports, corrected by what it sent
-//! them since.
+//! A node's view of the runners of one service: delayed load reports, corrected by the work that
+//! the node has sent since.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -12,82 +12,83 @@
 use crate::id::Name;
 use crate::unit::{TokenRate, Tokens};
 
-/// How many prompt prefixes are remembered for each runner.
-pub const HINTS: usize = 64;
+/// How many prompt prefixes are remembered per runner.
+pub const MAX_CACHE_HINTS: usize = 64;
 
-/// How long a cache hint is believed without being renewed.
-pub const HINT_LIFE: Duration = Duration::from_secs(60);
+/// How long a cache hint is valid without being renewed.
+pub const CACHE_HINT_TTL: Duration = Duration::from_secs(60);
 
 const PREFIX_SEED: u64 = 0x7072_6566;
 
-/// The rates that are assumed until a runner has reported its own.
+/// The prefill rate assumed until a runner has reported its own.
 pub const DEFAULT_PREFILL_RATE: TokenRate = TokenRate(8_000);
-/// As [`DEFAULT_PREFILL_RATE`], for the output tokens of one request.
+/// The decode rate of one request assumed until a runner has reported its own.
 pub const DEFAULT_DECODE_RATE: TokenRate = TokenRate(40);
 
-/// The hash of the start of a prompt, by which cached prompts are found again.
+/// The hash of the start of a prompt, used to find runners that have it cached.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Prefix(pub u64);
 
-/// How many bytes of a prompt are hashed: long enough to tell brand manuals apart.
+/// How many bytes of a prompt are hashed. It is enough to tell similar system prompts, such as
+/// brand manuals, apart.
 pub const PREFIX_BYTES: usize = 512;
 
 impl Prefix {
-    /// The prefix of a prompt.
+    /// Hashes the start of a prompt.
     pub fn of(prompt: &str) -> Self {
         let end = prompt.len().min(PREFIX_BYTES);
         Self(stable_hash(PREFIX_SEED, &prompt.as_bytes()[..end]))
     }
 }
 
-/// What a request asks of a runner.
+/// The work that a request makes for a runner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Work {
-    /// The prompt's length.
+    /// The length of the prompt.
     pub prompt: Tokens,
     /// The expected length of the output.
     pub output: Tokens,
-    /// The start of the prompt.
+    /// The prefix of the prompt.
     pub prefix: Prefix,
-    /// How much of the prompt a runner with this prefix has cached.
+    /// How many tokens of the prompt a runner with this prefix has cached.
     pub cached: Tokens,
 }
 
-/// A runner's own word of its load.
+/// The load that a runner reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Requests under way.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
     /// Prompt tokens not yet processed.
     pub backlog: Tokens,
-    /// Prompt tokens it processes a second.
+    /// Prompt tokens processed per second.
     pub prefill_rate: TokenRate,
-    /// Output tokens a second of one request.
+    /// Output tokens per second of one request.
     pub decode_rate: TokenRate,
-    /// The role it works in.
+    /// The current role.
     pub role: Role,
-    /// It wants no new work.
+    /// Whether it accepts no new work because it is shutting down.
     pub leaving: bool,
 }
 
 /// A remembered prompt prefix.
 #[derive(Clone, Copy, Debug)]
-struct Hint {
+struct CacheHint {
     prefix: Prefix,
     at: Instant,
 }
 
-/// How many own events are remembered for one runner. At the size to design for a node sends a
-/// runner about one request a second, so they reach back further than any report is late.
-const EVENTS: usize = 64;
+/// How many of this node's own events are remembered per runner. At the design size a node sends a
+/// runner about one request per second, so they cover more time than any report is delayed.
+const MAX_OWN_EVENTS: usize = 64;
 
-/// Over which time the part of others is smoothed: much longer than reports are late, and shorter
-/// than a lasting difference between runners may be left alone.
-pub const SMOOTHING: Duration = Duration::from_secs(10);
+/// The time constant for smoothing the load of other nodes. It is much longer than the delay of
+/// reports, and short enough to follow lasting differences between runners.
+pub const SMOOTHING_TIME: Duration = Duration::from_secs(10);
 
-/// A change of what this node has at a runner.
+/// A change of this node's work at a runner.
 #[derive(Clone, Copy, Debug)]
 struct OwnEvent {
     at: Instant,
@@ -95,10 +96,10 @@
     tokens: i64,
 }
 
-/// An amount of work at a runner: requests, and prompt tokens that are not yet processed.
+/// An amount of work at a runner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests, under way or waiting.
+    /// Running and waiting requests.
     pub requests: f64,
     /// Prompt tokens not yet processed.
     pub backlog: f64,
@@ -106,47 +107,47 @@
 
 /// What a node knows of one runner.
 ///
-/// A report is late, and what this node has sent or seen ended since it was true is known exactly.
-/// So a report is taken apart into this node's own part at that time, worked out from its own
-/// events, and the part of all others. The own part is replaced by the own part of now; the part of
-/// others is smoothed.
+/// A report is delayed, but the node knows exactly which requests it has sent or seen end since the
+/// time of the report. So the reported load is split into this node's own load at that time,
+/// reconstructed from its events, and the load of all other nodes. The own part is replaced by the
+/// current own load; the part of the others is smoothed.
 #[derive(Clone, Debug)]
 pub struct RunnerView {
-    /// Its name.
+    /// The name of the runner.
     pub name: Name,
-    /// What operators want of it.
+    /// The state that operators have set for it.
     pub state: Admission,
-    /// It said itself that it leaves, or refused work as one that leaves.
+    /// Whether it has reported that it is shutting down, or refused work for that reason.
     pub leaving: bool,
-    /// Until when it gets no new work since it is about to be away for a planned change.
+    /// Until when it gets no new work because of an upcoming planned change.
     pub reserved_until: Option<Instant>,
-    /// Until when it is left alone after a fault.
+    /// Until when it gets no new work after a fault.
     pub backoff_until: Option<Instant>,
-    /// Faults one after the other.
+    /// The number of consecutive faults.
     pub faults: u32,
-    /// Requests it works on at once.
+    /// How many requests it runs at once.
     pub slots: u32,
-    /// Its last report.
+    /// The last report.
     pub report: Report,
-    /// When the report was true.
+    /// The time at which the last report was taken.
     pub reported: Option<Instant>,
-    /// Requests of this node that it has.
+    /// This node's requests at the runner.
     pub in_flight: u32,
-    /// Prompt tokens of this node's requests whose first token has not come.
+    /// Prompt tokens of this node's requests that wait for their first token.
     pub own_backlog: u64,
-    /// What it has of other nodes, smoothed over [`SMOOTHING`].
+    /// The load of other nodes, smoothed over [`SMOOTHING_TIME`].
     pub others: Load,
     events: VecDeque<OwnEvent>,
-    hints: SmallVec<[Hint; 4]>,
+    hints: SmallVec<[CacheHint; 4]>,
 }
 
-/// How long a runner is left alone after its first fault; it doubles with each further one.
-pub const FIRST_AVOID: Duration = Duration::from_millis(500);
-/// The longest time a runner is left alone.
-pub const LONGEST_AVOID: Duration = Duration::from_secs(15);
+/// The back-off after the first fault. It doubles with each further one.
+pub const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+/// The longest back-off.
+pub const MAX_BACKOFF: Duration = Duration::from_secs(15);
 
 impl RunnerView {
-    /// A runner of which nothing has been heard yet.
+    /// Creates a view of a runner that has not reported yet.
     pub fn new(name: Name, slots: u32, state: Admission) -> Self {
         Self {
             name,
@@ -170,20 +171,20 @@
         }
     }
 
-    /// Whether new work may go there at `now`.
+    /// Whether the runner may get new work at `now`.
     pub fn takes_work(&self, now: Instant) -> bool {
         let before = |until: Option<Instant>| until.is_some_and(|until| now < until);
         let left_alone = before(self.backoff_until) || before(self.reserved_until);
         self.state == Admission::Ready && !self.leaving && !left_alone
     }
 
-    /// Takes in a report that was true at `at`. An older report than the last is left out, so
-    /// that reports that overtake one another cannot bring an old load back.
+    /// Applies a report taken at `at`. Returns `false` and ignores it if it is not newer than the
+    /// last one, so that reordered reports cannot restore an old load.
     pub fn apply_report(&mut self, at: Instant, report: Report) -> bool {
         if self.reported.is_some_and(|last| at <= last) {
             return false;
         }
-        let own = self.own_at(at);
+        let own = self.own_load_at(at);
         let requests = f64::from(report.running + report.waiting);
         let others = Load {
             requests: (requests - own.requests).max(0.0),
@@ -191,7 +192,7 @@
         };
         let gain = self.reported.map_or(1.0, |last| {
             let passed = at.saturating_duration_since(last).as_secs_f64();
-            1.0 - (-passed / SMOOTHING.as_secs_f64()).exp()
+            1.0 - (-passed / SMOOTHING_TIME.as_secs_f64()).exp()
         });
         self.others.requests += (others.requests - self.others.requests) * gain;
         self.others.backlog += (others.backlog - self.others.backlog) * gain;
@@ -201,8 +202,8 @@
         true
     }
 
-    /// What this node had there at `at`, by taking back what happened since.
-    fn own_at(&self, at: Instant) -> Load {
+    /// Returns this node's load at the runner at `at`, by undoing the events since.
+    fn own_load_at(&self, at: Instant) -> Load {
         let mut requests = i64::from(self.in_flight);
         let mut tokens = i64::try_from(self.own_backlog).unwrap_or(i64::MAX);
         for event in self.events.iter().rev().take_while(|e| e.at > at) {
@@ -212,8 +213,8 @@
         Load { requests: requests.max(0) as f64, backlog: tokens.max(0) as f64 }
     }
 
-    fn note(&mut self, at: Instant, requests: i32, tokens: i64) {
-        if self.events.len() >= EVENTS {
+    fn record(&mut self, at: Instant, requests: i32, tokens: i64) {
+        if self.events.len() >= MAX_OWN_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back(OwnEvent { at, requests, tokens });
@@ -221,51 +222,51 @@
         self.own_backlog = self.own_backlog.saturating_add_signed(tokens);
     }
 
-    /// Notes that work went there.
+    /// Records that a request was sent.
     pub fn record_sent(&mut self, now: Instant, work: &Work) {
-        self.note(now, 1, i64::from(work.prompt.0));
+        self.record(now, 1, i64::from(work.prompt.0));
     }
 
-    /// Notes that the first token of `work` has come: its prompt is processed.
+    /// Records the first token of a request: its prompt has been processed.
     pub fn record_first_token(&mut self, now: Instant, work: &Work) {
-        self.note(now, 0, -i64::from(work.prompt.0));
+        self.record(now, 0, -i64::from(work.prompt.0));
     }
 
-    /// Notes that a request ended without blame, such as one that its caller gave up. `pending`
-    /// are its prompt tokens if its first token had not come.
+    /// Records the end of a request without a fault, for instance when the client cancelled it.
+    /// `pending` is the number of its prompt tokens if the first token had not arrived.
     pub fn record_end(&mut self, now: Instant, pending: Tokens) {
-        self.note(now, -1, -i64::from(pending.0));
+        self.record(now, -1, -i64::from(pending.0));
     }
 
-    /// Notes that the runner answers well.
+    /// Records a successful answer.
     pub fn record_success(&mut self) {
         self.faults = 0;
         self.backoff_until = None;
     }
 
-    /// Notes a fault, after which the runner is left alone for a while.
+    /// Records a fault and starts a back-off.
     pub fn record_fault(&mut self, now: Instant) {
         let factor = 1 << self.faults.min(8);
         self.faults += 1;
-        self.backoff_until = Some(now + (FIRST_AVOID * factor).min(LONGEST_AVOID));
+        self.backoff_until = Some(now + (INITIAL_BACKOFF * factor).min(MAX_BACKOFF));
     }
 
-    /// Notes that the runner has this prefix cached.
+    /// Records that the runner has this prefix cached.
     pub fn record_cached(&mut self, prefix: Prefix, at: Instant) {
         match self.hints.iter_mut().find(|h| h.prefix == prefix) {
             Some(hint) => hint.at = at,
             None => {
-                if self.hints.len() >= HINTS {
+                if self.hints.len() >= MAX_CACHE_HINTS {
                     self.hints.remove(0);
                 }
-                self.hints.push(Hint { prefix, at });
+                self.hints.push(CacheHint { prefix, at });
             }
         }
     }
 
-    /// Whether the runner probably still has this prefix.
+    /// Whether the runner probably still has this prefix cached.
     pub fn has_cached(&self, prefix: Prefix, now: Instant) -> bool {
-        let fresh = |h: &Hint| now.saturating_duration_since(h.at) < HINT_LIFE;
+        let fresh = |h: &CacheHint| now.saturating_duration_since(h.at) < CACHE_HINT_TTL;
         self.hints.iter().any(|h| h.prefix == prefix && fresh(h))
     }
 
--- a/lib/tests/membership.rs
+++ b/lib/tests/membership.rs
@@ -6,7 +6,8 @@
 use rand::rngs::StdRng;
 use sardinepick_lib::id::{Incarnation, Name};
 use sardinepick_lib::member::{
-    Addresses, Members, PAUSE, PERIOD, SUSPICION, State, Update, Vm, list_period,
+    Addresses, Members, PAUSE_THRESHOLD, PROBE_PERIOD, SUSPICION_TIMEOUT, State, Update, Vm,
+    list_period,
 };
 
 fn update(at: u8) -> Update {
@@ -47,9 +48,9 @@
 #[test]
 fn tick_silent_peer_suspected_then_gone() {
     let (mut a, _, mut now) = pair();
-    silence(&mut a, &mut now, PERIOD * 3);
+    silence(&mut a, &mut now, PROBE_PERIOD * 3);
     assert_eq!(state(&a, 2), State::Suspected);
-    silence(&mut a, &mut now, SUSPICION + PERIOD);
+    silence(&mut a, &mut now, SUSPICION_TIMEOUT + PROBE_PERIOD);
     assert_eq!(state(&a, 2), State::Gone);
     assert!(!a.is_ended(&update(2).name, Incarnation(1)), "silence is no proof");
 }
@@ -61,7 +62,7 @@
     let (mut a, _, mut now) = pair();
     let mut rng = StdRng::seed_from_u64(1);
     a.tick(now, &mut rng);
-    now += PAUSE * 20;
+    now += PAUSE_THRESHOLD * 20;
     a.tick(now, &mut rng);
     assert_eq!(state(&a, 2), State::Serving);
 }
@@ -71,7 +72,7 @@
 #[test]
 fn receive_from_gone_peer_told_and_contradicts() {
     let (mut a, mut b, mut now) = pair();
-    silence(&mut a, &mut now, PERIOD * 3 + SUSPICION * 2);
+    silence(&mut a, &mut now, PROBE_PERIOD * 3 + SUSPICION_TIMEOUT * 2);
     assert_eq!(state(&a, 2), State::Gone);
     let mut rng = StdRng::seed_from_u64(2);
     let address = |at| update(at).addresses.peer;
@@ -101,7 +102,7 @@
     b.apply_vm_list(now, &[vm(1, false), vm(2, true)]);
     assert_eq!(b.me().state, State::Leaving, "it leaves by itself");
 
-    silence(&mut a, &mut now, PERIOD * 3);
+    silence(&mut a, &mut now, PROBE_PERIOD * 3);
     a.apply_vm_list(now, &[vm(1, false)]);
     assert_eq!(state(&a, 2), State::Gone);
     assert!(a.is_ended(&update(2).name, Incarnation(1)), "it has left the list");
