--- a/lib/src/admit.rs
+++ b/lib/src/admit.rs
@@ -1,10 +1,11 @@
-//! Admission: which requests a node takes on, in which order, and which it refuses at once.
+//! Admission control: which requests a node accepts, in which order they start, and which are
+//! refused.
 //!
-//! When thousands of callers wake in the same second, a queue in order of arrival answers each of
-//! them too late: the work done for a caller that has gone is lost for the one that still waits.
-//! So the queue holds only what it can finish in time, in the order of weighted fair shares by
-//! cost, and refuses the rest as soon as it is known to be late, with a time to come back that is
-//! spread out.
+//! When thousands of clients send requests in the same second, a FIFO queue answers each of them
+//! too late: work for a client that has given up is lost for one that still waits. Therefore the
+//! queue only holds requests that can finish before their deadlines, ordered by weighted fair
+//! queuing on cost. The others are refused as soon as they are known to be late, with a randomized
+//! time to retry.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -14,8 +15,8 @@
 use crate::config::object::{Account, Priority};
 use crate::id::{Name, RequestId};
 
-/// What an entry weighs more for each priority. No class is starved: a higher one gets a larger
-/// share, not all.
+/// The factor by which a priority changes a request's weight. A higher priority gets a larger
+/// share, so no priority is starved.
 fn priority_weight(priority: Priority) -> f64 {
     match priority {
         Priority::Low => 0.25,
@@ -25,78 +26,78 @@
     }
 }
 
-/// A request that asks to be admitted.
+/// A request for admission.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
     /// The request.
     pub id: RequestId,
-    /// Whose it is.
+    /// The client account.
     pub account: Name,
-    /// How urgent it is.
+    /// The priority.
     pub priority: Priority,
-    /// When its answer is worth nothing any more.
+    /// When the answer becomes worthless.
     pub deadline: Instant,
-    /// The work it makes, in seconds of one place.
+    /// The expected service time at pace 1.
     pub cost: Duration,
 }
 
-/// Why a request is refused. All of these come before it is sent, so that it was not run.
+/// Why a request is refused. A refused request has not been sent to a runner, so it was not run.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, IntoStaticStr, Ord, PartialEq, PartialOrd)]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// The account is beyond its rate.
+    /// The account exceeds its rate.
     Rate,
-    /// The account has too many requests under way.
+    /// The account has too many concurrent requests.
     Concurrency,
-    /// The answer would come too late.
+    /// The answer would come after the deadline.
     Late,
-    /// The node's queue has no room.
+    /// The node's queue is full.
     Full,
 }
 
-/// A refusal with the time after which to come back.
+/// A refusal with a time to retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// When to come back, from now.
+    /// How long the client should wait before it retries.
     pub retry_after: Duration,
 }
 
-/// The decision about an offer.
+/// The decision about a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It goes on at once.
+    /// It starts at once.
     Start,
-    /// It waits until [`AdmissionQueue::next`] gives it out or refuses it.
+    /// It waits until [`AdmissionQueue::next`] starts or refuses it.
     Wait,
     /// It is refused.
     Refuse(Refusal),
 }
 
-/// What becomes of a request that waited.
+/// A change of a waiting request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// It goes on.
+    /// It starts.
     Start(RequestId),
     /// It is refused.
     Refuse(RequestId, Refusal),
 }
 
-/// The limits of one account at one node.
+/// The use that one account makes of one node.
 #[derive(Clone, Debug)]
 struct AccountUsage {
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
     under_way: u32,
-    /// The virtual time at which the account's last request ends.
-    finish: f64,
+    /// The virtual time at which the account's last request finishes.
+    virtual_finish: f64,
 }
 
 /// The order in which waiting requests start: by virtual finish time, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Rank {
-    finish: f64,
+    virtual_finish: f64,
     id: RequestId,
 }
 
@@ -104,7 +105,7 @@
 
 impl Ord for Rank {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.finish.total_cmp(&other.finish).then(self.id.cmp(&other.id))
+        self.virtual_finish.total_cmp(&other.virtual_finish).then(self.id.cmp(&other.id))
     }
 }
 
@@ -114,7 +115,7 @@
     }
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
 struct Waiting {
     account: Name,
@@ -122,26 +123,26 @@
     cost: Duration,
 }
 
-/// Settings of a gate.
+/// The limits of an admission queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// How many requests may be under way at once.
+    /// How many requests may run at once.
     pub max_concurrent: u32,
     /// How many may wait.
     pub max_queued: usize,
-    /// The part of an account's limits that this node hands out, in thousandths.
+    /// The part of an account's limits that this node may use, in thousandths.
     pub share: u32,
 }
 
-/// The longest time after which a refused caller is asked back.
+/// The longest retry time given with a refusal.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// The shortest time after which a refused caller is asked back.
+/// The shortest retry time given with a refusal.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// How many of the next requests are looked through for one that is about to be late.
+/// How many of the next requests are searched for one that is about to become late.
 const LOOK_AHEAD: usize = 8;
 
-/// The gate of one service at one node.
+/// The admission queue of one service at one node.
 #[derive(Clone, Debug)]
 pub struct AdmissionQueue {
     setting: Limits,
@@ -150,12 +151,12 @@
     under_way: u32,
     queued: Duration,
     virtual_time: f64,
-    /// Seconds of work that one place finishes in a second, learnt from what ends.
+    /// The ratio of expected to actual service time, learned from finished requests.
     pace: f64,
 }
 
 impl AdmissionQueue {
-    /// An empty gate.
+    /// Creates an empty queue.
     pub fn new(setting: Limits) -> Self {
         Self {
             setting,
@@ -168,42 +169,42 @@
         }
     }
 
-    /// Changes the settings; what is under way stays so.
+    /// Changes the limits. Running requests are not affected.
     pub fn set(&mut self, setting: Limits) {
         self.setting = setting;
     }
 
-    /// How many requests wait.
+    /// The number of waiting requests.
     pub fn queue_len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// How many requests are under way.
+    /// The number of running requests.
     pub fn under_way(&self) -> u32 {
         self.under_way
     }
 
-    /// How many requests of an account wait or are under way.
+    /// The number of waiting and running requests of an account.
     pub fn account_under_way(&self, account: &Name) -> u32 {
         self.usage.get(account).map_or(0, |u| u.under_way)
     }
 
-    /// Judges an offer. `draw` is a random number from 0 to 1 that spreads the return of those
-    /// that are refused.
+    /// Decides about a request. `draw` is a random number from 0 to 1 that spreads the retry times
+    /// of refused requests.
     pub fn submit(
         &mut self,
         now: Instant,
         account: &Account,
-        offer: AdmissionRequest,
+        request: AdmissionRequest,
         draw: f64,
     ) -> Decision {
         if let Some(refusal) = self.check_account(now, account, draw) {
             return Decision::Refuse(refusal);
         }
-        let rank = self.rank(account, &offer);
+        let rank = self.rank(account, &request);
         let at_once = self.under_way < self.setting.max_concurrent && self.waiting.is_empty();
         let ahead = if at_once { Duration::ZERO } else { self.work_ahead(rank) };
-        if now + self.time_for(ahead) + self.own_time(offer.cost) > offer.deadline {
+        if now + self.queue_time(ahead) + self.service_time(request.cost) > request.deadline {
             return Decision::Refuse(self.refusal(Reason::Late, draw));
         }
         if !at_once && self.waiting.len() >= self.setting.max_queued && self.is_last(rank) {
@@ -211,12 +212,12 @@
         }
         self.charge(account, rank);
         if at_once {
-            self.start(rank, offer.cost);
+            self.start(rank, request.cost);
             return Decision::Start;
         }
-        self.queued += offer.cost;
+        self.queued += request.cost;
         let waiting =
-            Waiting { account: offer.account, deadline: offer.deadline, cost: offer.cost };
+            Waiting { account: request.account, deadline: request.deadline, cost: request.cost };
         self.waiting.insert(rank, waiting);
         Decision::Wait
     }
@@ -228,13 +229,13 @@
         let limit = (f64::from(account.concurrency) * share).ceil().max(1.0) as u32;
         let usage = self.usage.entry(account.name.clone()).or_insert_with(|| AccountUsage {
             tokens: burst,
-            filled: now,
+            refilled_at: now,
             under_way: 0,
-            finish: 0.0,
+            virtual_finish: 0.0,
         });
-        let passed = now.saturating_duration_since(usage.filled).as_secs_f64();
-        usage.tokens = (usage.tokens + passed * rate).min(burst);
-        usage.filled = now;
+        let elapsed = now.saturating_duration_since(usage.refilled_at).as_secs_f64();
+        usage.tokens = (usage.tokens + elapsed * rate).min(burst);
+        usage.refilled_at = now;
         if usage.under_way >= limit {
             return Some(self.refusal(Reason::Concurrency, draw));
         }
@@ -250,24 +251,25 @@
         let usage = self.usage.get_mut(&account.name).expect("checked before");
         usage.tokens -= 1.0;
         usage.under_way += 1;
-        usage.finish = rank.finish;
+        usage.virtual_finish = rank.virtual_finish;
     }
 
-    /// The rank by weighted fair queuing: an account's next request ends, in virtual time, its
-    /// cost by its weight after its last one, and never before now.
-    fn rank(&self, account: &Account, offer: &AdmissionRequest) -> Rank {
-        let weight = f64::from(account.weight.max(1)) * priority_weight(offer.priority);
-        let last = self.usage.get(&account.name).map_or(0.0, |u| u.finish);
+    /// The rank by weighted fair queuing: in virtual time, an account's next request finishes its
+    /// cost divided by its weight after the previous one, counted from the current virtual time at
+    /// the earliest.
+    fn rank(&self, account: &Account, request: &AdmissionRequest) -> Rank {
+        let weight = f64::from(account.weight.max(1)) * priority_weight(request.priority);
+        let last = self.usage.get(&account.name).map_or(0.0, |u| u.virtual_finish);
         let begin = last.max(self.virtual_time);
-        Rank { finish: begin + offer.cost.as_secs_f64() / weight, id: offer.id }
+        Rank { virtual_finish: begin + request.cost.as_secs_f64() / weight, id: request.id }
     }
 
     fn is_last(&self, rank: Rank) -> bool {
         self.waiting.last_key_value().is_none_or(|(last, _)| rank > *last)
     }
 
-    /// The work that starts before `rank`. A rank behind all others has all of it before it, which
-    /// is the common case when the queue is long; others are summed up.
+    /// The work that starts before `rank`. For a rank behind all others this is the queued total,
+    /// which is the common case when the queue is long; other ranks need a sum.
     fn work_ahead(&self, rank: Rank) -> Duration {
         if self.is_last(rank) {
             return self.queued;
@@ -275,30 +277,30 @@
         self.waiting.range(..rank).map(|(_, w)| w.cost).sum()
     }
 
-    /// How long the places need for `work`.
-    fn time_for(&self, work: Duration) -> Duration {
-        let places = f64::from(self.setting.max_concurrent.max(1));
-        work.div_f64(places * self.pace)
+    /// How long it takes to finish `work` with all slots.
+    fn queue_time(&self, work: Duration) -> Duration {
+        let slots = f64::from(self.setting.max_concurrent.max(1));
+        work.div_f64(slots * self.pace)
     }
 
-    fn own_time(&self, cost: Duration) -> Duration {
+    fn service_time(&self, cost: Duration) -> Duration {
         cost.div_f64(self.pace)
     }
 
     fn refusal(&self, reason: Reason, draw: f64) -> Refusal {
-        let clear = self.time_for(self.queued).max(MIN_RETRY_AFTER);
+        let clear = self.queue_time(self.queued).max(MIN_RETRY_AFTER);
         let retry_after = clear.mul_f64(1.0 + draw).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Refusal { reason, retry_after }
     }
 
     fn start(&mut self, rank: Rank, cost: Duration) {
         self.under_way += 1;
-        let begin = rank.finish - cost.as_secs_f64();
+        let begin = rank.virtual_finish - cost.as_secs_f64();
         self.virtual_time = self.virtual_time.max(begin);
     }
 
-    /// What becomes of waiting requests now: each that can no longer be on time is refused, and
-    /// free places are filled. Call it whenever a place is freed, and on a timer.
+    /// Refuses waiting requests that can no longer finish in time, and starts others in free slots.
+    /// Call it whenever a request ends, and on a timer.
     pub fn next(&mut self, now: Instant, mut draw: impl FnMut() -> f64) -> Vec<Event> {
         let mut events = Vec::new();
         self.refuse_late(now, &mut draw, &mut events);
@@ -311,16 +313,16 @@
         events
     }
 
-    /// The next to start: the first in rank, unless one close behind it would become late by
-    /// waiting for it.
+    /// The next request to start: the first in rank, unless one close behind it would become late
+    /// by waiting for it.
     fn select_next(&self, now: Instant) -> Option<Rank> {
-        let (first, head) = self.waiting.first_key_value()?;
-        let turn = self.time_for(head.cost).max(MIN_RETRY_AFTER);
+        let (first, first_waiting) = self.waiting.first_key_value()?;
+        let delay = self.queue_time(first_waiting.cost).max(MIN_RETRY_AFTER);
         let urgent = self
             .waiting
             .iter()
             .take(LOOK_AHEAD)
-            .filter(|(_, w)| now + self.own_time(w.cost) + turn > w.deadline)
+            .filter(|(_, w)| now + self.service_time(w.cost) + delay > w.deadline)
             .min_by_key(|(_, w)| w.deadline);
         Some(urgent.map_or(*first, |(rank, _)| *rank))
     }
@@ -334,7 +336,7 @@
         let mut ahead = Duration::ZERO;
         let mut late = Vec::new();
         for (rank, waiting) in &self.waiting {
-            let end = now + self.time_for(ahead) + self.own_time(waiting.cost);
+            let end = now + self.queue_time(ahead) + self.service_time(waiting.cost);
             if end > waiting.deadline {
                 late.push(*rank);
             } else {
@@ -360,7 +362,8 @@
         }
     }
 
-    /// Takes out a waiting request whose caller has gone. False if it does not wait.
+    /// Removes a waiting request whose client has disconnected. Returns `false` if it is not
+    /// waiting.
     pub fn cancel(&mut self, id: RequestId) -> bool {
         let Some(rank) = self.waiting.keys().find(|r| r.id == id).copied() else {
             return false;
@@ -370,26 +373,28 @@
         true
     }
 
-    /// Notes that a request under way has ended, after `took` where `cost` was expected.
+    /// Records the end of a running request. `took` is its service time, `cost` the expected one.
     pub fn end(&mut self, account: &Name, cost: Duration, took: Option<Duration>) {
         self.under_way = self.under_way.saturating_sub(1);
         self.release(account);
         if let Some(took) = took {
-            let seen = cost.as_secs_f64() / took.as_secs_f64().max(0.001);
-            let seen = seen.clamp(MIN_PACE, MAX_PACE);
-            self.pace += (seen - self.pace) * PACE_GAIN;
+            let observed = cost.as_secs_f64() / took.as_secs_f64().max(0.001);
+            let observed = observed.clamp(MIN_PACE, MAX_PACE);
+            self.pace += (observed - self.pace) * PACE_GAIN;
         }
     }
 
-    /// Forgets accounts that have nothing under way and have had time to fill their bucket.
+    /// Removes accounts that have no requests and have been idle long enough to refill their
+    /// bucket.
     pub fn evict_idle(&mut self, now: Instant, idle: Duration) {
-        self.usage.retain(|_, u| u.under_way > 0 || now.saturating_duration_since(u.filled) < idle);
+        self.usage
+            .retain(|_, u| u.under_way > 0 || now.saturating_duration_since(u.refilled_at) < idle);
     }
 }
 
-/// How fast the pace follows what is seen.
+/// The gain of the moving average of the pace.
 const PACE_GAIN: f64 = 0.05;
-/// The lowest pace that is believed.
+/// The lowest accepted pace.
 const MIN_PACE: f64 = 0.1;
-/// The highest pace that is believed.
+/// The highest accepted pace.
 const MAX_PACE: f64 = 10.0;
--- a/lib/src/assignment.rs
+++ b/lib/src/assignment.rs
@@ -1,22 +1,23 @@
-//! Which nodes use a runner, and which of them observes its load for the others.
+//! Assignment of runners and tasks to nodes.
 //!
-//! If every node heard of all 1,600 runners each second, reports of some 24 bytes would come to
-//! 38 KB/s, three times what a node may spend. So each runner is used by a fixed number of nodes,
-//! drawn by rendezvous hashing; the first of them asks the runner for its load and passes it on to
-//! the others. When a node comes or goes, only its own places move.
+//! If every node received the load of all 1,600 runners each second, reports of about 24 bytes
+//! would add up to 38 KB/s, three times a node's network budget. So each runner is used by a fixed
+//! number of nodes, chosen by rendezvous hashing. The first of them, the observer, queries the
+//! runner's load and forwards it to the others. When a node joins or leaves, only its own
+//! assignments move.
 
 use std::time::Duration;
 
 use crate::hash::{rendezvous_weight, stable_hash};
 use crate::id::Name;
 
-/// How many nodes use one runner. With 550 nodes and 1,600 runners a node uses 64 runners.
+/// How many nodes use one runner. With 550 nodes and 1,600 runners, a node uses 64 runners.
 pub const NODES_PER_RUNNER: usize = 22;
 
 const ASSIGNMENT_SEED: u64 = 0x7375_7070;
 
-/// The nodes that use `runner`, the observer first. `out` is emptied and filled, so that the
-/// caller can keep its storage.
+/// Determines the nodes that use `runner`, the observer first. The contents of `out` are replaced,
+/// so that the caller can reuse its allocation.
 pub fn assign_nodes<'a>(runner: &Name, nodes: &'a [Name], out: &mut Vec<&'a Name>) {
     let duty = stable_hash(ASSIGNMENT_SEED, runner.as_str().as_bytes());
     out.clear();
@@ -25,21 +26,21 @@
     out.truncate(NODES_PER_RUNNER);
 }
 
-/// How often loads are asked for and passed on, where few nodes do it every `base`. Where runners
-/// have their full number of sharers, a node sends and receives up to 14 KB/s at a second's period,
-/// more than it may; at two seconds it is half of that. The choice of runners does not suffer: it is
-/// as good with reports five seconds late as with one (docs/design/choosing.md).
+/// How often loads are queried and forwarded. `base` is the period in a small cluster. With
+/// [`NODES_PER_RUNNER`] nodes per runner, a node sends and receives up to 14 KB/s at a period of
+/// one second, which exceeds its budget; two seconds halve that. The choice of runners is equally
+/// good with reports that are five seconds late as with one (docs/design/choosing.md).
 pub fn load_period(nodes: usize, base: Duration) -> Duration {
     if nodes > NODES_PER_RUNNER { base * 2 } else { base }
 }
 
-/// The node that has a duty among `nodes`, by rendezvous hashing.
+/// The node in charge of a task among `nodes`, by rendezvous hashing.
 pub fn duty_node<'a>(duty: &str, nodes: impl Iterator<Item = &'a Name>) -> Option<&'a Name> {
     let duty = stable_hash(ASSIGNMENT_SEED, duty.as_bytes());
     nodes.max_by_key(|n| rendezvous_weight(duty, n.as_str().as_bytes()))
 }
 
-/// The first `count` nodes for a duty, the first in charge.
+/// The first `count` nodes for a task; the first one is in charge.
 pub fn duty_nodes<'a>(
     duty: &str,
     nodes: impl Iterator<Item = &'a Name>,
--- a/lib/src/baseline.rs
+++ b/lib/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Naive ways to choose a runner, kept to compare with.
+//! Simple ways to choose a runner, for comparison with [`crate::choose`].
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use crate::choose::{Settings, rank};
 use crate::runner::{RunnerView, Work};
 
-/// Any runner that takes work, each with the same chance.
+/// A random runner that takes work.
 pub fn random<R: Rng>(views: &[RunnerView], now: Instant, rng: &mut R) -> Option<usize> {
     let usable = views.iter().filter(|v| v.takes_work(now)).count();
     if usable == 0 {
@@ -17,7 +17,7 @@
     (0..views.len()).filter(|at| views[*at].takes_work(now)).nth(nth)
 }
 
-/// The next runner in turn after `last`.
+/// The next runner after `last` in turn.
 pub fn round_robin(views: &[RunnerView], now: Instant, last: &mut usize) -> Option<usize> {
     let candidates = (1..=views.len()).map(|step| (*last + step) % views.len());
     let found = candidates.into_iter().find(|at| views[*at].takes_work(now))?;
@@ -32,8 +32,8 @@
         .min_by_key(|at| views[*at].report.running + views[*at].report.waiting)
 }
 
-/// The best rank of all runners, without sampling, by sorting all: the version that
-/// [`crate::choose::choose`] must agree with where it compares all.
+/// The runner of the best rank, without sampling, found by sorting all. [`crate::choose::choose`]
+/// must agree with it where it compares all runners.
 pub fn best_of_all<R: Rng>(
     views: &[RunnerView],
     work: &Work,
--- a/lib/src/choose.rs
+++ b/lib/src/choose.rs
@@ -1,18 +1,19 @@
-//! The choice of a runner for a request, by predicted completion.
+//! The choice of a runner for a request, by predicted completion time.
 //!
-//! Load reports are late, so every node sees the same runner as idle at the same time; nodes that
-//! all send there at once swamp it, and with reports a second old the naive choice by the last
-//! report is far worse than no choice at all (docs/design/choosing.md has the figures). Four things
-//! prevent this:
+//! Load reports are delayed, so all nodes see the same runner as idle at the same time and overload
+//! it if each of them sends work there. With reports that are one second old, choosing the least
+//! loaded runner by its last report is far worse than choosing at random (figures in
+//! docs/design/choosing.md). Four measures prevent this:
 //!
-//! - A node's own part of a runner's load is known exactly and without delay. It counts as often as
-//!   there are nodes that share the runner, since what one node does, all do on average.
-//! - The part of others is smoothed over a time much longer than any delay, so that it tells lasting
-//!   differences between runners and not the waves that the nodes themselves make.
-//! - A random part of one request's wait is added to each rank. Own numbers are small and often
-//!   equal, and without it all nodes would break their ties in the same way.
-//! - Where there are many runners only a few taken at random are compared, with those that probably
-//!   have the prompt cached.
+//! - A node knows its own part of a runner's load exactly and without delay. It multiplies this
+//!   part by the number of nodes that use the runner, because on average all of them act alike.
+//! - The load of the other nodes is smoothed over a time much longer than the delay. It then
+//!   reflects lasting differences between runners and not the oscillations caused by the nodes
+//!   themselves.
+//! - A random part of one request's wait is added to each rank. A node's own counts are small and
+//!   often equal, and all nodes would otherwise break ties in the same way.
+//! - In large fleets only a few random runners are compared, along with those that probably have
+//!   the prompt cached.
 
 use std::time::Instant;
 
@@ -22,23 +23,24 @@
 use crate::hash::stable_hash;
 use crate::runner::{Load, RunnerView, Work};
 
-/// How many runners are compared besides those with the prompt cached.
+/// How many random runners are compared.
 pub const SAMPLE_SIZE: usize = 4;
 
-/// How many runners are taken for a prefix by hash, so that prompts with the same start meet.
+/// How many runners are selected by the hash of a prefix, so that prompts with the same start go to
+/// the same runners.
 pub const PREFIX_CANDIDATES: usize = 2;
 
-/// Up to this number of runners all are compared.
+/// Up to this number of runners, all are compared.
 pub const COMPARE_ALL: usize = 32;
 
-/// What the choice depends on besides the runners.
+/// Parameters of the choice other than the runners.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// How many nodes send work to each of these runners.
     pub nodes_per_runner: u32,
-    /// How many runners are compared.
+    /// How many random runners are compared.
     pub sample: usize,
-    /// How long a request stays at a runner on average, in seconds.
+    /// The average time that a request spends at a runner, in seconds.
     pub residence: f64,
 }
 
@@ -48,38 +50,38 @@
     }
 }
 
-/// What is assumed of a request's stay until some have ended, in seconds.
+/// The residence time assumed before any request has ended, in seconds.
 const INITIAL_RESIDENCE: f64 = 2.0;
 
-/// The gain with which the average stay follows what is seen.
+/// The gain of the moving average of the residence time.
 const RESIDENCE_GAIN: f64 = 0.02;
 
 impl Settings {
-    /// Learns from a request that stayed for `stay` seconds.
+    /// Updates the average with a request that spent `residence` seconds at a runner.
     pub fn observe_residence(&mut self, stay: f64) {
         self.residence += (stay - self.residence) * RESIDENCE_GAIN;
     }
 }
 
-/// The predicted course of a request at one runner, in seconds from now.
+/// The predicted times of a request at one runner, in seconds from now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
-    /// Until the first token.
+    /// Time to the first token.
     pub first_token: f64,
-    /// Until the last token.
+    /// Time to the last token.
     pub last_token: f64,
 }
 
-/// A choice with its reason.
+/// A chosen runner with its prediction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// The place of the runner in the slice it was chosen from.
+    /// The index in the slice of runners.
     pub at: usize,
-    /// What is predicted of it.
+    /// The prediction.
     pub prediction: Prediction,
 }
 
-/// Predicts the course of `work` at `view`.
+/// Predicts the times of `work` at the runner of `view`.
 pub fn predict(view: &RunnerView, work: &Work, now: Instant, setting: Settings) -> Prediction {
     let load = Load {
         requests: f64::from(view.in_flight) + view.others.requests,
@@ -88,7 +90,7 @@
     predict_with_load(view, load, work, now, setting)
 }
 
-/// The course of `work` at a runner that has `load`.
+/// Predicts the times of `work` at a runner that has `load`.
 fn predict_with_load(
     view: &RunnerView,
     load: Load,
@@ -101,13 +103,13 @@
     let cached = if view.has_cached(work.prefix, now) { work.cached.0 } else { 0 };
     let prompt = f64::from(work.prompt.0.saturating_sub(cached));
 
-    // A request that finds all slots taken waits until one of them is done.
+    // A request that finds all slots taken waits for one to become free.
     let slots = f64::from(view.slots.max(1));
     let output_time = f64::from(work.output.0) / decode_rate;
     let rounds = ((load.requests + 1.0 - slots) / slots).max(0.0);
     let slot_wait = rounds * setting.residence;
 
-    // More requests in a batch slow each other a little even while slots are free.
+    // Requests in a batch slow each other a little even while slots are free.
     let batch_slowdown = (load.requests / slots).min(1.0) * BATCH_SLOWDOWN * output_time;
     let first_token = (load.backlog + prompt) / prefill_rate + slot_wait;
     Prediction { first_token, last_token: first_token + output_time + batch_slowdown }
@@ -125,13 +127,14 @@
     predict_with_load(view, load, work, now, setting).last_token + draw * unit * RANK_JITTER
 }
 
-/// The random part of a rank, in waits that one request of each sharer makes for others.
+/// The random part of a rank, in units of the wait that one request of each node adds.
 const RANK_JITTER: f64 = 0.25;
 
-/// By how much a full batch is slower than an empty one; breaks ties in favour of empty runners.
+/// How much slower a full batch is than an empty one. It breaks ties in favour of empty runners.
 const BATCH_SLOWDOWN: f64 = 0.25;
 
-/// Chooses a runner for `work`, or none if none takes work. `skip` are places that were tried.
+/// Chooses a runner for `work`. Returns `None` if no runner takes work. `excluded` are the indices
+/// of runners that have been tried already.
 pub fn choose<R: Rng>(
     views: &[RunnerView],
     work: &Work,
@@ -141,11 +144,11 @@
     rng: &mut R,
 ) -> Option<Choice> {
     let sample = candidates(views, work, now, setting, excluded, rng);
-    let found = best(views, work, now, setting, sample.iter().copied(), rng);
-    if found.is_some() {
-        return found;
+    let best_sampled = best(views, work, now, setting, sample.iter().copied(), rng);
+    if best_sampled.is_some() {
+        return best_sampled;
     }
-    // The sample had no usable runner; none is overlooked as long as one is left.
+    // The sample had no usable runner, so all are considered.
     let usable = |at: &usize| views[*at].takes_work(now) && !excluded.contains(at);
     best(views, work, now, setting, (0..views.len()).filter(usable), rng)
 }
--- a/lib/src/claim.rs
+++ b/lib/src/claim.rs
@@ -1,10 +1,11 @@
-//! At most once: the records of the owner of request keys.
+//! At-most-once execution: the records kept by the owner of an idempotency key.
 //!
-//! Before a node sends a keyed request to a runner it claims the key at its owner; the owner
-//! grants each key to one node only and keeps what came of it. A repeat is answered with the
-//! outcome, or with `unknown` when that is the truth. A key whose owner is gone is never run
-//! again, since the lost records may have said that it ran; only a first attempt, which by its
-//! caller's word was sent nowhere before, is told that it was not run and may look up again.
+//! Before a node sends a request with a key to a runner, it claims the key at the key's owner. The
+//! owner grants each key to one node only and keeps the outcome. A repeated request gets the stored
+//! outcome, or `unknown` if the outcome is not known. A key whose owner is gone is never run again,
+//! because the lost records may have said that it ran. The exception is a first attempt, which by
+//! the client's statement has not been sent before: it is refused as not run, and the client may
+//! look up the owner again.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -14,34 +15,34 @@
 use crate::id::{Attempt, Incarnation, Name, Version};
 use crate::owner::{Member, Table};
 
-/// A node that claims keys, in one of its lives.
+/// A node process that claims keys.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Claimant {
     /// The node.
     pub name: Name,
-    /// Its life.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// The claim among those of this life; a claim whose answer was lost is repeated with the
-    /// same number and granted again.
+    /// The number of the claim within this incarnation. A claim whose answer was lost is repeated
+    /// with the same number and granted again.
     pub serial: u64,
 }
 
-/// A claim to run the request of a key.
+/// A claim on a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Claim {
-    /// The account and its key, joined so that accounts cannot touch each other's.
+    /// The account and its key, joined so that the keys of accounts cannot collide.
     pub key: SmolStr,
-    /// The caller's attempt, from 1.
+    /// The client's attempt, starting at 1.
     pub attempt: Attempt,
-    /// The version under which the caller first sent the request.
+    /// The version of the owner table at the client's first attempt.
     pub birth: Version,
-    /// The digest of the request, so that a key is not used for two requests.
+    /// A hash of the request, to detect a key that is used for two requests.
     pub request: u64,
-    /// Who claims.
+    /// The claimant.
     pub claimant: Claimant,
 }
 
-/// What a runner answered, as it is kept for repeats.
+/// A runner's answer, kept for repeated requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Answer {
     /// The HTTP status.
@@ -52,10 +53,10 @@
     pub body: Vec<u8>,
 }
 
-/// What came of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It ran and this is its whole answer.
+    /// It ran; this is its complete answer.
     Answered(Answer),
     /// It ran; its answer was too large to keep.
     NotKept,
@@ -63,30 +64,30 @@
     Unknown,
 }
 
-/// Why a claim is not granted although nobody has the key.
+/// Why a claim is refused although no other claimant has the key.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Doubt {
-    /// This node, in this life, is not the owner of the key.
+    /// This process is not the owner of the key.
     NotOwner,
-    /// The birth version is older than the records that are kept.
+    /// The birth version is older than the records kept.
     TooOld,
-    /// The birth version is newer than the table that the owner has.
+    /// The birth version is newer than the owner's table.
     TooNew,
 }
 
 /// The decision about a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// The claimant may send the request, once.
+    /// The claimant may send the request once.
     Run,
-    /// Another claimant has it.
+    /// Another claimant has the key.
     InProgress,
-    /// It has been run; this came of it.
+    /// The request has run with this outcome.
     Ended(Outcome),
-    /// The key belongs to another request of the same account.
+    /// The account has used the key for a different request.
     OtherRequest,
-    /// It cannot be known whether the key has been run.
+    /// It cannot be determined whether the request has run.
     Doubt(Doubt),
 }
 
@@ -102,13 +103,13 @@
     record: Record,
 }
 
-/// The most bytes of answers that an owner keeps.
+/// The maximum total size of the answers that an owner keeps.
 pub const MAX_KEPT_BYTES: usize = 32 << 20;
 
 /// The largest answer that is kept.
 pub const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// The records of one owner in one life.
+/// The records of one owner process.
 #[derive(Debug)]
 pub struct Register {
     me: Member,
@@ -119,7 +120,7 @@
 }
 
 impl Register {
-    /// The empty register of a node that has just been started.
+    /// Creates the empty register of a process that has just started.
     pub fn new(me: Member) -> Self {
         Self {
             me,
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Takes in a newer table and drops the records that no claim can reach any more.
+    /// Applies a newer table and drops the records that no claim can reach any more.
     pub fn set_table(&mut self, table: &Table) {
         if table.newest() <= self.table.newest() {
             return;
@@ -143,12 +144,12 @@
         }
     }
 
-    /// How many keys have a record.
+    /// The number of keys with a record.
     pub fn len(&self) -> usize {
         self.entries.values().map(HashMap::len).sum()
     }
 
-    /// Whether no key has a record.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -165,7 +166,7 @@
         if same { Ok(()) } else { Err(Doubt::NotOwner) }
     }
 
-    /// Judges a claim.
+    /// Decides about a claim.
     pub fn claim(&mut self, claim: &Claim) -> Verdict {
         if let Err(doubt) = self.check_owner(&claim.key, claim.birth) {
             return Verdict::Doubt(doubt);
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Notes what came of a request that `claimant` was granted.
+    /// Records the outcome of a request that was granted to `claimant`.
     pub fn end(&mut self, key: &str, birth: Version, claimant: &Claimant, outcome: Outcome) {
         let Some(entry) = self.claimed_entry(key, birth, claimant) else { return };
         let size = match &outcome {
@@ -203,7 +204,8 @@
         }
     }
 
-    /// Gives a key back that `claimant` was granted and has not sent, and will not send.
+    /// Releases a key that was granted to `claimant`, which has not sent the request and never
+    /// will.
     pub fn release(&mut self, key: &str, birth: Version, claimant: &Claimant) {
         if self.claimed_entry(key, birth, claimant).is_some()
             && let Some(entries) = self.entries.get_mut(&birth)
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Drops the body of the oldest answer; that the key has been run stays known.
+    /// Drops the body of the oldest answer. The record that the request ran is kept.
     fn drop_oldest_answer(&mut self) {
         let Some((version, key, size)) = self.kept_answers.pop_front() else { return };
         self.kept_bytes -= size;
--- a/lib/src/config_fetch.rs
+++ b/lib/src/config_fetch.rs
@@ -1,10 +1,10 @@
-//! How a node comes to have the newest configuration.
+//! How a node gets the latest configuration.
 //!
-//! A few nodes of each data centre watch the store; all others hear of a new generation from
-//! peers, which say with every message which one they have. What is missing is fetched from the
-//! peer that told, then from others that have it, and only then from the store, so that the
-//! store's calls do not grow with the nodes. A node takes a higher generation only: a stale read
-//! or a peer that is behind can never bring an old configuration back.
+//! A few nodes in each data centre watch the store. All others learn of a new generation from
+//! peers, which include theirs in every message. Missing parts are fetched first from the peer that
+//! announced the generation, then from others that have it and finally from the store, so that the
+//! load on the store does not grow with the number of nodes. A node only moves to a higher
+//! generation: a stale read or a peer that is behind cannot restore an old configuration.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -22,10 +22,10 @@
 /// How long a fetch may take before another source is tried.
 pub const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How many sources are remembered for a generation.
+/// How many sources are remembered per generation.
 const MAX_SOURCES: usize = 4;
 
-/// Where a head or chunk comes from.
+/// The source of a head or chunk.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Source {
     /// Another node.
@@ -34,7 +34,7 @@
     Store,
 }
 
-/// What a spreader wants done.
+/// A fetch that the caller has to perform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Fetch the head.
@@ -43,16 +43,17 @@
     Chunks(Source, Vec<Digest>),
 }
 
-/// Why a head is not taken although it is newer.
+/// Why a newer head is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigFetchError {
-    /// A chunk is not what it should be.
+    /// A chunk is invalid.
     #[error(transparent)]
     Chunk(#[from] ChunkError),
-    /// The head and its operation do not belong together.
+    /// The head does not match its operation.
     #[error("head of generation {0} does not match its operation")]
     Mismatch(Generation),
-    /// The configuration is not right, as one made by a newer release may seem.
+    /// The configuration is invalid, which may also be the case for one that a newer release has
+    /// written.
     #[error("configuration of generation {0} is invalid: {1:?}")]
     Invalid(Generation, Vec<ObjectError>),
 }
@@ -62,22 +63,22 @@
     head: Option<Head>,
     sources: SmallVec<[Name; MAX_SOURCES]>,
     attempts: usize,
-    asked: Option<Instant>,
+    requested_at: Option<Instant>,
     chunks: BTreeMap<Digest, Chunk>,
 }
 
-/// A configuration with all it is made of.
+/// A configuration with all of its parts.
 #[derive(Clone, Debug, Default)]
 pub struct Installed {
     /// The head.
     pub head: Head,
-    /// The checked configuration.
+    /// The validated configuration.
     pub snapshot: Snapshot,
-    /// The chunks that others may ask for.
+    /// The chunks, which other nodes may fetch.
     pub chunks: BTreeMap<Digest, Chunk>,
 }
 
-/// One node's part in spreading.
+/// The state of one node's configuration fetches.
 #[derive(Debug, Default)]
 pub struct ConfigFetcher {
     installed: Installed,
@@ -86,17 +87,17 @@
 }
 
 impl ConfigFetcher {
-    /// The configuration in force here.
+    /// The configuration in force.
     pub fn installed(&self) -> &Installed {
         &self.installed
     }
 
-    /// The highest generation heard of.
+    /// The highest known generation.
     pub fn wanted(&self) -> Generation {
         self.wanted.max(self.installed.head.generation)
     }
 
-    /// Notes that a peer has `generation`.
+    /// Records that a peer has `generation`.
     pub fn on_advertised(&mut self, peer: &Name, generation: Generation) {
         if generation <= self.installed.head.generation {
             return;
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Takes in a head from anywhere. Older ones are left out.
+    /// Handles a head from any source. Heads that are not newer are ignored.
     pub fn on_head(&mut self, head: Head) {
         if head.generation <= self.installed.head.generation {
             return;
@@ -123,14 +124,14 @@
         let newer = fetch.head.as_ref().is_none_or(|h| h.generation < head.generation);
         if newer {
             fetch.head = Some(head);
-            fetch.asked = None;
+            fetch.requested_at = None;
         }
     }
 
-    /// Takes in chunks from anywhere and gives the new configuration once it is whole.
+    /// Handles chunks from any source and returns the new configuration once it is complete.
     ///
     /// # Errors
-    /// The head is given up when what it names does not fit; the next one is taken.
+    /// The head or its contents are invalid. The head is dropped and a later one can still be used.
     pub fn on_chunks(
         &mut self,
         chunks: Vec<Chunk>,
@@ -139,7 +140,7 @@
         for chunk in chunks {
             fetch.chunks.insert(chunk.digest, chunk);
         }
-        fetch.asked = None;
+        fetch.requested_at = None;
         let Some(head) = fetch.head.clone() else { return Ok(None) };
         if !missing(&head, &fetch.chunks, &self.installed.chunks)?.is_empty() {
             return Ok(None);
@@ -150,7 +151,7 @@
         Ok(Some(&self.installed))
     }
 
-    /// Takes over a configuration that this node wrote itself.
+    /// Installs a configuration that this node has written itself.
     pub fn install_own(&mut self, installed: Installed) {
         if installed.head.generation > self.installed.head.generation {
             self.installed = installed;
@@ -158,25 +159,25 @@
         }
     }
 
-    /// Notes that a source did not give what it was asked for.
+    /// Records that a source did not deliver what was requested.
     pub fn on_fetch_failed(&mut self) {
         if let Some(fetch) = &mut self.fetch {
-            fetch.asked = None;
+            fetch.requested_at = None;
             fetch.attempts += 1;
         }
     }
 
-    /// What to fetch at `now`.
+    /// Returns what to fetch at `now`.
     pub fn poll(&mut self, now: Instant) -> Option<Action> {
         let installed = &self.installed.chunks;
         let fetch = self.fetch.as_mut()?;
-        if let Some(asked) = fetch.asked {
-            if now < asked + FETCH_TIMEOUT {
+        if let Some(requested_at) = fetch.requested_at {
+            if now < requested_at + FETCH_TIMEOUT {
                 return None;
             }
             fetch.attempts += 1;
         }
-        fetch.asked = Some(now);
+        fetch.requested_at = Some(now);
         let source = fetch.source();
         let Some(head) = &fetch.head else { return Some(Action::Head(source)) };
         let missing = missing(head, &fetch.chunks, installed).unwrap_or_default();
@@ -186,10 +187,16 @@
 
 impl Fetch {
     fn new(head: Option<Head>) -> Self {
-        Self { head, sources: SmallVec::new(), attempts: 0, asked: None, chunks: BTreeMap::new() }
+        Self {
+            head,
+            sources: SmallVec::new(),
+            attempts: 0,
+            requested_at: None,
+            chunks: BTreeMap::new(),
+        }
     }
 
-    /// Peers in turn, then the store, then all again.
+    /// Each peer in turn, then the store, then the peers again.
     fn source(&self) -> Source {
         let turn = self.attempts % (self.sources.len() + 1);
         self.sources.get(turn).map_or(Source::Store, |name| Source::Peer(name.clone()))
@@ -198,9 +205,9 @@
 
 type Chunks = BTreeMap<Digest, Chunk>;
 
-/// The chunks that `head` needs and that are in neither place.
-fn missing(head: &Head, fetched: &Chunks, had: &Chunks) -> Result<Vec<Digest>, ChunkError> {
-    let find = |digest: &Digest| fetched.get(digest).or_else(|| had.get(digest));
+/// The chunks that `head` needs and that neither map contains.
+fn missing(head: &Head, fetched: &Chunks, installed: &Chunks) -> Result<Vec<Digest>, ChunkError> {
+    let find = |digest: &Digest| fetched.get(digest).or_else(|| installed.get(digest));
     let mut missing = Vec::new();
     if find(&head.operation).is_none() {
         missing.push(head.operation);
@@ -215,7 +222,7 @@
     Ok(missing)
 }
 
-/// Puts a configuration together from chunks that are all there.
+/// Assembles a configuration whose chunks are all present.
 fn assemble(
     head: Head,
     fetched: &Chunks,
--- a/lib/src/directory.rs
+++ b/lib/src/directory.rs
@@ -1,4 +1,4 @@
-//! The answer to callers that ask which addresses to use.
+//! The answer to clients that look up addresses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,29 +8,29 @@
 
 use crate::id::Name;
 
-/// How long callers may keep an answer. A node that leaves goes on taking callers for this long
-/// after it is out of the answers.
+/// How long clients may cache an answer. A leaving node accepts clients for this long after it is
+/// no longer part of answers.
 pub const VALIDITY: Duration = Duration::from_secs(20);
 
 /// How many addresses an answer has.
 pub const ADDRESSES_PER_ANSWER: usize = 3;
 
-/// A node as callers can use it.
+/// A node that clients can use.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClientEndpoint {
     /// The node.
     pub name: Name,
-    /// Where callers reach it.
+    /// Its address for clients.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: Name,
-    /// How many requests it has, as last heard.
+    /// The number of its requests, as last reported.
     pub load: u32,
 }
 
-/// Picks addresses for a caller. Nodes of the caller's data centre come first; among equals the
-/// better of two drawn at random wins, so that callers that ask in the same second are spread out
-/// even though the loads are late.
+/// Selects addresses for a client. Nodes in the client's data centre come first. Each address is
+/// the less loaded of two random nodes, which spreads clients that ask in the same second although
+/// the loads are delayed.
 pub fn pick_addresses<R: Rng>(
     fronts: &[ClientEndpoint],
     data_centre: Option<&Name>,
--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -194,8 +194,8 @@
     pub fn authority_for(&self, now: Instant, call: Duration) -> Option<Epoch> {
         let (from, until) = (self.held_from?, self.held_until?);
         let seen = self.seen.as_ref()?;
-        let in_term = from <= now && now + call < until && !seen.is_void;
-        (in_term && self.is_own(&seen.record)).then_some(seen.record.epoch)
+        let is_in_term = from <= now && now + call < until && !seen.is_void;
+        (is_in_term && self.is_own(&seen.record)).then_some(seen.record.epoch)
     }
 
     /// Returns the fencing token and the end of the term if this node holds the lease at `now`.
@@ -263,9 +263,9 @@
             record.former = record.holder.take().map(|holder| holder.name);
             return Some(record);
         }
-        let half_over = self.held_until.is_none_or(|until| now + term.ttl / 2 >= until);
-        let fewer = record.doubtful.len() < seen.record.doubtful.len();
-        (half_over || fewer || self.needs_rewrite).then_some(record)
+        let is_due = self.held_until.is_none_or(|until| now + term.ttl / 2 >= until);
+        let has_fewer = record.doubtful.len() < seen.record.doubtful.len();
+        (is_due || has_fewer || self.needs_rewrite).then_some(record)
     }
 
     fn takeover_record(
@@ -275,21 +275,21 @@
         seen: &Observed,
         is_gone: &impl Fn(&Holder) -> bool,
     ) -> Option<(Record, Instant)> {
-        let silent = now.saturating_duration_since(seen.first_seen) >= term.ttl + term.margin;
-        let old = seen.record.holder.as_ref();
-        let known_gone = old.is_none_or(is_gone);
+        let is_silent = now.saturating_duration_since(seen.first_seen) >= term.ttl + term.margin;
+        let previous = seen.record.holder.as_ref();
+        let known_gone = previous.is_none_or(is_gone);
         let is_free = known_gone && self.covers_all_holders(now, term, seen);
-        if !is_free && !silent {
+        if !is_free && !is_silent {
             return None;
         }
         let mut doubtful = seen.record.doubtful.clone();
-        if let Some(old) = old.filter(|old| **old != self.me) {
-            doubtful.push(old.clone());
+        if let Some(previous) = previous.filter(|previous| **previous != self.me) {
+            doubtful.push(previous.clone());
         }
         doubtful.retain(|h| !is_gone(h));
         // A silent holder's last call was at least `margin` ago. Any other predecessor, including
         // this node itself, may have a call in flight.
-        let waits = !silent && (old.is_some() || seen.record.former.is_some());
+        let waits = !is_silent && (previous.is_some() || seen.record.former.is_some());
         let record = Record {
             holder: Some(self.me.clone()),
             epoch: seen.record.epoch.next().max(Epoch(seen.point().number())),
@@ -298,7 +298,8 @@
             former: None,
             era: self.era(),
         };
-        let from = if old.is_some() { now } else { seen.predecessor_active_until } + term.margin;
+        let from =
+            if previous.is_some() { now } else { seen.predecessor_active_until } + term.margin;
         Some((record, if waits { from.max(now) } else { now }))
     }
 
@@ -369,16 +370,16 @@
         self.era_changed = true;
         self.pending = None;
         let before = self.seen.take();
-        let mine = before.map(|seen| seen.record).filter(|record| {
+        let own = before.map(|seen| seen.record).filter(|record| {
             let holds = self.held_until.is_some_and(|until| now < until);
             holds && self.is_own(record) && found.epoch <= record.epoch
         });
-        self.needs_rewrite = mine.is_some();
-        if mine.is_none() {
+        self.needs_rewrite = own.is_some();
+        if own.is_none() {
             self.held_until = None;
         }
-        let is_void = mine.is_none() && self.is_own(&found);
-        let record = mine.unwrap_or(found);
+        let is_void = own.is_none() && self.is_own(&found);
+        let record = own.unwrap_or(found);
         self.seen = Some(Observed {
             era,
             revision,
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,5 +1,6 @@
 //! The core of sardinepick: decisions and state, without sockets, files, clocks or randomness of
-//! its own. Each part is a state machine that is fed events and the time, and gives back actions.
+//! its own. Each part is a state machine that takes events and the time as input and returns
+//! actions.
 
 pub mod account;
 pub mod admit;
--- a/lib/src/member.rs
+++ b/lib/src/member.rs
@@ -1,12 +1,12 @@
-//! Membership: which nodes there are, and which of them are well.
+//! Cluster membership: which nodes exist and which of them are alive, in the manner of SWIM.
 //!
-//! Each node probes one other a second, in a shuffled round, and passes on a few news with every
-//! message, so that the cost for a node does not grow with their number. A node that does not
-//! answer is asked through others before it is suspected, and a suspected one has time to object
-//! before it is taken for gone. A node that was itself paused finds its probes unanswered through
-//! its own fault, so after a pause it suspects nobody. Nodes taken for gone are probed now and
-//! then, since two regions that lost each other must find together again. The platform's VM list,
-//! which lags, is one input among others.
+//! Each node probes one other node per second in shuffled order and attaches a few updates to every
+//! message, so its cost does not grow with the size of the cluster. A node that does not answer is
+//! probed through others before it is suspected, and a suspected node has time to refute before it
+//! is declared gone. A node that was paused itself cannot tell which probes went unanswered because
+//! of that, so it suspects nobody right after a pause. Gone nodes are probed occasionally, so that
+//! two regions find each other again after a network partition. The platform's VM list, which is
+//! delayed, is one of several inputs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,36 +19,37 @@
 pub use crate::gossip::{Addresses, Message, Outgoing, Purpose, State, Status, Update, Vm};
 use crate::id::{Incarnation, Name};
 
-/// How often a node probes another.
+/// How often a node probes another one.
 pub const PROBE_PERIOD: Duration = Duration::from_secs(1);
-/// How long a probe may go unanswered before others are asked to probe.
+/// How long a probe may go unanswered before indirect probes are sent.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
-/// How many others are asked to probe.
+/// How many nodes are asked to send an indirect probe.
 pub const INDIRECT_PROBES: usize = 3;
-/// How long a suspected node has to object.
+/// How long a suspected node has to refute.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(4);
-/// How often a node that is taken for gone is probed.
+/// How often one of the gone nodes is probed.
 pub const GONE_PROBE_PERIOD: Duration = Duration::from_secs(5);
-/// How long a node that is taken for gone is remembered. Longer than regions lose each other.
+/// How long a gone node is remembered. This is longer than network partitions between regions last.
 pub const GONE_RETENTION: Duration = Duration::from_secs(2 * 3600);
-/// How much news goes with a message at the most.
+/// The maximum number of updates in a message.
 pub const MAX_UPDATES: usize = 12;
-/// How often a piece of news is passed on, times the logarithm of the number of nodes.
+/// How often an update is sent, as a factor of the logarithm of the number of nodes.
 pub const RETRANSMIT_FACTOR: u32 = 3;
-/// More waiting news than these make whole lists worth exchanging.
+/// Full synchronization starts when this many updates are queued.
 pub const FULL_SYNC_THRESHOLD: usize = 40;
-/// How often whole lists are exchanged then. At 550 nodes a list has some 40 KB.
+/// How often a node then synchronizes its full list with another one. At 550 nodes a list has about
+/// 40 KB.
 pub const FULL_SYNC_PERIOD: Duration = Duration::from_secs(5);
-/// How often all nodes are looked through for suspicions that are over.
+/// How often all nodes are checked for expired suspicions.
 pub const SUSPECT_CHECK_PERIOD: Duration = Duration::from_millis(500);
-/// A tick that comes so much late means that this process was paused.
+/// A longer interval between two ticks means that this process was paused.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(1500);
 
-/// The reads of the VM list a period that all nodes make together, at the most about: the
-/// platform's rates grow more slowly than the fleet.
+/// The approximate maximum number of reads of the VM list by all nodes in one base period. The
+/// platform's rate limits grow more slowly than the number of nodes.
 pub const LIST_READS_PER_PERIOD: usize = 20;
 
-/// How often one of `nodes` nodes reads the VM list, where few do it every `base`.
+/// How often each of `nodes` nodes reads the VM list. `base` is the period in a small cluster.
 pub fn list_period(nodes: usize, base: Duration) -> Duration {
     let factor = nodes.div_ceil(LIST_READS_PER_PERIOD).max(1);
     base * u32::try_from(factor).unwrap_or(u32::MAX)
@@ -57,27 +58,27 @@
 /// What is known of another node.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// The newest news.
+    /// The latest update.
     pub update: Update,
-    /// Since when it has this state, here.
+    /// When this node learned of its current state.
     pub since: Instant,
-    /// When it was last heard itself.
+    /// When a message from it last arrived.
     pub heard: Option<Instant>,
-    /// What it last said of itself.
+    /// The status in its last message.
     pub status: Status,
-    /// The VM list names it as leaving.
+    /// Whether the VM list marks it as leaving.
     pub listed_leaving: bool,
-    /// The VM list has named it, and then no longer did.
+    /// Whether the VM list no longer contains it.
     pub unlisted: bool,
 }
 
 impl Peer {
-    /// Whether callers may be sent there.
+    /// Whether clients may be sent to it.
     pub fn accepts_clients(&self) -> bool {
         self.update.state == State::Serving && !self.listed_leaving
     }
 
-    /// Whether it takes part in duties.
+    /// Whether tasks may be assigned to it.
     pub fn is_active(&self) -> bool {
         matches!(self.update.state, State::Serving | State::Leaving | State::Joining)
     }
@@ -105,7 +106,7 @@
     sent: u32,
 }
 
-/// What one node knows of all nodes.
+/// One node's view of all nodes.
 #[derive(Clone, Debug)]
 pub struct Members {
     me: Update,
@@ -126,7 +127,7 @@
 }
 
 impl Members {
-    /// The membership of a node that has just been started and knows the addresses of `seeds`.
+    /// Creates the view of a node that has just started and knows the addresses `seeds`.
     pub fn new(me: Update, seeds: Vec<SocketAddr>) -> Self {
         Self {
             me,
@@ -147,7 +148,7 @@
         }
     }
 
-    /// What this node says of itself.
+    /// The update about this node.
     pub fn me(&self) -> &Update {
         &self.me
     }
@@ -162,21 +163,21 @@
         self.peers.get(name)
     }
 
-    /// The names of the nodes that take part in duties, this one included.
+    /// The names of the nodes to which tasks may be assigned, including this one.
     pub fn active(&self) -> impl Iterator<Item = &Name> {
         let peers = self.peers.values().filter(|p| p.is_active()).map(|p| &p.update.name);
         std::iter::once(&self.me.name).chain(peers)
     }
 
-    /// The names of the nodes that take callers; this one too if it does.
+    /// The names of the nodes that accept clients, including this one if it does.
     pub fn serving(&self) -> impl Iterator<Item = &Name> {
         let me = (self.me.state == State::Serving).then_some(&self.me.name);
         let peers = self.peers.values().filter(|p| p.accepts_clients()).map(|p| &p.update.name);
         me.into_iter().chain(peers)
     }
 
-    /// Whether a node's process in this life is known to have ended: its VM has left the list, or
-    /// the node has been started again. Silence is no proof.
+    /// Whether a node process is known to have ended: its VM is no longer listed, or the node has
+    /// restarted. Silence alone is no proof.
     pub fn is_ended(&self, name: &Name, incarnation: Incarnation) -> bool {
         if *name == self.me.name {
             return incarnation < self.me.incarnation;
@@ -186,12 +187,12 @@
         restarted || (peer.unlisted && peer.update.state == State::Gone)
     }
 
-    /// Sets what this node says of itself with each message.
+    /// Sets the status that this node includes in each message.
     pub fn set_status(&mut self, status: Status) {
         self.status = status;
     }
 
-    /// Sets this node's own state and tells the others.
+    /// Sets and announces this node's state.
     pub fn set_state(&mut self, state: State) {
         if self.me.state == state {
             return;
@@ -206,7 +207,7 @@
         self.queue_update(me);
     }
 
-    /// Takes in the platform's list.
+    /// Applies the platform's VM list.
     pub fn apply_vm_list(&mut self, now: Instant, vms: &[Vm]) {
         for peer in self.peers.values_mut() {
             let listed = vms.iter().find(|vm| vm.name == peer.update.name);
@@ -218,8 +219,8 @@
                 None => peer.unlisted = true,
             }
         }
-        // A suspected node that is no longer listed need not be waited for. One that is named as
-        // leaving is told of to the others, as few nodes look at the list at a time.
+        // A suspected node that is no longer listed is gone without further waiting. A node that is
+        // listed as leaving is announced to the others, because few nodes read the list at a time.
         let updates: Vec<Update> = self
             .peers
             .values()
@@ -235,15 +236,15 @@
         for update in updates {
             self.apply_update(now, update);
         }
-        let me_leaving = vms.iter().any(|vm| vm.name == self.me.name && vm.leaving);
-        if me_leaving && self.me.state == State::Serving {
+        let own_vm_leaving = vms.iter().any(|vm| vm.name == self.me.name && vm.leaving);
+        if own_vm_leaving && self.me.state == State::Serving {
             self.set_state(State::Leaving);
         }
         let known = |vm: &&Vm| vm.name == self.me.name || self.peers.contains_key(&vm.name);
         self.seeds = vms.iter().filter(|vm| !known(vm)).map(|vm| vm.address).collect();
     }
 
-    /// What to send at `now`. Call it about ten times a second.
+    /// Returns the messages to send at `now`. Call it about ten times a second.
     pub fn tick<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Vec<Outgoing> {
         let paused = self.last_tick.is_some_and(|last| now > last + PAUSE_THRESHOLD);
         self.last_tick = Some(now);
@@ -267,7 +268,8 @@
         out
     }
 
-    /// After a pause of this process: what it did not hear then says nothing about others.
+    /// Restarts suspicions after a pause of this process: messages missed during the pause say
+    /// nothing about other nodes.
     fn reset_after_pause(&mut self, now: Instant) {
         self.probe = None;
         for peer in self.peers.values_mut() {
@@ -296,15 +298,15 @@
     ) {
         let Some(target) = self.peers.get(&probe.target) else { return };
         let address = target.update.addresses.peer;
-        let mut helpers: Vec<SocketAddr> = self
+        let mut candidates: Vec<SocketAddr> = self
             .peers
             .values()
             .filter(|p| p.is_active() && p.update.name != probe.target)
             .map(|p| p.update.addresses.peer)
             .collect();
-        let (chosen, _) = helpers.partial_shuffle(rng, INDIRECT_PROBES);
-        let chosen: SmallVec<[SocketAddr; INDIRECT_PROBES]> = chosen.iter().copied().collect();
-        for to in chosen {
+        let (selected, _) = candidates.partial_shuffle(rng, INDIRECT_PROBES);
+        let selected: SmallVec<[SocketAddr; INDIRECT_PROBES]> = selected.iter().copied().collect();
+        for to in selected {
             let purpose = Purpose::Relay { target: probe.target.clone(), address };
             self.push(out, to, purpose, probe.sequence);
         }
@@ -319,12 +321,12 @@
     }
 
     fn expire_suspects(&mut self, now: Instant) {
-        let over =
+        let expired =
             |p: &&Peer| p.update.state == State::Suspected && now >= p.since + SUSPICION_TIMEOUT;
         let gone: Vec<Update> = self
             .peers
             .values()
-            .filter(over)
+            .filter(expired)
             .map(|p| Update { state: State::Gone, ..p.update.clone() })
             .collect();
         for update in gone {
@@ -335,7 +337,7 @@
 
     fn start_probe<R: Rng>(&mut self, now: Instant, rng: &mut R, out: &mut Vec<Outgoing>) {
         if let Some(seed) = self.seeds.pop() {
-            // A seed has no name yet, so its silence is not held against it.
+            // The name of a seed is not known yet, so no suspicion follows from its silence.
             self.push(out, seed, Purpose::Ping, 0);
         }
         while let Some(target) = self.next_probe_target(rng) {
@@ -392,16 +394,16 @@
         Message { purpose, sequence, from: self.me.name.clone(), status: self.status, updates }
     }
 
-    /// This node's own news first, so that a stranger learns who speaks; then the news that has
-    /// been passed on least.
+    /// This node's own update comes first, so that a node that does not know it learns who sent the
+    /// message. The updates that have been sent least often follow.
     fn select_updates(&mut self) -> SmallVec<[Update; 4]> {
         let mut updates = SmallVec::new();
         updates.push(self.me.clone());
         let limit = RETRANSMIT_FACTOR * (usize::BITS - self.active.leading_zeros()).max(1);
         self.queued_updates.sort_by_key(|r| r.sent);
-        for rumour in self.queued_updates.iter_mut().take(MAX_UPDATES - 1) {
-            rumour.sent += 1;
-            updates.push(rumour.update.clone());
+        for queued in self.queued_updates.iter_mut().take(MAX_UPDATES - 1) {
+            queued.sent += 1;
+            updates.push(queued.update.clone());
         }
         self.queued_updates.retain(|r| r.sent < limit);
         updates
@@ -412,8 +414,8 @@
         self.queued_updates.push(QueuedUpdate { update, sent: 0 });
     }
 
-    /// Messages that carry news at once to `count` nodes drawn at random, as when a new generation
-    /// is in force here.
+    /// Returns messages with updates to `count` random nodes, sent without waiting for the next
+    /// probe. Used for instance when a new generation is in force.
     pub fn push_updates<R: Rng>(&mut self, count: usize, rng: &mut R) -> Vec<Outgoing> {
         let mut targets: Vec<SocketAddr> = self
             .peers
@@ -421,16 +423,16 @@
             .filter(|p| p.is_active())
             .map(|p| p.update.addresses.peer)
             .collect();
-        let (chosen, _) = targets.partial_shuffle(rng, count);
-        let chosen: SmallVec<[SocketAddr; 8]> = chosen.iter().copied().collect();
+        let (selected, _) = targets.partial_shuffle(rng, count);
+        let selected: SmallVec<[SocketAddr; 8]> = selected.iter().copied().collect();
         let mut out = Vec::new();
-        for to in chosen {
+        for to in selected {
             self.push(&mut out, to, Purpose::Gossip, 0);
         }
         out
     }
 
-    /// Takes in a message that came from `source`.
+    /// Handles a message from `source`.
     pub fn receive(&mut self, now: Instant, source: SocketAddr, message: Message) -> Vec<Outgoing> {
         let mut out = Vec::new();
         for update in message.updates {
@@ -460,11 +462,11 @@
         out
     }
 
-    /// Tells a node that speaks, and is taken for suspected or gone here, that it is.
+    /// Notifies the sender of a message if it is suspected or gone in this node's view.
     ///
-    /// Without this, regions that lost each other never find together again: what the other says of
-    /// itself weighs no more than what was concluded about it, and it does not know that it has to
-    /// contradict.
+    /// Otherwise regions would not find each other again after a partition: the sender's update
+    /// about itself does not supersede the suspicion, and it does not know that it has to refute
+    /// one.
     fn notify_if_suspected(&mut self, source: SocketAddr, from: &Name, out: &mut Vec<Outgoing>) {
         let Some(peer) = self.peers.get(from) else { return };
         if peer.update.state < State::Suspected {
@@ -482,30 +484,31 @@
             self.probe = None;
             return;
         }
-        // An ack to a ping that was sent for another node is passed on under its own sequence.
+        // An acknowledgement of an indirect probe is forwarded with the sequence of the requester.
         let Some(at) = self.relays.iter().position(|r| r.sequence == sequence) else { return };
         let relay = self.relays.swap_remove(at);
         debug_assert_ne!(*from, self.me.name);
         self.push(out, relay.requester, Purpose::Ack, relay.requester_sequence);
     }
 
-    /// Takes in a whole list of nodes, as a node that joins gets it from the first it reaches.
+    /// Merges a full list of nodes, for instance the one that a joining node gets from the first
+    /// node it reaches.
     ///
-    /// It is not passed on: whoever gave it has done so.
+    /// The updates are not queued for sending, because the node that sent the list has already done
+    /// so.
     pub fn merge_updates(&mut self, now: Instant, updates: Vec<Update>) {
-        let rumours = std::mem::take(&mut self.queued_updates);
+        let queue = std::mem::take(&mut self.queued_updates);
         for update in updates {
             self.apply_update(now, update);
         }
-        self.queued_updates = rumours;
+        self.queued_updates = queue;
     }
 
-    /// The node to exchange whole lists with at `now`, if there is more news than messages have room
-    /// for.
+    /// Returns the node for a full synchronization at `now` if too many updates are queued.
     ///
-    /// When a data centre or a region goes or comes back, hundreds of news wait for room in messages,
-    /// and nodes disagree for minutes. Whole lists end that in a few rounds; their period keeps their
-    /// cost within a node's bytes.
+    /// When a data centre or region fails or recovers, hundreds of updates wait for space in
+    /// messages and the views of nodes differ for minutes. A few full synchronizations resolve
+    /// this; their period keeps the cost within a node's network budget.
     pub fn full_sync_peer<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Option<SocketAddr> {
         let due = self.last_full_sync.is_none_or(|last| now >= last + FULL_SYNC_PERIOD);
         if !due || self.queued_updates.len() < FULL_SYNC_THRESHOLD {
@@ -521,7 +524,7 @@
         (!active.is_empty()).then(|| active[rng.random_range(0..active.len())])
     }
 
-    /// All that this node knows, for one that joins.
+    /// The updates about all known nodes, for a joining node.
     pub fn all_updates(&self) -> Vec<Update> {
         let peers = self.peers.values().map(|p| p.update.clone());
         std::iter::once(self.me.clone()).chain(peers).collect()
@@ -533,7 +536,7 @@
             return;
         }
         let Some(peer) = self.peers.get_mut(&update.name) else {
-            // A node that is first heard of as gone is not worth remembering.
+            // A node that is gone when first heard of is not worth remembering.
             if update.state != State::Gone {
                 let peer = Peer {
                     update: update.clone(),
@@ -557,7 +560,7 @@
         }
     }
 
-    /// Contradicts news that takes this life of this node for suspected or gone.
+    /// Refutes an update that declares this process suspected or gone.
     fn refute(&mut self, update: &Update) {
         let same_life = update.incarnation == self.me.incarnation;
         if same_life && update.state >= State::Suspected && update.serial >= self.me.serial {
--- a/lib/src/order.rs
+++ b/lib/src/order.rs
@@ -259,16 +259,16 @@
 
     /// Handles the stored intent.
     pub fn on_read(&mut self, found: Option<(Point, Intent)>) {
-        let settles = self.writing.take();
+        let written = self.writing.take();
         let (revision, intent) = found.unzip();
         if revision < self.revision {
             return;
         }
         self.revision = revision;
         let open = intent.as_ref().is_some_and(|i| i.stage == Stage::Open);
-        let mine = open && settles.is_some() && settles == intent;
+        let is_own = open && written.is_some() && written == intent;
         self.intent = intent;
-        self.step = match (open, mine) {
+        self.step = match (open, is_own) {
             (_, true) => Step::Ready,
             (true, false) => Step::Unsettled,
             (false, false) => Step::Idle,
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -1,8 +1,8 @@
-//! The states of a request, and what may still be done or said in each.
+//! The states of a request, and which actions and statements are allowed in each.
 //!
-//! The promise is that a refusal which says `not_run` is true and that a caller gets exactly its
-//! own whole answer. Both hang on one order of events: a request is *sent* before the first of its
-//! bytes can leave, and from then on only the runner's own proof makes it not run.
+//! Two guarantees depend on them: a refusal marked `not_run` is true, and a client gets exactly the
+//! complete answer to its own request. For this a request is marked as sent before its first byte
+//! can leave, and from then on only proof from the runner allows saying that it was not run.
 
 use smol_str::SmolStr;
 use strum::{Display, EnumString, IntoStaticStr};
@@ -14,56 +14,56 @@
 #[derive(Clone, Copy, Debug, Display, EnumString, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Run {
-    /// It had none: no runner started it.
+    /// No runner started it.
     NotRun,
-    /// It may have had one.
+    /// It may have had an effect.
     Unknown,
 }
 
-/// What may be done again with a request.
+/// How a request may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryMode {
-    /// Nothing once it was sent.
+    /// Not at all once it was sent.
     Never,
-    /// The whole of it.
+    /// From the start.
     Idempotent,
-    /// It goes on from the token at which it stopped.
+    /// From the token at which it stopped.
     Resumable,
 }
 
 /// How an attempt failed.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Fault {
-    /// No connection: no byte of the request left.
+    /// The connection failed; no byte of the request was sent.
     #[error("connection to {peer} failed: {detail}")]
     Connect {
         /// The runner.
         peer: Name,
-        /// What the transport says.
+        /// The error of the transport.
         detail: SmolStr,
     },
-    /// The runner says that it did not start the request.
+    /// The runner refused the request without starting it.
     #[error("{peer} refused the request before starting it: {detail}")]
     Refused {
         /// The runner.
         peer: Name,
-        /// What it says.
+        /// The reason given by the runner.
         detail: SmolStr,
     },
-    /// The answer broke off, or never came.
+    /// The response was interrupted or never arrived.
     #[error("response of {peer} was interrupted: {detail}")]
     Broken {
         /// The runner.
         peer: Name,
-        /// What the transport says.
+        /// The error of the transport.
         detail: SmolStr,
     },
-    /// The answer is not one to this request: a token is missing, or the form is wrong.
+    /// The response does not match the request: a token is missing or the format is wrong.
     #[error("response of {peer} is invalid: {detail}")]
     Wrong {
         /// The runner.
         peer: Name,
-        /// What does not fit.
+        /// What does not match.
         detail: SmolStr,
     },
 }
@@ -75,21 +75,21 @@
     }
 }
 
-/// Where a request is on its way.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum State {
     /// Its head has been read.
     Received,
-    /// It may use the system.
+    /// It has been admitted.
     Admitted,
-    /// A runner is chosen.
+    /// A runner has been chosen.
     Bound,
-    /// Its bytes may have left.
+    /// Bytes of it may have been sent.
     Sent,
-    /// Part of its answer has come.
+    /// Part of the response has arrived.
     Streaming,
-    /// Its whole answer has come.
+    /// The complete response has arrived.
     Done,
     /// It was refused.
     Refused,
@@ -98,43 +98,43 @@
 /// What to do after a fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NextStep {
-    /// Try again from the start.
+    /// Retry from the start.
     Retry,
-    /// Go on from this token at another runner.
+    /// Resume at another runner.
     Resume {
-        /// Tokens that the caller already has.
+        /// The number of tokens that the client already has.
         from: u64,
     },
-    /// Give up and say so.
+    /// Refuse the request.
     Refuse(Run),
 }
 
-/// What to do with a frame of an answer.
+/// What to do with a frame of a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// Pass it to the caller.
+    /// Forward it to the client.
     Pass,
-    /// Drop it: it belongs to an older attempt or has been passed already.
+    /// Drop it: it belongs to an earlier attempt or was forwarded already.
     Drop,
-    /// The answer has a gap: the attempt has failed.
+    /// Fail the attempt: a token is missing.
     Gap,
 }
 
-/// One request's way through a node.
+/// The state machine of one request in a node.
 #[derive(Clone, Debug)]
 pub struct Request {
     state: State,
     repeat: RetryMode,
     attempt: Attempt,
     forwarded: u64,
-    /// The attempt under way has been sent and not been proved unstarted.
+    /// The current attempt has been sent and is not proved to be unstarted.
     sent: bool,
     /// An earlier attempt may have run.
     may_have_run: bool,
 }
 
 impl Request {
-    /// A request that has been received.
+    /// Creates a request that has been received.
     pub fn new(repeat: RetryMode) -> Self {
         Self {
             state: State::Received,
@@ -146,33 +146,33 @@
         }
     }
 
-    /// Where the request is.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The attempt under way.
+    /// The current attempt.
     pub fn attempt(&self) -> Attempt {
         self.attempt
     }
 
-    /// How many tokens the caller has.
+    /// How many tokens have been forwarded to the client.
     pub fn forwarded(&self) -> u64 {
         self.forwarded
     }
 
-    /// Notes that the request may use the system.
+    /// Records that the request was admitted.
     pub fn admit(&mut self) {
         debug_assert_eq!(self.state, State::Received);
         self.state = State::Admitted;
     }
 
-    /// Notes that a runner is chosen.
+    /// Records that a runner was chosen.
     pub fn bind(&mut self) {
         self.state = State::Bound;
     }
 
-    /// Notes that bytes may leave from now on, and numbers the attempt.
+    /// Records that bytes may be sent from now on, and returns the number of the attempt.
     pub fn send(&mut self) -> Attempt {
         self.state = State::Sent;
         self.attempt = self.attempt.next();
@@ -180,7 +180,7 @@
         self.attempt
     }
 
-    /// Judges token `index` (from 0) of `attempt`'s answer.
+    /// Handles token `index` (from 0) of the response to `attempt`.
     pub fn on_token(&mut self, attempt: Attempt, index: u64) -> Verdict {
         if attempt != self.attempt || !matches!(self.state, State::Sent | State::Streaming) {
             return Verdict::Drop;
@@ -196,7 +196,7 @@
         Verdict::Pass
     }
 
-    /// Judges the closing frame of `attempt`'s answer.
+    /// Handles the final frame of the response to `attempt`.
     pub fn close(&mut self, attempt: Attempt) -> Verdict {
         if attempt != self.attempt || !matches!(self.state, State::Sent | State::Streaming) {
             return Verdict::Drop;
@@ -205,8 +205,8 @@
         Verdict::Pass
     }
 
-    /// What to do after `fault` of the attempt under way. `granted` says whether the retry budget
-    /// and the deadline allow another.
+    /// Handles `fault` of the current attempt. `granted` says whether the retry budget and the
+    /// deadline allow another attempt.
     pub fn on_fault(&mut self, fault: &Fault, granted: bool) -> NextStep {
         self.may_have_run |= self.sent && !fault.proves_not_run();
         self.sent = false;
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Ends the request without an answer and says what may be said of it.
+    /// Ends the request without an answer and returns whether it may have run.
     pub fn refuse(&mut self) -> Run {
         self.state = State::Refused;
         if self.sent || self.may_have_run { Run::Unknown } else { Run::NotRun }
--- a/lib/src/owner.rs
+++ b/lib/src/owner.rs
@@ -1,10 +1,10 @@
-//! Which node owns a request key.
+//! The owner of an idempotency key.
 //!
-//! A request that must not run twice carries a key. Each key has exactly one owner in history: the
-//! owner is worked out from the key and the *birth version*, the version of the owner table that
-//! was in force when the caller looked up its addresses for the first attempt. The member list of
-//! a version never changes once the platform's store has accepted it, so no two nodes can both
-//! own a key, whatever they believe about each other, and no lease or clock is needed.
+//! A request that must not run twice carries a key. Each key has exactly one owner for all time: it
+//! is computed from the key and the *birth version*, which is the version of the owner table in
+//! force when the client looked up addresses for its first attempt. The member list of a version
+//! never changes after the platform's store has accepted it. So no two nodes can own the same key,
+//! whatever they believe about each other, and neither leases nor clocks are needed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,18 +19,19 @@
 
 const KEY_SEED: u64 = 0x6f77_6e65;
 
-/// One life of a node, as the owner of keys.
+/// A node process as owner of keys.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Member {
     /// The node.
     pub name: Name,
-    /// Its life: a node that was started again has lost its records and is another member.
+    /// The incarnation of its process. A restarted node has lost its records, so it is a different
+    /// member.
     pub incarnation: Incarnation,
-    /// Where other nodes reach it.
+    /// Its address for other nodes.
     pub address: SocketAddr,
 }
 
-/// The members of one version.
+/// The members of one version of the table.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VersionMembers {
     /// The version.
@@ -39,26 +40,27 @@
     pub members: Arc<Vec<Member>>,
 }
 
-/// The versions that are still of use, oldest first. Kept in one object of the store.
+/// The versions still in use, oldest first. They are kept in one object of the store.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "Stored", into = "Stored")]
 pub struct Table {
-    /// The rolls, with versions that follow one another.
+    /// Consecutive versions with their members.
     pub versions: VecDeque<VersionMembers>,
 }
 
-/// How many versions are kept. A key whose birth version is older is refused. The table's writer
-/// adds a version at most every [`MIN_VERSION_INTERVAL`], so a key lives for two minutes at the least.
+/// How many versions are kept. A key with an older birth version is refused. A version is added at
+/// most every [`MIN_VERSION_INTERVAL`], so a key is valid for at least two minutes.
 pub const KEPT_VERSIONS: usize = 24;
 
 /// The shortest time between two versions.
 pub const MIN_VERSION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The longest time between two versions: without new ones, old records would never be dropped.
+/// The longest time between two versions. Without new versions, old records would never be dropped.
 pub const MAX_VERSION_INTERVAL: Duration = Duration::from_secs(120);
 
-/// The table as it is written: each member once, and the rolls by their places. At 550 members and
-/// 24 versions this is some 120 KB, where whole rolls would exceed the platform's megabyte.
+/// The serialized table. Each member is stored once and the versions refer to members by index:
+/// about 120 KB at 550 members and 24 versions. Full member lists would exceed the platform's limit
+/// of one megabyte.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Stored {
     members: Vec<Member>,
@@ -71,7 +73,8 @@
     members: Vec<u32>,
 }
 
-/// A stored table that names members it does not have, or whose versions do not follow one another.
+/// An error in a stored table: it refers to members that it does not contain, or its versions are
+/// not consecutive. Contains the version.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 #[error("owner table is corrupt at version {0}")]
 pub struct TableError(pub Version);
@@ -112,31 +115,31 @@
 }
 
 impl Table {
-    /// The newest version, or nought for an empty table.
+    /// The newest version, or 0 for an empty table.
     pub fn newest(&self) -> Version {
         self.versions.back().map_or(Version(0), |r| r.version)
     }
 
-    /// The oldest version that is kept.
+    /// The oldest version kept.
     pub fn oldest(&self) -> Version {
         self.versions.front().map_or(Version(0), |r| r.version)
     }
 
-    /// The roll of a version.
+    /// The members of a version.
     pub fn members_at(&self, version: Version) -> Option<&VersionMembers> {
         let first = self.oldest().0;
         let at = version.0.checked_sub(first)?;
         self.versions.get(usize::try_from(at).ok()?)
     }
 
-    /// The owner of a key that was born under `version`.
+    /// The owner of a key with birth version `version`.
     pub fn owner(&self, key: &str, version: Version) -> Option<&Member> {
         let hash = stable_hash(KEY_SEED, key.as_bytes());
         let members = &self.members_at(version)?.members;
         members.iter().max_by_key(|m| rendezvous_weight(hash, m.name.as_str().as_bytes()))
     }
 
-    /// The table with one more version.
+    /// Returns the table with one more version.
     pub fn with_next_version(&self, mut members: Vec<Member>) -> Self {
         members.sort();
         let mut versions = self.versions.clone();
@@ -150,13 +153,12 @@
         Self { versions }
     }
 
-    /// The versions after `since` only.
+    /// Returns only the versions after `since`.
     pub fn since(&self, since: Version) -> Self {
         Self { versions: self.versions.iter().filter(|r| r.version > since).cloned().collect() }
     }
 
-    /// Takes in newer versions. Those of `other` that do not follow on are left out, unless it
-    /// goes back as far as a whole table does.
+    /// Adds newer versions from `other`. If they do not continue this table, `other` replaces it.
     pub fn merge(&self, other: &Table) -> Self {
         if other.newest() <= self.newest() {
             return self.clone();
--- a/lib/src/query.rs
+++ b/lib/src/query.rs
@@ -1,4 +1,4 @@
-//! Rows, and how a query selects, orders and counts them.
+//! Rows, and the filters, order and counts of queries on them.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -8,17 +8,17 @@
 
 use crate::language::statement::{Column, Condition, Count, Operator, Query};
 
-/// One row: a cell for each column of its subject, in the subject's order.
+/// A row with one cell for each column of its subject, in the subject's order.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     /// The cells.
     pub cells: Vec<SmolStr>,
 }
 
-/// Rows under column heads, with what must be known to judge them.
+/// The result of a query, with the information needed to judge whether it is complete.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Table {
-    /// The column heads.
+    /// The column headings.
     pub columns: Vec<SmolStr>,
     /// The rows.
     pub rows: Vec<Row>,
@@ -26,7 +26,7 @@
     pub missing: Vec<SmolStr>,
 }
 
-/// Compares two cells: as numbers where both are, else as text.
+/// Compares two cells as numbers if both are numbers, otherwise as text.
 pub fn compare(a: &str, b: &str) -> Ordering {
     match (a.parse::<f64>(), b.parse::<f64>()) {
         (Ok(a), Ok(b)) => a.total_cmp(&b),
@@ -55,13 +55,13 @@
     conditions.iter().all(|c| satisfies(&row.cells[column_index(columns, c.column)], c))
 }
 
-/// Answers `query` from all rows of its subject.
+/// Evaluates `query` on all rows of its subject.
 pub fn show(query: &Query, rows: Vec<Row>) -> Table {
-    let all = query.subject.columns();
+    let subject_columns = query.subject.columns();
     let mut rows: Vec<Row> =
-        rows.into_iter().filter(|row| matches(all, row, &query.conditions)).collect();
+        rows.into_iter().filter(|row| matches(subject_columns, row, &query.conditions)).collect();
     if let Some(order) = query.order {
-        let at = column_index(all, order.column);
+        let at = column_index(subject_columns, order.column);
         rows.sort_by(|a, b| {
             let by = compare(&a.cells[at], &b.cells[at]);
             if order.descending { by.reverse() } else { by }
@@ -70,8 +70,8 @@
     if let Some(limit) = query.limit {
         rows.truncate(limit);
     }
-    let shown = if query.columns.is_empty() { all } else { &query.columns };
-    let indices: Vec<usize> = shown.iter().map(|c| column_index(all, *c)).collect();
+    let shown = if query.columns.is_empty() { subject_columns } else { &query.columns };
+    let indices: Vec<usize> = shown.iter().map(|c| column_index(subject_columns, *c)).collect();
     let pick = |row: Row| Row { cells: indices.iter().map(|at| row.cells[*at].clone()).collect() };
     Table {
         columns: shown.iter().map(|c| SmolStr::new_static((*c).into())).collect(),
@@ -80,18 +80,18 @@
     }
 }
 
-/// Answers `count` from all rows of its subject.
+/// Evaluates `count` on all rows of its subject.
 pub fn count(count: &Count, rows: &[Row]) -> Table {
-    let all = count.subject.columns();
-    let kept = rows.iter().filter(|row| matches(all, row, &count.conditions));
+    let subject_columns = count.subject.columns();
+    let matching = rows.iter().filter(|row| matches(subject_columns, row, &count.conditions));
     let Some(by) = count.by else {
-        let number = SmolStr::new(kept.count().to_string());
+        let number = SmolStr::new(matching.count().to_string());
         let rows = vec![Row { cells: vec![number] }];
         return Table { columns: vec![SmolStr::new("count")], rows, missing: Vec::new() };
     };
-    let at = column_index(all, by);
+    let at = column_index(subject_columns, by);
     let mut groups: BTreeMap<SmolStr, usize> = BTreeMap::new();
-    for row in kept {
+    for row in matching {
         *groups.entry(row.cells[at].clone()).or_default() += 1;
     }
     let rows = groups
--- a/lib/src/rank.rs
+++ b/lib/src/rank.rs
@@ -1,30 +1,30 @@
-//! Which nodes come first for a duty, alike at all nodes that know the same others.
+//! Ranking of nodes for a task. Nodes that know the same members compute the same ranking.
 
 use smallvec::SmallVec;
 
 use crate::hash::{rendezvous_weight, stable_hash};
 use crate::id::NodeId;
 
-/// The weight of a node for a duty; the node with the highest comes first.
+/// The weight of a node for a task; the highest comes first.
 pub fn weight(duty: &str, node: &NodeId) -> u64 {
     rendezvous_weight(stable_hash(0, duty.as_bytes()), node.as_str().as_bytes())
 }
 
-/// The first `count` of `nodes` for a duty, the very first in front.
+/// The `count` highest ranked of `nodes` for a task, in order.
 pub fn highest_ranked<T>(
     duty: &str,
     nodes: impl IntoIterator<Item = T>,
     id: impl Fn(&T) -> &NodeId,
     count: usize,
 ) -> SmallVec<[T; 2]> {
-    let mut first: SmallVec<[(u64, T); 4]> = SmallVec::new();
+    let mut ranked: SmallVec<[(u64, T); 4]> = SmallVec::new();
     for node in nodes {
         let weight = weight(duty, id(&node));
-        let at = first.iter().position(|(other, _)| *other < weight).unwrap_or(first.len());
-        if at < count {
-            first.insert(at, (weight, node));
-            first.truncate(count);
+        let index = ranked.iter().position(|(other, _)| *other < weight).unwrap_or(ranked.len());
+        if index < count {
+            ranked.insert(index, (weight, node));
+            ranked.truncate(count);
         }
     }
-    first.into_iter().map(|(_, node)| node).collect()
+    ranked.into_iter().map(|(_, node)| node).collect()
 }
--- a/lib/src/role.rs
+++ b/lib/src/role.rs
@@ -1,9 +1,11 @@
-//! Roles under a shifting mix: when an engine should change between prompts and output.
+//! Role assignment under a changing mix of work: when an engine should switch between prefill and
+//! decode.
 //!
-//! A role change idles an engine for seconds and loses its cache, so it is the last resort: mixed
-//! engines, routing and shedding cost nothing. The decision compares divisions of the engines by
-//! the work they would do over the time ahead, under the mix of now for as long as mixes lately
-//! held, and under the mixes of the recent past after that, less what the changes cost.
+//! A role change makes an engine unavailable for seconds and loses its cache, so it is the last
+//! resort: mixed engines, routing and load shedding cost nothing. The decision compares possible
+//! role counts by the work that they would complete within the horizon. It assumes the current mix
+//! for as long as mixes have recently lasted and the mixes of the recent past after that, and
+//! subtracts the cost of the changes.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -13,17 +15,17 @@
 
 use crate::config::object::Role;
 
-/// Work that arrives, in engines that it would keep busy.
+/// Arriving work, as the number of engines that it would keep busy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Engines' worth of prompts.
+    /// Engines needed for prompts.
     pub prefill: f64,
-    /// Engines' worth of output.
+    /// Engines needed for output.
     pub decode: f64,
 }
 
 impl Demand {
-    /// All of it.
+    /// The sum of both.
     pub fn total(&self) -> f64 {
         self.prefill + self.decode
     }
@@ -34,32 +36,32 @@
     }
 }
 
-/// How many engines have each role.
+/// The number of engines in each role.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RoleCounts {
-    /// For prompts.
+    /// Engines that only process prompts.
     pub prefill: u32,
-    /// For output.
+    /// Engines that only generate output.
     pub decode: u32,
-    /// For both.
+    /// Engines that do both.
     pub mixed: u32,
 }
 
 impl RoleCounts {
-    /// All engines.
+    /// The number of all engines.
     pub fn total(&self) -> u32 {
         self.prefill + self.decode + self.mixed
     }
 
-    /// The number of changes that lead from here to `other`.
+    /// The number of role changes that lead to `other`.
     pub fn changes_to(&self, other: &RoleCounts) -> u32 {
-        let gained = |from: u32, to: u32| to.saturating_sub(from);
-        gained(self.prefill, other.prefill)
-            + gained(self.decode, other.decode)
-            + gained(self.mixed, other.mixed)
+        let increase = |from: u32, to: u32| to.saturating_sub(from);
+        increase(self.prefill, other.prefill)
+            + increase(self.decode, other.decode)
+            + increase(self.mixed, other.mixed)
     }
 
-    /// The engines of a role.
+    /// The number of engines in a role.
     pub fn of(&self, role: Role) -> u32 {
         match role {
             Role::Prefill => self.prefill,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// The division after one engine changes.
+    /// The counts after one engine has changed its role.
     pub fn changed(mut self, from: Role, to: Role) -> Self {
         *self.of_mut(from) -= 1;
         *self.of_mut(to) += 1;
@@ -84,11 +86,11 @@
     }
 }
 
-/// The part of an engine's work that is left when it does both kinds at once: prompts and output
-/// in one batch slow each other.
+/// The relative throughput of an engine that does both kinds of work: prompts and output in one
+/// batch slow each other down.
 pub const MIXED_EFFICIENCY: f64 = 0.85;
 
-/// The work that `division` does of `demand`, in engines' worth.
+/// The part of `demand` that engines with these roles can serve, as a number of engines.
 pub fn served_work(counts: RoleCounts, demand: Demand, mixed_efficiency: f64) -> f64 {
     if demand.total() <= 0.0 {
         return 0.0;
@@ -107,29 +109,29 @@
     part * demand.total()
 }
 
-/// An engine as the decision sees it.
+/// An engine as input to the decision.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Engine {
-    /// Its place among the service's runners.
+    /// The index among the service's runners.
     pub at: usize,
-    /// Its role, or the one that it is changing to.
+    /// The current role, or the one that it is changing to.
     pub role: Role,
-    /// It is away for a change.
+    /// Whether it is unavailable because of a role change.
     pub changing: bool,
-    /// It is leaving, drained or unreachable: its capacity counts as gone already.
+    /// Whether it is shutting down, drained or unreachable. Its capacity is not counted.
     pub leaving: bool,
-    /// When it last changed.
+    /// When its role last changed.
     pub changed: Option<Instant>,
 }
 
-/// What one service pays for changes.
+/// The cost and the limits of role changes in one service.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeCost {
-    /// How long an engine is away for a change.
+    /// How long an engine is unavailable during a change.
     pub away: Duration,
-    /// What a change costs beyond its time away, as time of one engine.
+    /// The cost of a change beyond the unavailability, as time of one engine.
     pub extra: Duration,
-    /// The share of the engines that may be away at once.
+    /// The share of the engines that may be unavailable at once.
     pub away_limit: f64,
     /// The shortest time between two changes of one engine.
     pub dwell: Duration,
@@ -137,18 +139,18 @@
 
 /// How often demand is sampled.
 pub const SAMPLE_PERIOD: Duration = Duration::from_secs(1);
-/// How many samples of the past are kept: ten minutes.
+/// How many past samples are kept: ten minutes.
 pub const SAMPLES: usize = 600;
-/// The gain of the average by which a mix is taken to be the mix of now.
+/// The gain of the moving average that represents the current mix.
 const CURRENT_GAIN: f64 = 0.2;
-/// By how much the share of prompts must move for the mix to count as another.
+/// How much the share of prompts must change for the mix to count as a different one.
 const MIX_SHIFT: f64 = 0.15;
-/// What is assumed of how long a mix holds before one has been seen to end.
+/// The assumed duration of a mix until the end of one has been observed.
 const INITIAL_MIX_DURATION: Duration = Duration::from_secs(60);
-/// No change is decided while what is known of the demand is older.
+/// No change is made while the last demand sample is older.
 pub const MAX_DEMAND_AGE: Duration = Duration::from_secs(15);
 
-/// The estimate of demand from admitted work.
+/// An estimate of demand from admitted work.
 #[derive(Clone, Debug)]
 pub struct Estimate {
     current: Demand,
@@ -173,7 +175,7 @@
 }
 
 impl Estimate {
-    /// Takes in the demand of one [`SAMPLE_PERIOD`].
+    /// Adds the demand of one [`SAMPLE_PERIOD`].
     pub fn add_sample(&mut self, now: Instant, demand: Demand) {
         if self.updated.is_none() {
             self.current = demand;
@@ -187,7 +189,7 @@
         self.update_expected_duration(now);
     }
 
-    /// Learns how long a mix holds from the times between shifts.
+    /// Updates the expected duration of a mix from the times between shifts.
     fn update_expected_duration(&mut self, now: Instant) {
         let total = self.current.total();
         if total <= 0.0 {
@@ -205,90 +207,90 @@
         }
     }
 
-    /// How long the mix of now is expected to go on.
+    /// How long the current mix is expected to last.
     pub fn remaining(&self, now: Instant) -> Duration {
         let held =
             self.reference_since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        // A mix that has outlived its expectation is expected to go on as long as it has.
+        // A mix that has lasted longer than expected is assumed to continue for half as long again.
         self.expected_duration.saturating_sub(held).max(held / 2)
     }
 
-    /// The demand of now.
+    /// The current demand.
     pub fn current(&self) -> Demand {
         self.current
     }
 
-    /// When demand was last heard of.
+    /// The time of the last sample.
     pub fn updated(&self) -> Option<Instant> {
         self.updated
     }
 
-    /// The mean work that `division` would have done of the recent past.
+    /// The mean work that engines with these roles would have served of the recent demand.
     fn mean_served(&self, counts: RoleCounts, efficiency: f64) -> f64 {
         if self.samples.is_empty() {
             return 0.0;
         }
         let step = self.samples.len().div_ceil(MAX_EVALUATED_SAMPLES);
-        let looked = self.samples.iter().step_by(step);
-        let count = looked.len();
-        looked.map(|d| served_work(counts, *d, efficiency)).sum::<f64>() / count as f64
+        let evaluated = self.samples.iter().step_by(step);
+        let count = evaluated.len();
+        evaluated.map(|d| served_work(counts, *d, efficiency)).sum::<f64>() / count as f64
     }
 }
 
-/// How many samples of the past are looked at for one division.
+/// How many past samples are evaluated for one candidate.
 const MAX_EVALUATED_SAMPLES: usize = 60;
 
-/// Why a decision came out as it did.
+/// The reason of a decision.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// No other division gains more than it costs.
+    /// No other role counts gain more than they cost.
     NotWorthIt,
-    /// As many engines are away as may be.
+    /// The maximum number of engines is unavailable already.
     AwayLimit,
-    /// What is known of the demand is too old.
+    /// The last demand sample is too old.
     Stale,
-    /// The engines that could change did so too lately.
+    /// The engines that could change have changed too recently.
     Dwell,
     /// A change gains more than it costs.
     Gain,
 }
 
-/// One change of an engine.
+/// A role change of one engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Change {
-    /// The engine's place among the service's runners.
+    /// The index among the service's runners.
     pub at: usize,
-    /// The role to take.
+    /// The new role.
     pub to: Role,
 }
 
-/// A decision with its reason and figures, for `explain`.
+/// A decision with its reason and its figures, which `explain` shows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
     /// The changes to order now.
     pub changes: SmallVec<[Change; 4]>,
-    /// Why.
+    /// The reason.
     pub why: Reason,
-    /// The division that is there.
+    /// The current role counts.
     pub current: RoleCounts,
-    /// The best division found.
+    /// The best role counts found.
     pub target: RoleCounts,
-    /// What the target gains over the time ahead, in engine seconds, before costs.
+    /// The gain of the target within the horizon, in engine seconds, before costs.
     pub gain: f64,
-    /// What the changes cost, in engine seconds.
+    /// The cost of the changes, in engine seconds.
     pub cost: f64,
 }
 
 /// How far ahead a decision looks.
 pub const HORIZON: Duration = Duration::from_secs(300);
 
-/// Decides on role changes at `now`. Pure: the same input gives the same decision.
+/// Decides on role changes at `now`. The result depends only on the arguments.
 pub fn decide(
     now: Instant,
     engines: &[Engine],
     estimate: &Estimate,
-    price: ChangeCost,
+    change_cost: ChangeCost,
     efficiency: f64,
 ) -> Decision {
     let usable: SmallVec<[&Engine; 32]> = engines.iter().filter(|e| !e.leaving).collect();
@@ -296,7 +298,7 @@
     for engine in &usable {
         *current.of_mut(engine.role) += 1;
     }
-    let stay = |why| Decision {
+    let unchanged = |why| Decision {
         changes: SmallVec::new(),
         why,
         current,
@@ -307,30 +309,30 @@
     let fresh =
         estimate.updated.is_some_and(|at| now.saturating_duration_since(at) <= MAX_DEMAND_AGE);
     if !fresh {
-        return stay(Reason::Stale);
+        return unchanged(Reason::Stale);
     }
     let away = usable.iter().filter(|e| e.changing).count();
-    let most_away = (usable.len() as f64 * price.away_limit).floor().max(1.0) as usize;
-    let room = most_away.saturating_sub(away);
-    if room == 0 {
-        return stay(Reason::AwayLimit);
+    let most_away = (usable.len() as f64 * change_cost.away_limit).floor().max(1.0) as usize;
+    let max_changes = most_away.saturating_sub(away);
+    if max_changes == 0 {
+        return unchanged(Reason::AwayLimit);
     }
-    let search = Search::new(now, estimate, price, efficiency);
-    let best = search.best(current, room as u32);
+    let search = Search::new(now, estimate, change_cost, efficiency);
+    let best = search.best(current, max_changes as u32);
     if best.target == current {
-        return stay(Reason::NotWorthIt);
+        return unchanged(Reason::NotWorthIt);
     }
-    let changes = pick_engines(now, &usable, current, best.target, price);
+    let changes = pick_engines(now, &usable, current, best.target, change_cost);
     let why = if changes.is_empty() { Reason::Dwell } else { Reason::Gain };
     Decision { changes, why, current, target: best.target, gain: best.gain, cost: best.cost }
 }
 
 struct Search<'a> {
     estimate: &'a Estimate,
-    price: ChangeCost,
+    change_cost: ChangeCost,
     efficiency: f64,
-    near: f64,
-    far: f64,
+    current_s: f64,
+    later_s: f64,
 }
 
 struct Best {
@@ -340,30 +342,30 @@
 }
 
 impl<'a> Search<'a> {
-    fn new(now: Instant, estimate: &'a Estimate, price: ChangeCost, efficiency: f64) -> Self {
+    fn new(now: Instant, estimate: &'a Estimate, change_cost: ChangeCost, efficiency: f64) -> Self {
         let remaining = estimate.remaining(now).min(HORIZON).as_secs_f64();
-        let near = (remaining - price.away.as_secs_f64()).max(0.0);
-        let far = (HORIZON.as_secs_f64() - remaining).max(0.0);
-        Self { estimate, price, efficiency, near, far }
+        let current_s = (remaining - change_cost.away.as_secs_f64()).max(0.0);
+        let later_s = (HORIZON.as_secs_f64() - remaining).max(0.0);
+        Self { estimate, change_cost, efficiency, current_s, later_s }
     }
 
-    /// The work that `division` does over the time ahead.
+    /// The work served within the horizon.
     fn value(&self, counts: RoleCounts) -> f64 {
         let now = served_work(counts, self.estimate.current(), self.efficiency);
         let later = self.estimate.mean_served(counts, self.efficiency);
-        now * self.near + later * self.far * LATER_WEIGHT
+        now * self.current_s + later * self.later_s * LATER_WEIGHT
     }
 
     fn cost(&self, changes: u32) -> f64 {
-        let one = self.price.away + self.price.extra;
+        let one = self.change_cost.away + self.change_cost.extra;
         f64::from(changes) * one.as_secs_f64()
     }
 
-    /// The best division that can be reached by at most `room` changes.
-    fn best(&self, current: RoleCounts, room: u32) -> Best {
+    /// The best role counts that at most `room` changes lead to.
+    fn best(&self, current: RoleCounts, max_changes: u32) -> Best {
         let base = self.value(current);
         let mut best = Best { target: current, gain: 0.0, cost: 0.0 };
-        for target in reachable(current, room) {
+        for target in reachable(current, max_changes) {
             let gain = self.value(target) - base;
             let cost = self.cost(current.changes_to(&target));
             if gain - cost > best.gain - best.cost + MIN_NET_GAIN {
@@ -374,28 +376,31 @@
     }
 }
 
-/// How much work after the mix of now counts, as it can still be adapted to.
+/// The weight of work after the end of the current mix. It is below 1 because roles can still be
+/// adapted by then.
 const LATER_WEIGHT: f64 = 0.25;
 
-/// Differences below this many engine seconds are taken for nothing.
+/// Smaller differences, in engine seconds, are ignored.
 const MIN_NET_GAIN: f64 = 0.5;
 
-/// The step widths tried for the number of engines that move, for any size of fleet.
-fn steps(room: u32) -> SmallVec<[u32; 16]> {
+/// The numbers of engines to try moving. They grow geometrically, so that the search stays small
+/// for large fleets.
+fn steps(max_changes: u32) -> SmallVec<[u32; 16]> {
     let mut steps = SmallVec::new();
     let mut step = 1;
-    while step <= room {
+    while step <= max_changes {
         steps.push(step);
         step = (step * 3 / 2).max(step + 1);
     }
-    if steps.last() != Some(&room) {
-        steps.push(room);
+    if steps.last() != Some(&max_changes) {
+        steps.push(max_changes);
     }
     steps
 }
 
-/// The divisions that differ from `current` by moves between two roles, or from two into one.
-fn reachable(current: RoleCounts, room: u32) -> Vec<RoleCounts> {
+/// The role counts that differ from `current` by moves between two roles, or by moves from mixed to
+/// both of the others.
+fn reachable(current: RoleCounts, max_changes: u32) -> Vec<RoleCounts> {
     const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
     let mut found = Vec::new();
     for from in ROLES {
@@ -403,7 +408,7 @@
             if from == to {
                 continue;
             }
-            for step in steps(room) {
+            for step in steps(max_changes) {
                 let Some(left) = current.of(from).checked_sub(step) else { break };
                 let mut target = current;
                 *target.of_mut(from) = left;
@@ -412,7 +417,7 @@
             }
         }
     }
-    for step in steps(room / 2) {
+    for step in steps(max_changes / 2) {
         if step > 0 && current.mixed >= 2 * step {
             found.push(RoleCounts {
                 prefill: current.prefill + step,
@@ -424,31 +429,32 @@
     found
 }
 
-/// The engines that change: those of a role with too many, the ones that changed longest ago
-/// first, none within its dwell time.
+/// Selects the engines to change from the roles that have too many. Those whose last change was
+/// longest ago come first; none changes within its dwell time.
 fn pick_engines(
     now: Instant,
     engines: &[&Engine],
     current: RoleCounts,
     target: RoleCounts,
-    price: ChangeCost,
+    change_cost: ChangeCost,
 ) -> SmallVec<[Change; 4]> {
     const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
     let mut wanted: SmallVec<[Role; 8]> = SmallVec::new();
     for role in ROLES {
-        let more = target.of(role).saturating_sub(current.of(role));
-        wanted.extend(std::iter::repeat_n(role, more as usize));
+        let missing = target.of(role).saturating_sub(current.of(role));
+        wanted.extend(std::iter::repeat_n(role, missing as usize));
     }
-    let rested = |e: &&&Engine| {
-        !e.changing && e.changed.is_none_or(|at| now.saturating_duration_since(at) >= price.dwell)
+    let may_change = |e: &&&Engine| {
+        !e.changing
+            && e.changed.is_none_or(|at| now.saturating_duration_since(at) >= change_cost.dwell)
     };
     let mut free: SmallVec<[&Engine; 16]> = SmallVec::new();
     for role in ROLES {
-        let fewer = current.of(role).saturating_sub(target.of(role)) as usize;
+        let excess = current.of(role).saturating_sub(target.of(role)) as usize;
         let mut of_role: SmallVec<[&Engine; 16]> =
-            engines.iter().filter(|e| e.role == role).filter(rested).copied().collect();
+            engines.iter().filter(|e| e.role == role).filter(may_change).copied().collect();
         of_role.sort_by_key(|e| (e.changed, e.at));
-        free.extend(of_role.into_iter().take(fewer));
+        free.extend(of_role.into_iter().take(excess));
     }
     free.into_iter().zip(wanted).map(|(e, to)| Change { at: e.at, to }).collect()
 }
--- a/lib/src/runner.rs
+++ b/lib/src/runner.rs
@@ -174,8 +174,8 @@
     /// Whether the runner may get new work at `now`.
     pub fn takes_work(&self, now: Instant) -> bool {
         let before = |until: Option<Instant>| until.is_some_and(|until| now < until);
-        let left_alone = before(self.backoff_until) || before(self.reserved_until);
-        self.state == Admission::Ready && !self.leaving && !left_alone
+        let is_backing_off = before(self.backoff_until) || before(self.reserved_until);
+        self.state == Admission::Ready && !self.leaving && !is_backing_off
     }
 
     /// Applies a report taken at `at`. Returns `false` and ignores it if it is not newer than the
@@ -191,8 +191,8 @@
             backlog: (f64::from(report.backlog.0) - own.backlog).max(0.0),
         };
         let gain = self.reported.map_or(1.0, |last| {
-            let passed = at.saturating_duration_since(last).as_secs_f64();
-            1.0 - (-passed / SMOOTHING_TIME.as_secs_f64()).exp()
+            let elapsed = at.saturating_duration_since(last).as_secs_f64();
+            1.0 - (-elapsed / SMOOTHING_TIME.as_secs_f64()).exp()
         });
         self.others.requests += (others.requests - self.others.requests) * gain;
         self.others.backlog += (others.backlog - self.others.backlog) * gain;
--- a/lib/src/unit.rs
+++ b/lib/src/unit.rs
@@ -33,18 +33,18 @@
 }
 
 quantity!(
-    /// A count of tokens.
+    /// A number of tokens.
     Tokens, u32
 );
 quantity!(
-    /// Tokens a second.
+    /// Tokens per second.
     TokenRate, u32
 );
 quantity!(
-    /// Requests a second.
+    /// Requests per second.
     RequestRate, u32
 );
 quantity!(
-    /// A share in hundredths.
+    /// A share in percent.
     Percent, u32
 );
