--- a/lib/tests/authority_model.rs
+++ b/lib/tests/authority_model.rs
@@ -1,9 +1,9 @@
-//! Every interleaving of two holders, an engine and the store, up to a stated depth.
+//! Explores every interleaving of two lease holders, an engine and the store up to a fixed depth.
 //!
-//! The symptom to rule out: an engine obeys an order of a holder that has lost its authority, after
-//! one of its successor. The sequence: a holder is paused with an order in hand, its lease lapses, a
-//! successor orders something else, the first one resumes. The cause: authority is asked too early,
-//! or passes on while an engine that ignores fencing numbers could still be reached by the old
+//! It guards against an engine executing an order of a holder that has lost its authority after one
+//! of its successor. This happens if a holder is paused with an order ready to send, its lease
+//! expires, a successor sends another order, and the first holder resumes: authority is checked too
+//! early, or passes on while an engine that ignores fencing tokens can still be reached by the old
 //! holder.
 
 use std::collections::HashSet;
@@ -20,7 +20,7 @@
 const TICK: Duration = Duration::from_secs(3);
 const TICKS: u8 = 4;
 
-/// What a node has asked of the store or the engine and has no answer to yet.
+/// A request to the store or the engine that has not been answered.
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
 enum Call {
     Lease(lease::Action),
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Hash)]
 struct Node {
     lease: Lease,
-    desk: OrderSender,
+    orders: OrderSender,
     call: Option<Call>,
     wanted: bool,
 }
@@ -44,35 +44,35 @@
     revision: u64,
     engine: EngineStatus,
     fencing: Fencing,
-    /// Orders that have left a node and not reached the engine.
-    flying: Vec<(usize, Order)>,
+    /// Orders that have been sent and have not reached the engine.
+    in_flight: Vec<(usize, Order)>,
     nodes: Vec<Node>,
     lost: u8,
     late: u8,
-    /// The highest fencing number that the engine has obeyed.
-    obeyed: Epoch,
+    /// The highest fencing token of an executed order.
+    highest_executed: Epoch,
     violated: bool,
 }
 
 /// A variant of the code under test.
 #[derive(Clone, Copy, PartialEq)]
 enum Variant {
-    /// As it is.
-    Right,
-    /// Broken on purpose: no last look at the lease before an order leaves, and engines that ignore
-    /// fencing numbers get orders while an earlier holder may be at work.
+    /// The unmodified code.
+    Correct,
+    /// Deliberately broken: authority is not checked again before an order is sent, and engines
+    /// that ignore fencing tokens get orders while an earlier holder may still be running.
     Broken,
 }
 
 fn holder(at: usize) -> Holder {
-    let name = format!("entry-{at}").parse().expect("a right name");
+    let name = format!("entry-{at}").parse().expect("a valid name");
     Holder { name, incarnation: Incarnation(1) }
 }
 
-fn first(fencing: Fencing) -> World {
+fn initial_world(fencing: Fencing) -> World {
     let node = |at| Node {
         lease: Lease::new(holder(at)),
-        desk: OrderSender::new(fencing),
+        orders: OrderSender::new(fencing),
         call: None,
         wanted: false,
     };
@@ -84,17 +84,17 @@
         revision: 0,
         engine: EngineStatus { role: Role::Mixed, changing: false, last: None, fence: Epoch(0) },
         fencing,
-        flying: Vec::new(),
+        in_flight: Vec::new(),
         nodes: vec![node(0), node(1)],
         lost: 0,
         late: 0,
-        obeyed: Epoch(0),
+        highest_executed: Epoch(0),
         violated: false,
     }
 }
 
 impl World {
-    /// All worlds that can follow.
+    /// All states that can follow.
     fn successors(&self, variant: Variant) -> Vec<World> {
         let mut next = Vec::new();
         if self.ticks < TICKS {
@@ -105,13 +105,13 @@
         }
         for at in 0..self.nodes.len() {
             match &self.nodes[at].call {
-                // A node that does nothing next is one that is paused: the interleaving covers it.
+                // A node that does not act next is a paused one, so pauses are covered.
                 None => next.extend(self.poll(at, variant)),
                 Some(call) => next.extend(self.answer(at, call, variant)),
             }
         }
-        for flying in 0..self.flying.len() {
-            next.push(self.arrive(flying));
+        for in_flight in 0..self.in_flight.len() {
+            next.push(self.deliver(in_flight));
         }
         next
     }
@@ -127,10 +127,10 @@
         let authority = node.lease.authority(now);
         if authority.is_some() && !node.wanted {
             let role = if at == 0 { Role::Prefill } else { Role::Decode };
-            node.wanted = node.desk.request(Id(format!("order-{at}").into()), role);
+            node.wanted = node.orders.request(Id(format!("order-{at}").into()), role);
         }
-        let doubtful = variant == Variant::Right && node.lease.is_doubtful();
-        let action = node.desk.poll(now, authority, doubtful)?;
+        let doubtful = variant == Variant::Correct && node.lease.is_doubtful();
+        let action = node.orders.poll(now, authority, doubtful)?;
         node.call = Some(Call::Order(action));
         Some(world)
     }
@@ -150,7 +150,7 @@
             }
             Call::Order(order::Action::Read) => {
                 let found = world.intent.clone().map(|(r, intent)| (Point::without_era(r), intent));
-                world.nodes[at].desk.on_read(found);
+                world.nodes[at].orders.on_read(found);
                 vec![world]
             }
             Call::Order(order::Action::Write { expected, intent }) => {
@@ -158,7 +158,7 @@
             }
             Call::Order(order::Action::Query) => {
                 let condition = world.engine.clone();
-                let action = world.nodes[at].desk.on_status(&condition);
+                let action = world.nodes[at].orders.on_status(&condition);
                 world.nodes[at].call = action.map(Call::Order);
                 vec![world]
             }
@@ -196,67 +196,68 @@
 
     fn write_intent(mut self, at: usize, expected: Option<Point>, intent: &Intent) -> Vec<World> {
         if self.intent.as_ref().map(|(r, _)| Point::without_era(*r)) != expected {
-            self.nodes[at].desk.on_written(None);
+            self.nodes[at].orders.on_written(None);
             return vec![self];
         }
         self.revision += 1;
         self.intent = Some((self.revision, intent.clone()));
         let mut lost = self.clone();
-        self.nodes[at].desk.on_written(Some(Point::without_era(self.revision)));
+        self.nodes[at].orders.on_written(Some(Point::without_era(self.revision)));
         let mut worlds = vec![self];
         if lost.lost == 0 {
             lost.lost += 1;
-            lost.nodes[at].desk.on_written(None);
+            lost.nodes[at].orders.on_written(None);
             worlds.push(lost);
         }
         worlds
     }
 
-    /// The order leaves: it reaches the engine at once, or late with its answer lost.
+    /// Sends the order: it either reaches the engine at once, or is delayed and its answer is lost.
     fn send(mut self, at: usize, order: &Order, variant: Variant) -> Vec<World> {
-        let still = self.nodes[at].lease.authority(self.now) == Some(order.epoch);
-        if variant == Variant::Right && !still {
-            self.nodes[at].desk.on_answer(Answer::Lost);
+        let is_authorized = self.nodes[at].lease.authority(self.now) == Some(order.epoch);
+        if variant == Variant::Correct && !is_authorized {
+            self.nodes[at].orders.on_answer(Answer::Lost);
             return vec![self];
         }
         let mut late = self.clone();
-        let answer = self.obey(order);
-        let action = self.nodes[at].desk.on_answer(answer);
+        let answer = self.execute(order);
+        let action = self.nodes[at].orders.on_answer(answer);
         self.nodes[at].call = action.map(Call::Order);
         let mut worlds = vec![self];
-        // An order under way when its sender loses the lease can be stopped by a fencing number
-        // alone; for engines that ignore them the code waits for proof that the sender is gone, so
-        // a late order is only brought about for engines that check.
+        // An order in flight when its sender loses the lease can only be stopped by a fencing
+        // token. For engines that ignore them, the code waits for proof that the sender has ended,
+        // so delayed orders are only simulated for engines that check.
         if late.late == 0 && late.fencing == Fencing::Checked {
             late.late += 1;
-            late.flying.push((at, order.clone()));
-            late.nodes[at].desk.on_answer(Answer::Lost);
+            late.in_flight.push((at, order.clone()));
+            late.nodes[at].orders.on_answer(Answer::Lost);
             worlds.push(late);
         }
         worlds
     }
 
-    fn arrive(&self, flying: usize) -> World {
+    fn deliver(&self, in_flight: usize) -> World {
         let mut world = self.clone();
-        let (_, order) = world.flying.remove(flying);
-        world.obey(&order);
+        let (_, order) = world.in_flight.remove(in_flight);
+        world.execute(&order);
         world
     }
 
-    /// The engine takes an order, or refuses its fencing number.
-    fn obey(&mut self, order: &Order) -> Answer {
+    /// The engine executes an order or rejects its fencing token.
+    fn execute(&mut self, order: &Order) -> Answer {
         let stale = order.epoch < self.engine.fence;
         if stale && self.fencing == Fencing::Checked {
             return Answer::Fenced;
         }
         if self.engine.last.as_ref() != Some(&order.id) {
-            // The invariant: once the engine has obeyed a holder, no earlier one's order has effect.
-            self.violated |= order.epoch < self.obeyed;
+            // The invariant: after an order of one holder, no order of an earlier holder is
+            // executed.
+            self.violated |= order.epoch < self.highest_executed;
             self.engine.last = Some(order.id.clone());
             self.engine.role = order.role;
         }
         self.engine.fence = self.engine.fence.max(order.epoch);
-        self.obeyed = self.obeyed.max(order.epoch);
+        self.highest_executed = self.highest_executed.max(order.epoch);
         Answer::Accepted
     }
 
@@ -267,28 +268,28 @@
     }
 }
 
-/// Explores breadth first; gives the number of states, whether any breaks the invariant, and how
-/// many orders two different holders got through in one history, as proof that it is not empty.
+/// Explores breadth first. Returns the number of states, whether the invariant was violated, and
+/// the highest executed fencing token, which shows whether a second holder sent orders at all.
 fn explore(fencing: Fencing, variant: Variant, depth: usize) -> (usize, bool, u64) {
     let mut seen = HashSet::new();
-    let mut world = first(fencing);
-    // Lost answers are not needed to show what is broken, and leaving them out keeps it quick.
+    let mut world = initial_world(fencing);
+    // The broken variant fails without lost answers; leaving them out keeps the search short.
     world.lost = u8::from(variant == Variant::Broken);
-    let mut layer = vec![world];
+    let mut frontier = vec![world];
     let mut violated = false;
     let mut highest = 0;
     for _ in 0..depth {
         let mut next = Vec::new();
-        for world in &layer {
-            for follower in world.successors(variant) {
-                if seen.insert(follower.digest()) {
-                    violated |= follower.violated;
-                    highest = highest.max(follower.obeyed.0);
-                    next.push(follower);
+        for world in &frontier {
+            for successor in world.successors(variant) {
+                if seen.insert(successor.digest()) {
+                    violated |= successor.violated;
+                    highest = highest.max(successor.highest_executed.0);
+                    next.push(successor);
                 }
             }
         }
-        layer = next;
+        frontier = next;
         if violated {
             break;
         }
@@ -300,24 +301,29 @@
 const BROKEN_DEPTH: usize = 44;
 
 #[test]
-fn authority_checked_engine() {
-    let (states, violated, highest) = explore(Fencing::Checked, Variant::Right, DEPTH);
-    println!("engine that checks: {states} states to depth {DEPTH}, highest obeyed {highest}");
+fn authority_with_fencing_engine() {
+    let (states, violated, highest) = explore(Fencing::Checked, Variant::Correct, DEPTH);
+    println!("fencing engine: {states} states to depth {DEPTH}, highest executed token {highest}");
     assert!(!violated);
-    assert!(highest >= 2, "no second holder ever got an order through, so nothing was shown");
+    assert!(highest >= 2, "no order of a second holder was executed, so the test shows nothing");
 }
 
 #[test]
-fn authority_ignoring_engine() {
-    let (states, violated, highest) = explore(Fencing::Ignored, Variant::Right, DEPTH);
-    println!("engine that ignores: {states} states to depth {DEPTH}, highest obeyed {highest}");
+fn authority_with_non_fencing_engine() {
+    let (states, violated, highest) = explore(Fencing::Ignored, Variant::Correct, DEPTH);
+    println!(
+        "engine without fencing: {states} states to depth {DEPTH}, highest executed token {highest}"
+    );
     assert!(!violated);
-    assert_eq!(highest, 1, "without proof that the first holder is gone nobody else may order");
+    assert_eq!(
+        highest, 1,
+        "no other node may send orders before the first holder is known to have ended"
+    );
 }
 
 #[test]
-fn authority_broken_variant_caught() {
+fn authority_detects_broken_variant() {
     let (states, violated, _) = explore(Fencing::Ignored, Variant::Broken, BROKEN_DEPTH);
     println!("broken variant: {states} states");
-    assert!(violated, "the exploration must catch what is broken on purpose");
+    assert!(violated, "the deliberately broken variant was not detected");
 }
--- a/lib/tests/choosing.rs
+++ b/lib/tests/choosing.rs
@@ -1,4 +1,4 @@
-//! The chooser and the gate against their naive versions.
+//! Checks runner choice against a simple implementation, and the accounting of the admission queue.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 use sardinepick_lib::unit::{RequestRate, TokenRate, Tokens};
 
 fn name(kind: &str, at: usize) -> Name {
-    format!("{kind}-{at}").parse().expect("a right name")
+    format!("{kind}-{at}").parse().expect("a valid name")
 }
 
 proptest! {
@@ -41,7 +41,7 @@
         let views: Vec<RunnerView> = loads.iter().enumerate().map(view).collect();
         let work = Work { prompt: Tokens(900), output: Tokens(90), ..Work::default() };
         let setting = Settings::default();
-        // Both draw once for each usable runner, in order, so the same seed gives the same draws.
+        // Both draw once per usable runner in the same order, so equal seeds give equal draws.
         let mut rng = StdRng::seed_from_u64(seed);
         let chosen = choose(&views, &work, now, setting, &[], &mut rng).map(|c| c.at);
         let mut rng = StdRng::seed_from_u64(seed);
@@ -65,12 +65,12 @@
     }
 
     #[test]
-    fn gate_every_request_one_end(
+    fn queue_ends_each_request_once(
         offers in proptest::collection::vec((0..5_usize, 1..4000_u64, 0..3000_u64), 1..60),
         max_concurrent in 1..6_u32,
     ) {
         let start = Instant::now();
-        let mut gate = AdmissionQueue::new(Limits { max_concurrent, max_queued: 20, share: 1000 });
+        let mut queue = AdmissionQueue::new(Limits { max_concurrent, max_queued: 20, share: 1000 });
         let mut ended = std::collections::BTreeMap::new();
         let mut running: Vec<(u64, Name)> = Vec::new();
         let mut waiting = std::collections::BTreeMap::new();
@@ -92,7 +92,7 @@
                 deadline: now + Duration::from_secs(6),
                 cost: Duration::from_millis(*cost),
             };
-            match gate.submit(now, &account, offer, 0.5) {
+            match queue.submit(now, &account, offer, 0.5) {
                 Decision::Start => running.push((id as u64, account.name.clone())),
                 Decision::Wait => {
                     waiting.insert(id as u64, account.name.clone());
@@ -100,23 +100,23 @@
                 Decision::Refuse(_) => *ended.entry(id as u64).or_insert(0) += 1,
             }
             if id % 2 == 0 && let Some((id, who)) = running.pop() {
-                gate.end(&who, Duration::from_millis(10), None);
+                queue.end(&who, Duration::from_millis(10), None);
                 *ended.entry(id).or_insert(0) += 1;
             }
-            for event in gate.next(now, || 0.5) {
+            for event in queue.next(now, || 0.5) {
                 match event {
                     Event::Start(RequestId(id)) => {
-                        running.push((id, waiting.remove(&id).expect("only what waits starts")));
+                        running.push((id, waiting.remove(&id).expect("only waiting requests start")));
                     }
                     Event::Refuse(RequestId(id), _) => {
-                        waiting.remove(&id).expect("only what waits is refused");
+                        waiting.remove(&id).expect("only waiting requests are refused");
                         *ended.entry(id).or_insert(0) += 1;
                     }
                 }
             }
-            prop_assert!(gate.under_way() <= max_concurrent);
-            prop_assert_eq!(gate.under_way() as usize, running.len());
-            prop_assert_eq!(gate.queue_len(), waiting.len());
+            prop_assert!(queue.under_way() <= max_concurrent);
+            prop_assert_eq!(queue.under_way() as usize, running.len());
+            prop_assert_eq!(queue.queue_len(), waiting.len());
         }
         for (id, _) in running {
             *ended.entry(id).or_insert(0) += 1;
--- a/lib/tests/claim_model.rs
+++ b/lib/tests/claim_model.rs
@@ -1,9 +1,9 @@
-//! Every interleaving of two attempts at one key, with the owner's death, lost answers and late
-//! claims.
+//! Explores every interleaving of two attempts with one key, including restarts of the key's owner,
+//! lost answers and repeated claims.
 //!
-//! The symptom to rule out: bread is ordered twice. The sequence: a caller's first attempt is held
-//! up at one node, it tries again at another, the key's owner dies in between and another node
-//! owns new keys. The cause: two owners that each grant the key once.
+//! It guards against a request that runs twice: the first attempt is delayed at one node, the
+//! client retries at another, and the key's owner is replaced in between, so that two owners each
+//! grant the key once.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -15,33 +15,33 @@
 const KEY: &str = "hotel/ontbijtbord/order-7";
 
 fn member(at: usize, incarnation: u64) -> Member {
-    let name: Name = format!("entry-{at}").parse().expect("a right name");
-    let address = format!("127.0.0.{}:9000", at + 1).parse().expect("a right address");
+    let name: Name = format!("entry-{at}").parse().expect("a valid name");
+    let address = format!("127.0.0.{}:9000", at + 1).parse().expect("a valid address");
     Member { name, incarnation: Incarnation(incarnation), address }
 }
 
-/// One step of a history.
+/// A step of a history.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Step {
-    /// The attempt claims the key at the owner that its table gives.
+    /// The attempt claims the key at the owner in its table.
     Claim(usize),
-    /// The attempt claims once more, as after a lost answer.
-    Again(usize),
-    /// The attempt sends, if it was granted.
+    /// The attempt repeats its claim, as after a lost answer.
+    Repeat(usize),
+    /// The attempt is sent, if its claim was granted.
     Send(usize),
-    /// The attempt gives the key back unsent, if it was granted and has not sent.
+    /// The attempt releases the key, if it was granted and has not been sent.
     Release(usize),
-    /// The attempt's end is told to the owner.
+    /// The outcome of the attempt is reported to the owner.
     End(usize),
-    /// The owner dies and comes back without its records; a new table names its new life.
+    /// The owner restarts without its records, and a new table contains its new incarnation.
     Restart,
 }
 
 const STEPS: [Step; 11] = [
     Step::Claim(0),
     Step::Claim(1),
-    Step::Again(0),
-    Step::Again(1),
+    Step::Repeat(0),
+    Step::Repeat(1),
     Step::Send(0),
     Step::Send(1),
     Step::Release(0),
@@ -52,70 +52,78 @@
 ];
 
 #[derive(Clone, Copy, Default)]
-struct Try {
+struct AttemptState {
     claimed: bool,
     granted: bool,
     sent: bool,
-    over: bool,
+    is_over: bool,
 }
 
 struct World {
     table: Table,
     owner: Register,
-    tries: [Try; 2],
+    attempts: [AttemptState; 2],
     effects: u32,
     births: [Version; 2],
 }
 
 fn claim(at: usize, birth: Version) -> Claim {
     let claimant = Claimant {
-        name: format!("entry-{}", at + 5).parse().expect("a right name"),
+        name: format!("entry-{}", at + 5).parse().expect("a valid name"),
         incarnation: Incarnation(1),
         serial: 1,
     };
     Claim { key: KEY.into(), attempt: Attempt(at as u64 + 1), birth, request: 1, claimant }
 }
 
-/// Runs one history. `honest` callers send the first attempt's birth with every attempt; those that
-/// are not show that the birth is what carries the promise.
+/// Runs a history and returns the number of executions. Honest clients send the birth version of
+/// the first attempt with every attempt. The others show that the guarantee depends on this.
 fn run(history: &[Step], honest: bool) -> u32 {
     let table = Table::default().with_next_version(vec![member(0, 1)]);
     let mut owner = Register::new(member(0, 1));
     owner.set_table(&table);
     let birth = table.newest();
-    let mut world =
-        World { table, owner, tries: [Try::default(); 2], effects: 0, births: [birth; 2] };
+    let mut world = World {
+        table,
+        owner,
+        attempts: [AttemptState::default(); 2],
+        effects: 0,
+        births: [birth; 2],
+    };
     for step in history {
-        world.take(*step, honest);
+        world.apply(*step, honest);
     }
     world.effects
 }
 
 impl World {
-    fn take(&mut self, step: Step, honest: bool) {
+    fn apply(&mut self, step: Step, honest: bool) {
         match step {
-            Step::Claim(at) | Step::Again(at) => {
-                let again = matches!(step, Step::Again(_));
-                let one = self.tries[at];
-                if one.sent || one.over || one.claimed != again {
+            Step::Claim(at) | Step::Repeat(at) => {
+                let is_repeat = matches!(step, Step::Repeat(_));
+                let current = self.attempts[at];
+                if current.sent || current.is_over || current.claimed != is_repeat {
                     return;
                 }
                 let granted = self.owner.claim(&claim(at, self.births[at])) == Verdict::Run;
-                self.tries[at] = Try { claimed: true, granted: one.granted || granted, ..one };
+                self.attempts[at] =
+                    AttemptState { claimed: true, granted: current.granted || granted, ..current };
             }
             Step::Send(at)
-                if self.tries[at].granted && !self.tries[at].over && !self.tries[at].sent =>
+                if self.attempts[at].granted
+                    && !self.attempts[at].is_over
+                    && !self.attempts[at].sent =>
             {
-                self.tries[at].sent = true;
+                self.attempts[at].sent = true;
                 self.effects += 1;
             }
-            Step::Release(at) if self.tries[at].granted && !self.tries[at].sent => {
-                self.tries[at].over = true;
+            Step::Release(at) if self.attempts[at].granted && !self.attempts[at].sent => {
+                self.attempts[at].is_over = true;
                 let claim = claim(at, self.births[at]);
                 self.owner.release(KEY, claim.birth, &claim.claimant);
             }
-            Step::End(at) if self.tries[at].sent => {
-                self.tries[at].over = true;
+            Step::End(at) if self.attempts[at].sent => {
+                self.attempts[at].is_over = true;
                 let claim = claim(at, self.births[at]);
                 self.owner.end(KEY, claim.birth, &claim.claimant, Outcome::Unknown);
             }
@@ -125,7 +133,7 @@
                 let life = self.table.newest().0;
                 self.owner = Register::new(member(0, life));
                 self.owner.set_table(&self.table);
-                if !honest && !self.tries[1].claimed {
+                if !honest && !self.attempts[1].claimed {
                     self.births[1] = self.table.newest();
                 }
             }
@@ -134,37 +142,38 @@
     }
 }
 
-/// All histories of up to `length` steps.
+/// Explores all histories of up to `length` steps. Returns their number and the maximum number of
+/// executions in one.
 fn explore(length: usize, honest: bool) -> (u64, u32) {
-    let mut layer: HashSet<Vec<Step>> = HashSet::from([Vec::new()]);
-    let (mut histories, mut most) = (0, 0);
+    let mut frontier: HashSet<Vec<Step>> = HashSet::from([Vec::new()]);
+    let (mut histories, mut max_effects) = (0, 0);
     for _ in 0..length {
         let mut next = HashSet::new();
-        for history in &layer {
+        for history in &frontier {
             for step in STEPS {
                 let mut longer = history.clone();
                 longer.push(step);
                 histories += 1;
-                most = most.max(run(&longer, honest));
+                max_effects = max_effects.max(run(&longer, honest));
                 next.insert(longer);
             }
         }
-        layer = next;
+        frontier = next;
     }
-    (histories, most)
+    (histories, max_effects)
 }
 
 #[test]
 fn claim_every_history_at_most_once() {
-    let (histories, most) = explore(6, true);
-    println!("{histories} histories, at most {most} effect");
-    assert_eq!(most, 1);
+    let (histories, max_effects) = explore(6, true);
+    println!("{histories} histories, at most {max_effects} executions");
+    assert_eq!(max_effects, 1);
 }
 
 #[test]
-fn claim_without_birth_caught() {
-    let (_, most) = explore(5, false);
-    assert_eq!(most, 2, "a repeat under a new birth must be seen to run twice");
+fn claim_under_new_birth_version_runs_twice() {
+    let (_, max_effects) = explore(5, false);
+    assert_eq!(max_effects, 2, "a repeat under a new birth version was not seen to run twice");
 }
 
 #[test]
--- a/lib/tests/duty_model.rs
+++ b/lib/tests/duty_model.rs
@@ -1,8 +1,8 @@
-//! Seeded schedules of nodes that share the lease on the duties, a store that fails and comes back from
-//! copies, and calls under way.
+//! Runs seeded schedules of nodes that share a lease, with pauses, network failures, restarts,
+//! delayed calls, and a store that is restored from backups.
 //!
-//! What must never be: a call with a lower number after one with a higher, one number of two nodes, or
-//! calls of two nodes by turns within the time that has to lie between them.
+//! Violations are a call with a lower fencing token after one with a higher, one token used by two
+//! nodes, and calls of two nodes that alternate faster than allowed.
 
 use std::time::{Duration, Instant};
 
@@ -13,13 +13,13 @@
 use sardinepick_lib::lease::{Action, Holder, Lease, Record, Term, Written};
 
 const MS: Duration = Duration::from_millis(1);
-const TURNS: Duration = Duration::from_secs(3);
+const MIN_ALTERNATION: Duration = Duration::from_secs(3);
 const TERM: Term = Term { ttl: Duration::from_secs(2), margin: Duration::from_millis(3_200) };
 const STEP: Duration = Duration::from_millis(50);
 const CALL: Duration = Duration::from_millis(600);
 const ANSWER: Duration = Duration::from_millis(700);
-/// How long a node has been unwell when the others notice.
-const NOTICED: Duration = Duration::from_millis(800);
+/// How long a node has been unhealthy when the others notice.
+const DETECTION_DELAY: Duration = Duration::from_millis(800);
 const NODES: usize = 4;
 const STEPS: u32 = 1_200;
 const SCHEDULES: u64 = 3_000;
@@ -27,47 +27,47 @@
 /// A variant of the code under test.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Variant {
-    /// As it is.
-    Right,
-    /// Broken on purpose: whoever saw itself as the holder makes calls, whatever time it is.
+    /// The unmodified code.
+    Correct,
+    /// Deliberately broken: a node that has seen itself as the holder makes calls at any time.
     NoTerm,
-    /// Broken on purpose: a successor does not wait for the whole term.
+    /// Deliberately broken: a successor does not wait for the whole term.
     ShortTerm,
-    /// Broken on purpose: nodes do not know eras.
+    /// Deliberately broken: nodes do not know eras.
     NoEra,
-    /// Broken on purpose: nodes know eras, and take a copy that shows no holder at its word.
+    /// Deliberately broken: nodes know eras, but trust a backup that shows no holder.
     NoGrace,
 }
 
 /// A call to the store.
-struct Asked {
+struct StoreCall {
     action: Action,
-    /// When the store carries it out.
+    /// When the store executes it.
     done: Instant,
-    /// When the node learns of it; none if the answer is lost.
+    /// When the answer arrives; `None` if it is lost.
     answered: Option<Instant>,
     sent: Instant,
     outcome: Option<Written>,
     found: Option<Option<(Point, Record)>>,
-    /// The era that the node knew when it asked, and that of the answer.
-    known: Era,
-    shown: Era,
+    /// The era known to the node when it sent the call, and the era in the answer.
+    known_era: Era,
+    answer_era: Era,
 }
 
 struct Node {
     lease: Lease,
     incarnation: u64,
-    asked: Option<Asked>,
-    frozen: Instant,
-    cut: Instant,
-    down: Instant,
-    /// For how long it has been frozen, cut from the store or down.
-    unwell: Duration,
-    /// Until when it takes another for the first, or itself.
-    mistaken: Instant,
-    leads: bool,
+    call: Option<StoreCall>,
+    paused_until: Instant,
+    cut_off_until: Instant,
+    down_until: Instant,
+    /// How long it has been paused, disconnected from the store or down.
+    unhealthy_for: Duration,
+    /// Until when it has a wrong view of whether it is the leader.
+    wrong_view_until: Instant,
+    is_leader: bool,
     read: Option<Instant>,
-    /// The era that it knows, and since when.
+    /// The known era and when it became known.
     era: Option<(Era, Instant)>,
 }
 
@@ -78,14 +78,14 @@
     store: Option<(u64, Record)>,
     revision: u64,
     era: Era,
-    /// The store as it was, every second.
-    copies: Vec<(Option<(u64, Record)>, u64)>,
+    /// A backup of the store for every second.
+    backups: Vec<(Option<(u64, Record)>, u64)>,
     steps: u32,
-    drills: u32,
+    restores: u32,
     nodes: Vec<Node>,
-    /// Writes whose senders do not wait for them any more.
-    late: Vec<(Instant, Option<Point>, Record)>,
-    /// Calls to the platform: when they arrive, of which node, with which number.
+    /// Writes whose senders no longer wait for them.
+    abandoned_writes: Vec<(Instant, Option<Point>, Record)>,
+    /// Calls to the platform: time of arrival, node and fencing token.
     calls: Vec<(Instant, usize, Epoch)>,
 }
 
@@ -100,13 +100,13 @@
         let node = |at| Node {
             lease: Lease::new(holder(at, 1)),
             incarnation: 1,
-            asked: None,
-            frozen: now,
-            cut: now,
-            down: now,
-            unwell: Duration::ZERO,
-            mistaken: now,
-            leads: at == 0,
+            call: None,
+            paused_until: now,
+            cut_off_until: now,
+            down_until: now,
+            unhealthy_for: Duration::ZERO,
+            wrong_view_until: now,
+            is_leader: at == 0,
             read: None,
             era: None,
         };
@@ -117,11 +117,11 @@
             store: None,
             revision: 0,
             era: Era(1),
-            copies: Vec::new(),
+            backups: Vec::new(),
             steps: 0,
-            drills: 0,
+            restores: 0,
             nodes: (0..NODES).map(node).collect(),
-            late: Vec::new(),
+            abandoned_writes: Vec::new(),
             calls: Vec::new(),
         }
     }
@@ -131,10 +131,10 @@
     }
 
     fn span(&mut self, from: u64, to: u64) -> Duration {
-        MS * u32::try_from(self.rng.random_range(from..to)).expect("a short time")
+        MS * u32::try_from(self.rng.random_range(from..to)).expect("a duration in range")
     }
 
-    /// Writes under a condition on the revision alone, as the store does.
+    /// Executes a conditional write, which only compares the revision, as in the store.
     fn write(&mut self, expected: Option<Point>, record: &Record) -> Option<Point> {
         let expected = expected.map(|point| point.revision.0);
         if self.store.as_ref().map(|(revision, _)| *revision) != expected {
@@ -142,37 +142,37 @@
         }
         self.revision += 1;
         self.store = Some((self.revision, record.clone()));
-        Some(Point::new(self.shown_era(), self.revision))
+        Some(Point::new(self.reported_era(), self.revision))
     }
 
-    /// The era that answers name.
-    fn shown_era(&self) -> Era {
+    /// The era that answers contain.
+    fn reported_era(&self) -> Era {
         if self.variant == Variant::NoEra { Era(0) } else { self.era }
     }
 
-    /// Takes copies, and has the store come back from one.
-    fn drill(&mut self) {
+    /// Takes backups, and occasionally restores one.
+    fn backup_and_restore(&mut self) {
         self.steps += 1;
         if self.steps.is_multiple_of(20) {
-            self.copies.push((self.store.clone(), self.revision));
+            self.backups.push((self.store.clone(), self.revision));
         }
-        if self.chance(0.003) && !self.copies.is_empty() {
-            let back = self.rng.random_range(0..self.copies.len().min(10));
-            let at = self.copies.len() - 1 - back;
-            (self.store, self.revision) = self.copies[at].clone();
-            self.copies.truncate(at + 1);
-            // Others have written there since.
+        if self.chance(0.003) && !self.backups.is_empty() {
+            let back = self.rng.random_range(0..self.backups.len().min(10));
+            let at = self.backups.len() - 1 - back;
+            (self.store, self.revision) = self.backups[at].clone();
+            self.backups.truncate(at + 1);
+            // Other objects have been written since.
             self.revision += self.rng.random_range(0..4);
             self.era = Era(self.era.0 + 1);
-            self.drills += 1;
+            self.restores += 1;
         }
     }
 
-    /// Has a node learn an era.
-    fn show(&mut self, at: usize, era: Era) {
+    /// Makes a node learn an era.
+    fn learn_era(&mut self, at: usize, era: Era) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        if node.era.is_none_or(|(known, _)| known < era) {
+        if node.era.is_none_or(|(known_era, _)| known_era < era) {
             node.era = Some((era, now));
         }
         if self.variant != Variant::NoEra
@@ -187,129 +187,135 @@
     fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.late).into_iter().partition(|l| l.0 <= now);
-        self.late = rest;
+        let (due, rest) =
+            std::mem::take(&mut self.abandoned_writes).into_iter().partition(|l| l.0 <= now);
+        self.abandoned_writes = rest;
         for (_, expected, record) in Vec::from_iter::<Vec<_>>(due) {
             self.write(expected, &record);
         }
-        self.drill();
-        self.disturb();
+        self.backup_and_restore();
+        self.inject_faults();
         for at in 0..NODES {
-            self.carry_out(at);
-            if self.nodes[at].frozen <= now && self.nodes[at].down <= now {
-                self.take_answer(at);
-                self.act(at);
+            self.apply_call(at);
+            if self.nodes[at].paused_until <= now && self.nodes[at].down_until <= now {
+                self.handle_answer(at);
+                self.run_node(at);
             }
         }
     }
 
-    /// Freezes, cuts and kills, and views of who leads that change and disagree.
-    fn disturb(&mut self) {
+    /// Pauses, disconnects and restarts nodes, and gives them wrong views of the leader.
+    fn inject_faults(&mut self) {
         for at in 0..NODES {
             let now = self.now;
             if self.chance(0.002) {
-                self.nodes[at].frozen = now + self.span(100, 10_000);
+                self.nodes[at].paused_until = now + self.span(100, 10_000);
             }
             if self.chance(0.002) {
-                self.nodes[at].cut = now + self.span(100, 8_000);
+                self.nodes[at].cut_off_until = now + self.span(100, 8_000);
             }
             if self.chance(0.001) {
-                let down = self.span(200, 4_000);
-                self.orphan(at);
+                let down_until = self.span(200, 4_000);
+                self.abandon_call(at);
                 let node = &mut self.nodes[at];
                 node.incarnation += 1;
                 node.lease = Lease::new(holder(at, node.incarnation));
                 node.era = None;
-                node.down = now + down;
+                node.down_until = now + down_until;
             }
             if self.chance(0.002) {
-                self.nodes[at].mistaken = now + self.span(500, 8_000);
+                self.nodes[at].wrong_view_until = now + self.span(500, 8_000);
             }
         }
-        self.choose();
+        self.elect();
     }
 
-    /// The first node that has been well leads, as far as nodes agree.
-    fn choose(&mut self) {
+    /// The first node that is not unhealthy is the leader, except for nodes with a wrong view.
+    fn elect(&mut self) {
         let now = self.now;
         for node in &mut self.nodes {
-            let well = node.frozen <= now && node.cut <= now && node.down <= now;
-            node.unwell = if well { Duration::ZERO } else { node.unwell + STEP };
+            let is_healthy =
+                node.paused_until <= now && node.cut_off_until <= now && node.down_until <= now;
+            node.unhealthy_for =
+                if is_healthy { Duration::ZERO } else { node.unhealthy_for + STEP };
         }
-        let first = self.nodes.iter().position(|node| node.unwell < NOTICED);
+        let first = self.nodes.iter().position(|node| node.unhealthy_for < DETECTION_DELAY);
         for (at, node) in self.nodes.iter_mut().enumerate() {
-            node.leads = (first == Some(at)) != (node.mistaken > now);
+            node.is_leader = (first == Some(at)) != (node.wrong_view_until > now);
         }
     }
 
-    /// Leaves a node's write to the store, which may still come to it.
-    fn orphan(&mut self, at: usize) {
-        let Some(asked) = self.nodes[at].asked.take() else { return };
-        if asked.outcome.is_none()
-            && let Action::Write { expected, record } = asked.action
+    /// Abandons a node's pending call. The store may still execute a write.
+    fn abandon_call(&mut self, at: usize) {
+        let Some(call) = self.nodes[at].call.take() else { return };
+        if call.outcome.is_none()
+            && let Action::Write { expected, record } = call.action
         {
-            self.late.push((asked.done, expected, record));
+            self.abandoned_writes.push((call.done, expected, record));
         }
     }
 
-    /// Has the store carry out what it has got.
-    fn carry_out(&mut self, at: usize) {
+    /// Makes the store execute the pending call of a node when it is due.
+    fn apply_call(&mut self, at: usize) {
         let now = self.now;
-        let Some(asked) = &self.nodes[at].asked else { return };
-        if asked.done > now || asked.outcome.is_some() || asked.found.is_some() {
+        let Some(call) = &self.nodes[at].call else { return };
+        if call.done > now || call.outcome.is_some() || call.found.is_some() {
             return;
         }
-        let shown = self.shown_era();
-        self.nodes[at].asked.as_mut().expect("it is asked").shown = shown;
-        let asked = self.nodes[at].asked.as_ref().expect("it is asked");
-        match asked.action.clone() {
+        let answer_era = self.reported_era();
+        self.nodes[at].call.as_mut().expect("a call is pending").answer_era = answer_era;
+        let call = self.nodes[at].call.as_ref().expect("a call is pending");
+        match call.action.clone() {
             Action::Read => {
                 let found = self.store.clone();
-                let found = found.map(|(revision, record)| (Point::new(shown, revision), record));
-                self.nodes[at].asked.as_mut().expect("it is asked").found = Some(found);
+                let found =
+                    found.map(|(revision, record)| (Point::new(answer_era, revision), record));
+                self.nodes[at].call.as_mut().expect("a call is pending").found = Some(found);
             }
             Action::Write { expected, record } => {
                 let written = self.write(expected, &record);
                 let outcome = written.map_or(Written::Conflict, Written::Done);
-                self.nodes[at].asked.as_mut().expect("it is asked").outcome = Some(outcome);
+                self.nodes[at].call.as_mut().expect("a call is pending").outcome = Some(outcome);
             }
         }
     }
 
-    fn take_answer(&mut self, at: usize) {
+    fn handle_answer(&mut self, at: usize) {
         let now = self.now;
-        let Some(asked) = &self.nodes[at].asked else { return };
-        let has_come = asked.answered.is_some_and(|answered| answered <= now);
-        let given_up = now >= asked.sent + ANSWER;
+        let Some(call) = &self.nodes[at].call else { return };
+        let has_come = call.answered.is_some_and(|answered| answered <= now);
+        let given_up = now >= call.sent + ANSWER;
         if !has_come && !given_up {
             return;
         }
         if !has_come {
-            self.orphan(at);
+            self.abandon_call(at);
             let lease = &mut self.nodes[at].lease;
             lease.on_written(now, TERM, Written::Lost);
             lease.request_read();
             return;
         }
-        let asked = self.nodes[at].asked.take().expect("it is asked");
-        let known = self.nodes[at].era.map(|(era, _)| era).unwrap_or_default();
-        self.show(at, asked.shown);
-        // The client uses no answer of a former era, and takes a write across two for one in doubt.
-        let crossed = matches!(asked.outcome, Some(Written::Done(_))) && asked.known != asked.shown;
+        let call = self.nodes[at].call.take().expect("a call is pending");
+        let known_era = self.nodes[at].era.map(|(era, _)| era).unwrap_or_default();
+        self.learn_era(at, call.answer_era);
+        // The client discards answers of an earlier era, and treats a write across two eras as in
+        // doubt.
+        let crossed =
+            matches!(call.outcome, Some(Written::Done(_))) && call.known_era != call.answer_era;
         let lease = &mut self.nodes[at].lease;
-        if asked.shown < known || crossed {
+        if call.answer_era < known_era || crossed {
             lease.on_written(now, TERM, Written::Lost);
             lease.request_read();
             return;
         }
-        match (asked.found, asked.outcome) {
+        match (call.found, call.outcome) {
             (Some(found), _) => lease.on_read(now, TERM, found),
             (None, Some(outcome)) => lease.on_written(now, TERM, outcome),
-            (None, None) => unreachable!("an answer comes after what it answers"),
+            (None, None) => unreachable!("the store has answered the call"),
         }
     }
 
-    fn act(&mut self, at: usize) {
+    fn run_node(&mut self, at: usize) {
         let now = self.now;
         let term = match self.variant {
             Variant::ShortTerm => Term { ttl: TERM.ttl / 2, margin: MS * 100 },
@@ -319,7 +325,7 @@
         let is_gone = |old: &Holder| {
             lives.iter().any(|l| l.name == old.name && l.incarnation > old.incarnation)
         };
-        if self.nodes[at].asked.is_none() {
+        if self.nodes[at].call.is_none() {
             let node = &mut self.nodes[at];
             let settles = node.lease.take_settling_read();
             if node.read.is_none_or(|read| now >= read + MS * 1_500) {
@@ -329,7 +335,7 @@
             let action = if settles {
                 Some(Action::Read)
             } else {
-                node.lease.poll(now, term, node.leads, is_gone)
+                node.lease.poll(now, term, node.is_leader, is_gone)
             };
             if let Some(action) = action {
                 self.send(at, action);
@@ -346,7 +352,7 @@
         if let Some(epoch) = authority
             && self.chance(0.3)
         {
-            // What a frozen node sends as it wakes is not counted: it could not know.
+            // Calls that a node sends right as it resumes are not simulated: it cannot detect the pause.
             let arrives = now + self.span(1, 600);
             self.calls.push((arrives, at, epoch));
         }
@@ -355,44 +361,59 @@
     fn send(&mut self, at: usize, action: Action) {
         let now = self.now;
         let (is_cut, is_lost, is_late) =
-            (self.nodes[at].cut > now, self.chance(0.1), self.chance(0.1));
+            (self.nodes[at].cut_off_until > now, self.chance(0.1), self.chance(0.1));
         let done = if is_cut || is_late { self.span(1_000, 6_000) } else { self.span(1, 200) };
         let answered = (!is_cut && !is_lost).then(|| now + done + MS * 10);
         let done = now + done;
-        let known = self.nodes[at].era.map(|(era, _)| era).unwrap_or_default();
-        let (outcome, found, shown) = (None, None, Era(0));
-        self.nodes[at].asked =
-            Some(Asked { action, done, answered, sent: now, outcome, found, known, shown });
+        let known_era = self.nodes[at].era.map(|(era, _)| era).unwrap_or_default();
+        let (outcome, found, answer_era) = (None, None, Era(0));
+        self.nodes[at].call = Some(StoreCall {
+            action,
+            done,
+            answered,
+            sent: now,
+            outcome,
+            found,
+            known_era,
+            answer_era,
+        });
     }
 
     fn violation(&self) -> Option<String> {
         let mut calls = self.calls.clone();
         calls.sort_by_key(|call| call.0);
-        // Fencing numbers never fall, and each is of one holding.
+        // Fencing tokens never decrease, and each belongs to one holder.
         let mut highest: Option<(Epoch, usize)> = None;
         for (_, node, epoch) in &calls {
             match highest {
                 Some((number, of)) if number > *epoch => {
-                    return Some(format!("{epoch} of {node} after {number} of {of}"));
+                    return Some(format!(
+                        "token {epoch} of node {node} after token {number} of node {of}"
+                    ));
                 }
                 Some((number, of)) if number == *epoch && of != *node => {
-                    return Some(format!("{epoch} of {node} and of {of}"));
+                    return Some(format!("token {epoch} of both node {node} and node {of}"));
                 }
                 _ => highest = Some((*epoch, *node)),
             }
         }
         for (at, (time, node, epoch)) in calls.iter().enumerate() {
-            let before = calls[..at].iter().rev().take_while(|c| *time - c.0 < TURNS * 2);
+            let before = calls[..at].iter().rev().take_while(|c| *time - c.0 < MIN_ALTERNATION * 2);
             let mut other = false;
             for (earlier, of, number) in before {
                 if number > epoch {
-                    return Some(format!("{epoch} of {node} after {number} of {of}"));
+                    return Some(format!(
+                        "token {epoch} of node {node} after token {number} of node {of}"
+                    ));
                 }
                 if number == epoch && of != node {
-                    return Some(format!("{epoch} of {node} and of {of}"));
+                    return Some(format!("token {epoch} of both node {node} and node {of}"));
                 }
-                if other && of == node && *time - *earlier < TURNS {
-                    return Some(format!("{node} by turns within {:?}", *time - *earlier));
+                if other && of == node && *time - *earlier < MIN_ALTERNATION {
+                    return Some(format!(
+                        "calls of node {node} alternate within {:?}",
+                        *time - *earlier
+                    ));
                 }
                 other |= of != node;
             }
@@ -401,48 +422,48 @@
     }
 }
 
-struct Played {
+struct RunResult {
     violation: Option<String>,
     calls: usize,
     holders: usize,
-    drills: u32,
+    restores: u32,
 }
 
-fn play(seed: u64, variant: Variant) -> Played {
+fn run_schedule(seed: u64, variant: Variant) -> RunResult {
     let mut world = World::new(seed, variant);
     for _ in 0..STEPS {
         world.step();
     }
     let mut holders: Vec<usize> = world.calls.iter().map(|call| call.1).collect();
     holders.dedup();
-    Played {
+    RunResult {
         violation: world.violation(),
         calls: world.calls.len(),
         holders: holders.len(),
-        drills: world.drills,
+        restores: world.restores,
     }
 }
 
 #[test]
-fn schedules_calls_in_order() {
-    let (mut calls, mut changes, mut drills) = (0, 0, 0);
+fn schedules_keep_calls_in_order() {
+    let (mut calls, mut changes, mut restores) = (0, 0, 0);
     for seed in 0..SCHEDULES {
-        let played = play(seed, Variant::Right);
-        assert_eq!(played.violation, None, "seed {seed}");
-        calls += played.calls;
-        changes += played.holders;
-        drills += u64::from(played.drills);
+        let result = run_schedule(seed, Variant::Correct);
+        assert_eq!(result.violation, None, "seed {seed}");
+        calls += result.calls;
+        changes += result.holders;
+        restores += u64::from(result.restores);
     }
-    // Schedules in which nobody holds the duties would show nothing.
+    // Schedules in which no node holds the lease would show nothing.
     assert!(calls as u64 > SCHEDULES * 50, "{calls} calls");
     assert!(changes as u64 > SCHEDULES * 2, "{changes} changes of the holder");
-    assert!(drills > SCHEDULES * 2, "{drills} returns from a copy");
+    assert!(restores > SCHEDULES * 2, "{restores} restores");
 }
 
 #[test]
-fn schedules_broken_variants_caught() {
+fn schedules_detect_broken_variants() {
     for variant in [Variant::NoTerm, Variant::ShortTerm, Variant::NoEra, Variant::NoGrace] {
-        let caught = (0..SCHEDULES).any(|seed| play(seed, variant).violation.is_some());
+        let caught = (0..SCHEDULES).any(|seed| run_schedule(seed, variant).violation.is_some());
         assert!(caught, "{variant:?}");
     }
 }
--- a/lib/tests/history.rs
+++ b/lib/tests/history.rs
@@ -1,5 +1,5 @@
-//! Eras of the store: their order, their text, which are believed, and what the register makes of a
-//! store that comes back from a copy.
+//! Eras of the store: order, text form, which reported eras are accepted, and how the register
+//! handles a restored backup.
 
 use std::time::{Duration, Instant};
 
@@ -9,13 +9,13 @@
 use sardinepick_lib::history::{CurrentEra, Era, EraChange, MAX_ERA, Point};
 use sardinepick_lib::id::{RunnerId, StartTime};
 
-const DOUBT: Duration = Duration::from_secs(2);
+const GRACE: Duration = Duration::from_secs(2);
 
 fn id() -> RunnerId {
     "i-1".parse().expect("an id")
 }
 
-/// An entry of a runner that has written so often.
+/// An entry of a runner at the given position and after `writes` writes.
 fn entry(era: u32, revision: u64, writes: u64, state: State) -> Entry {
     Entry {
         id: id(),
@@ -32,7 +32,7 @@
     }
 }
 
-fn known(entry: Entry) -> Register {
+fn register_with(entry: Entry) -> Register {
     let mut register = Register::default();
     register.apply(entry);
     register
@@ -43,15 +43,15 @@
 }
 
 #[test]
-fn point_order_era_first() {
+fn point_orders_by_era_first() {
     assert!(Point::new(Era(2), 1) > Point::new(Era(1), 900));
     assert!(Point::new(Era(2), 2) > Point::new(Era(2), 1));
     assert!(Mark::of(Point::new(Era(2), 1)) > Mark::of(Point::new(Era(1), 900)).next());
 }
 
-/// Guards against fencing numbers that fall: the copy lacks the last changes of the era before.
+/// Fencing tokens must not decrease when a backup lacks the last changes of the previous era.
 #[test]
-fn point_number_grows_over_eras() {
+fn point_number_increases_across_eras() {
     let lost = 400 * 60;
     for revision in [lost, 1 << 20, 1 << 36] {
         let before = Point::new(Era(1), revision);
@@ -71,21 +71,21 @@
 }
 
 #[test]
-fn note_later_believed_former_not() {
+fn observe_accepts_later_era_only() {
     let now = Instant::now();
     let mut present = CurrentEra::default();
     assert_eq!(present.observe(Era(4), now), EraChange::First);
-    assert_eq!(present.grace_until(now, DOUBT), None, "nothing was known before it");
+    assert_eq!(present.grace_until(now, GRACE), None, "no era was known before");
     assert_eq!(present.observe(Era(5), now), EraChange::Later { before: Era(4) });
     assert_eq!(present.observe(Era(4), now), EraChange::Earlier);
     assert_eq!((present.era(), present.observe(Era(5), now)), (Era(5), EraChange::Same));
-    assert_eq!(present.grace_until(now, DOUBT), Some(now + DOUBT));
-    assert_eq!(present.grace_until(now + DOUBT, DOUBT), None);
+    assert_eq!(present.grace_until(now, GRACE), Some(now + GRACE));
+    assert_eq!(present.grace_until(now + GRACE, GRACE), None);
 }
 
-/// Guards against one torn header after which all answers are taken for old ones.
+/// A single corrupted header must not make all later answers look out of date.
 #[test]
-fn note_leap_believed_when_shown_again() {
+fn observe_accepts_skipped_era_on_second_report() {
     let now = Instant::now();
     let mut present = CurrentEra::default();
     present.observe(Era(1), now);
@@ -95,53 +95,54 @@
     assert_eq!(present.observe(Era(3), now), EraChange::Later { before: Era(1) });
 }
 
-/// Guards against a runner that leaves and is used again since a copy shows it as it was before.
+/// A draining runner must not be used again because a backup shows its earlier state.
 #[test]
-fn apply_copy_leaving_runner_leaves() {
-    let mut register = known(entry(1, 90, 5, State::Draining));
+fn apply_backup_keeps_runner_draining() {
+    let mut register = register_with(entry(1, 90, 5, State::Draining));
     assert_eq!(register.apply(entry(2, 20, 3, State::Ready)), Change::None);
     assert_eq!(state(&register), Some(State::Draining));
-    // Also where its own count does not tell.
+    // The same if the runner's write count does not tell.
     assert_eq!(register.apply(entry(3, 21, 9, State::Ready)), Change::None);
     assert_eq!(state(&register), Some(State::Draining));
 }
 
-/// Guards against a runner's leaving that is dropped as no newer than a copy.
+/// A runner's change to draining must not be ignored as no newer than the backup.
 #[test]
-fn apply_copy_runner_leaves_after_it() {
+fn apply_draining_after_restore() {
     for writes in [5, 6] {
-        let mut register = known(entry(1, 90, 5, State::Ready));
+        let mut register = register_with(entry(1, 90, 5, State::Ready));
         assert_eq!(register.apply(entry(2, 20, 3, State::Ready)), Change::None);
         assert_eq!(register.apply(entry(2, 21, writes, State::Draining)), Change::Leaving);
     }
 }
 
-/// Guards against a runner that has left and is used again since a copy still has it.
+/// A removed runner must not be used again because a backup still contains it.
 #[test]
-fn apply_copy_runner_that_left_not_added() {
-    let mut register = known(entry(1, 90, 5, State::Ready));
+fn apply_backup_does_not_add_removed_runner() {
+    let mut register = register_with(entry(1, 90, 5, State::Ready));
     assert_eq!(register.remove(&id(), None), Change::Removed);
     assert_eq!(register.apply(entry(2, 20, 5, State::Ready)), Change::Former);
     assert_eq!(state(&register), None);
-    // It has written since it was gone, so it is there.
+    // It has written since its removal, so it exists.
     assert_eq!(register.apply(entry(2, 22, 6, State::Ready)), Change::Added);
 }
 
-/// Guards against a runner that a copy lacks and that is dropped, or doubted for good.
+/// A runner that a backup lacks must neither be dropped nor stay doubted after it has written
+/// again.
 #[test]
-fn apply_copy_lacks_runner_written_again_kept() {
+fn apply_rewritten_entry_keeps_runner() {
     let now = Instant::now();
-    let mut register = known(entry(1, 90, 5, State::Ready));
-    assert_eq!(register.remove(&id(), Some(now + DOUBT)), Change::Doubted);
+    let mut register = register_with(entry(1, 90, 5, State::Ready));
+    assert_eq!(register.remove(&id(), Some(now + GRACE)), Change::Doubted);
     assert_eq!(register.apply(entry(2, 20, 5, State::Ready)), Change::Updated);
-    assert_eq!(register.expire(now + DOUBT), []);
+    assert_eq!(register.expire(now + GRACE), []);
     assert_eq!(state(&register), Some(State::Ready));
 }
 
-/// Guards against a node that brings a former era back.
+/// A node that is behind must not restore entries of an earlier era.
 #[test]
-fn apply_former_era_changes_nothing() {
-    let mut register = known(entry(2, 20, 5, State::Ready));
+fn apply_ignores_earlier_era() {
+    let mut register = register_with(entry(2, 20, 5, State::Ready));
     assert_eq!(register.apply(entry(1, 900, 9, State::Ready)), Change::None);
     assert_eq!(register.disown(&id(), Point::new(Era(1), 901)), Change::None);
 }
--- a/lib/tests/lease.rs
+++ b/lib/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The lease across a return of the store from a copy.
+//! The lease across a restore of the store from a backup.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
     Holder { name: name.parse().expect("a name"), incarnation: Incarnation(1) }
 }
 
-/// Reads what the store has and gives the write that follows, if one does.
+/// Reads `found` and returns the write that follows, if any.
 fn read_and_poll(
     lease: &mut Lease,
     now: Instant,
@@ -24,71 +24,72 @@
     lease.poll(now, TERM, true, |_| false)
 }
 
-/// A lease that is held since `now` in era 1, with its record.
-fn held(now: Instant) -> (Lease, Record) {
+/// A lease acquired at `now` in era 1, with its record.
+fn held_lease(now: Instant) -> (Lease, Record) {
     let mut lease = Lease::new(holder("edge-1"));
     lease.set_era(Era(1), now - TERM.ttl - TERM.margin);
     let Some(Action::Write { expected: None, record }) = read_and_poll(&mut lease, now, None)
     else {
-        panic!("nobody holds it");
+        panic!("the lease is free");
     };
     lease.on_written(now, TERM, Written::Done(Point::new(Era(1), 30)));
     (lease, record)
 }
 
-/// Guards against a pause of all that the holder does, and against a record that is not written again.
+/// The holder must neither stop nor fail to write its record again when the backup lacks it.
 #[test]
-fn poll_copy_lacks_record_holder_goes_on() {
+fn poll_holder_keeps_lease_missing_from_backup() {
     let now = Instant::now();
-    let (mut lease, record) = held(now);
+    let (mut lease, record) = held_lease(now);
     let later = now + MS * 100;
     lease.set_era(Era(2), later);
     assert_eq!(lease.authority(later), Some(record.epoch));
     let write = read_and_poll(&mut lease, later, None);
-    let Some(Action::Write { expected: None, record: again }) = write else {
-        panic!("it is written again: {write:?}");
+    let Some(Action::Write { expected: None, record: rewritten }) = write else {
+        panic!("the record was not rewritten: {write:?}");
     };
-    assert_eq!((again.epoch, again.era), (record.epoch, Era(2)));
+    assert_eq!((rewritten.epoch, rewritten.era), (record.epoch, Era(2)));
     lease.on_written(later, TERM, Written::Done(Point::new(Era(2), 12)));
     assert_eq!(lease.authority(later + MS * 1_900), Some(record.epoch));
 }
 
-/// Guards against a second holder on the word of a copy, and against a lease that nobody takes again.
+/// A challenger must not take over early because the backup shows no holder, and must take over
+/// once the term has expired.
 #[test]
-fn poll_copy_lacks_record_challenger_waits_once() {
+fn poll_challenger_waits_when_backup_lacks_record() {
     let now = Instant::now();
-    let (_, record) = held(now);
-    let mut other = Lease::new(holder("edge-2"));
-    other.set_era(Era(2), now);
-    assert_eq!(read_and_poll(&mut other, now, None), None);
+    let (_, record) = held_lease(now);
+    let mut challenger = Lease::new(holder("edge-2"));
+    challenger.set_era(Era(2), now);
+    assert_eq!(read_and_poll(&mut challenger, now, None), None);
     let wait = TERM.ttl + TERM.margin;
-    assert_eq!(other.poll(now + wait - MS, TERM, true, |_| false), None);
-    let write = other.poll(now + wait, TERM, true, |_| false);
+    assert_eq!(challenger.poll(now + wait - MS, TERM, true, |_| false), None);
+    let write = challenger.poll(now + wait, TERM, true, |_| false);
     let Some(Action::Write { record: next, .. }) = write else { panic!("{write:?}") };
-    assert!(next.epoch > record.epoch, "a number is given out once");
+    assert!(next.epoch > record.epoch, "fencing tokens must not be reused");
 }
 
-/// Guards against a number that is given out twice: the copy shows an earlier holding.
+/// A fencing token must not be reused when the backup shows an earlier holder.
 #[test]
-fn poll_copy_shows_earlier_holding_number_grows() {
+fn poll_takeover_from_backup_increases_token() {
     let now = Instant::now();
-    let mut other = Lease::new(holder("edge-2"));
-    other.set_era(Era(2), now);
+    let mut challenger = Lease::new(holder("edge-2"));
+    challenger.set_era(Era(2), now);
     let earlier = Record { holder: Some(holder("edge-3")), epoch: Epoch(4), ..Record::default() };
     let found = Some((Point::new(Era(2), 20), earlier));
-    assert_eq!(read_and_poll(&mut other, now, found), None);
-    let gone = other.poll(now + MS, TERM, true, |_| true);
-    assert_eq!(gone, None, "holders that the copy does not show may be at work");
-    let write = other.poll(now + TERM.ttl + TERM.margin, TERM, true, |_| true);
+    assert_eq!(read_and_poll(&mut challenger, now, found), None);
+    let gone = challenger.poll(now + MS, TERM, true, |_| true);
+    assert_eq!(gone, None, "holders missing from the backup may still be running");
+    let write = challenger.poll(now + TERM.ttl + TERM.margin, TERM, true, |_| true);
     let Some(Action::Write { record, .. }) = write else { panic!("{write:?}") };
     assert_eq!(record.epoch, Epoch(Point::new(Era(2), 20).number()));
 }
 
-/// Guards against authority from a write that was sent in a former era and arrived in a later one.
+/// A write sent in an earlier era and applied in a later one must give no authority.
 #[test]
-fn take_read_own_write_across_eras_gives_nothing() {
+fn on_read_own_write_across_eras_gives_no_authority() {
     let now = Instant::now();
-    let (mut lease, record) = held(now);
+    let (mut lease, record) = held_lease(now);
     let later = now + TERM.ttl;
     lease.set_era(Era(2), later);
     let found = Some((Point::new(Era(2), 40), Record { beat: 1, ..record }));
