--- a/lib/tests/duty_model.rs
+++ b/lib/tests/duty_model.rs
@@ -352,7 +352,7 @@
         if let Some(epoch) = authority
             && self.chance(0.3)
         {
-            // Calls that a node sends right as it resumes are not simulated: it cannot detect the pause.
+            // Calls sent right as a node resumes are not simulated: it cannot detect the pause.
             let arrives = now + self.span(1, 600);
             self.calls.push((arrives, at, epoch));
         }
