--- a/lib/src/member.rs
+++ b/lib/src/member.rs
@@ -63,7 +63,7 @@
     /// When this node learned of its current state.
     pub since: Instant,
     /// When a message from it last arrived.
-    pub heard: Option<Instant>,
+    pub last_heard: Option<Instant>,
     /// The status in its last message.
     pub status: Status,
     /// Whether the VM list marks it as leaving.
@@ -178,7 +178,7 @@
 
     /// Whether a node process is known to have ended: its VM is no longer listed, or the node has
     /// restarted. Silence alone is no proof.
-    pub fn is_ended(&self, name: &Name, incarnation: Incarnation) -> bool {
+    pub fn has_ended(&self, name: &Name, incarnation: Incarnation) -> bool {
         if *name == self.me.name {
             return incarnation < self.me.incarnation;
         }
@@ -439,7 +439,7 @@
             self.apply_update(now, update);
         }
         if let Some(peer) = self.peers.get_mut(&message.from) {
-            peer.heard = Some(now);
+            peer.last_heard = Some(now);
             peer.status = message.status;
         }
         self.notify_if_suspected(source, &message.from, &mut out);
@@ -541,7 +541,7 @@
                 let peer = Peer {
                     update: update.clone(),
                     since: now,
-                    heard: None,
+                    last_heard: None,
                     status: Status::default(),
                     listed_leaving: false,
                     unlisted: false,
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -52,7 +52,7 @@
     },
     /// The response was interrupted or never arrived.
     #[error("response of {peer} was interrupted: {detail}")]
-    Broken {
+    Interrupted {
         /// The runner.
         peer: Name,
         /// The error of the transport.
@@ -60,7 +60,7 @@
     },
     /// The response does not match the request: a token is missing or the format is wrong.
     #[error("response of {peer} is invalid: {detail}")]
-    Wrong {
+    Invalid {
         /// The runner.
         peer: Name,
         /// What does not match.
--- a/lib/tests/membership.rs
+++ b/lib/tests/membership.rs
@@ -53,7 +53,7 @@
     tick_without_answers(&mut a, &mut now, SUSPICION_TIMEOUT + PROBE_PERIOD);
     assert_eq!(state(&a, 2), State::Gone);
     assert!(
-        !a.is_ended(&update(2).name, Incarnation(1)),
+        !a.has_ended(&update(2).name, Incarnation(1)),
         "silence does not prove that a process has ended"
     );
 }
@@ -108,7 +108,7 @@
     tick_without_answers(&mut a, &mut now, PROBE_PERIOD * 3);
     a.apply_vm_list(now, &[vm(1, false)]);
     assert_eq!(state(&a, 2), State::Gone);
-    assert!(a.is_ended(&update(2).name, Incarnation(1)), "its VM is no longer listed");
+    assert!(a.has_ended(&update(2).name, Incarnation(1)), "its VM is no longer listed");
 }
 
 #[test]
--- a/node/src/authority.rs
+++ b/node/src/authority.rs
@@ -211,7 +211,7 @@
         let term = node.settings.term;
         let is_gone = |h: &Holder| {
             let name = h.name.as_str().parse();
-            name.is_ok_and(|name| node.members().is_ended(&name, h.incarnation))
+            name.is_ok_and(|name| node.members().has_ended(&name, h.incarnation))
         };
         match self.lease.poll(node.clock.now(), term, wanted, is_gone) {
             None => {}
--- a/node/src/dump.rs
+++ b/node/src/dump.rs
@@ -103,7 +103,7 @@
             incarnation: p.update.incarnation.0,
             state: p.update.state.to_string(),
             generation: p.status.generation.0,
-            heard_ms: p.heard.map(millis),
+            heard_ms: p.last_heard.map(millis),
         };
         (members.me().state.to_string(), members.peers().map(line).collect())
     };
--- a/node/src/front/plain.rs
+++ b/node/src/front/plain.rs
@@ -323,7 +323,7 @@
     async fn send(&self, ticket: &Ticket) -> Result<Answered, Failure> {
         let peer = Peer { name: ticket.runner.clone(), address: ticket.address };
         let broken = |detail: String| Failure {
-            fault: Failed::Broken { peer: peer.name.clone(), detail: SmolStr::new(detail) },
+            fault: Failed::Interrupted { peer: peer.name.clone(), detail: SmolStr::new(detail) },
             leaving: false,
         };
         let response = self.node.http.request(self.request(&peer)).await.map_err(|error| {
--- a/node/src/path.rs
+++ b/node/src/path.rs
@@ -373,7 +373,7 @@
                     Verdict::Drop => self.node.metrics.dropped_frames.inc(),
                     Verdict::Gap => {
                         let detail = SmolStr::new_static("a token is missing");
-                        let fault = Fault::Wrong { peer: peer.name.clone(), detail };
+                        let fault = Fault::Invalid { peer: peer.name.clone(), detail };
                         return End::Fault { fault, leaving: false };
                     }
                 },
@@ -404,6 +404,6 @@
 }
 
 fn broken(peer: &Peer, detail: &'static str) -> End {
-    let fault = Fault::Broken { peer: peer.name.clone(), detail: SmolStr::new_static(detail) };
+    let fault = Fault::Interrupted { peer: peer.name.clone(), detail: SmolStr::new_static(detail) };
     End::Fault { fault, leaving: false }
 }
--- a/node/src/rows.rs
+++ b/node/src/rows.rs
@@ -178,7 +178,7 @@
             p.update.state
         };
         let generation = p.status.generation.to_smolstr();
-        line(&p.update, state.to_smolstr(), generation, age(now, p.heard))
+        line(&p.update, state.to_smolstr(), generation, age(now, p.last_heard))
     });
     std::iter::once(mine).chain(others).collect()
 }
--- a/node/src/upstream/completions.rs
+++ b/node/src/upstream/completions.rs
@@ -83,7 +83,7 @@
             if error.is_connect() {
                 Fault::Connect { peer, detail }
             } else {
-                Fault::Broken { peer, detail }
+                Fault::Interrupted { peer, detail }
             }
         })
     }
@@ -93,7 +93,7 @@
             let response = self.send(peer, Method::GET, path, Bytes::new()).await?;
             let body = http_body_util::Limited::new(response.into_body(), MAX_ANSWER);
             let body = body.collect().await.map_err(|error| broken(peer, error.to_string()))?;
-            serde_json::from_slice(&body.to_bytes()).map_err(|error| Fault::Wrong {
+            serde_json::from_slice(&body.to_bytes()).map_err(|error| Fault::Invalid {
                 peer: peer.name.clone(),
                 detail: SmolStr::new(error.to_string()),
             })
@@ -115,7 +115,7 @@
 }
 
 fn broken(peer: &Peer, detail: impl Into<String>) -> Fault {
-    Fault::Broken { peer: peer.name.clone(), detail: SmolStr::new(detail.into()) }
+    Fault::Interrupted { peer: peer.name.clone(), detail: SmolStr::new(detail.into()) }
 }
 
 fn has(headers: &HeaderMap, name: &str) -> bool {
@@ -129,7 +129,7 @@
     let fault = if has(headers, NOT_RUN) {
         Fault::Refused { peer, detail }
     } else {
-        Fault::Broken { peer, detail }
+        Fault::Interrupted { peer, detail }
     };
     Failure { fault, leaving: has(headers, LEAVING) }
 }
@@ -142,13 +142,13 @@
     if data == DONE {
         return Ok(vec![Frame::Close]);
     }
-    let chunk: Chunk = serde_json::from_str(data).map_err(|error| Fault::Wrong {
+    let chunk: Chunk = serde_json::from_str(data).map_err(|error| Fault::Invalid {
         peer: peer.name.clone(),
         detail: SmolStr::new(error.to_string()),
     })?;
     if chunk.id.as_ref().is_some_and(|named| named != id) {
         let detail = SmolStr::new_static("an event of another request");
-        return Err(Fault::Wrong { peer: peer.name.clone(), detail });
+        return Err(Fault::Invalid { peer: peer.name.clone(), detail });
     }
     let mut frames = Vec::with_capacity(2);
     if !chunk.text.is_empty() {
