--- a/lib/src/admit.rs
+++ b/lib/src/admit.rs
@@ -145,7 +145,7 @@
 /// The admission queue of one service at one node.
 #[derive(Clone, Debug)]
 pub struct AdmissionQueue {
-    setting: Limits,
+    limits: Limits,
     waiting: BTreeMap<Rank, Waiting>,
     usage: HashMap<Name, AccountUsage>,
     under_way: u32,
@@ -157,9 +157,9 @@
 
 impl AdmissionQueue {
     /// Creates an empty queue.
-    pub fn new(setting: Limits) -> Self {
+    pub fn new(limits: Limits) -> Self {
         Self {
-            setting,
+            limits,
             waiting: BTreeMap::new(),
             usage: HashMap::new(),
             under_way: 0,
@@ -170,8 +170,8 @@
     }
 
     /// Changes the limits. Running requests are not affected.
-    pub fn set(&mut self, setting: Limits) {
-        self.setting = setting;
+    pub fn set(&mut self, limits: Limits) {
+        self.limits = limits;
     }
 
     /// The number of waiting requests.
@@ -202,12 +202,12 @@
             return Decision::Refuse(refusal);
         }
         let rank = self.rank(account, &request);
-        let at_once = self.under_way < self.setting.max_concurrent && self.waiting.is_empty();
+        let at_once = self.under_way < self.limits.max_concurrent && self.waiting.is_empty();
         let ahead = if at_once { Duration::ZERO } else { self.work_ahead(rank) };
         if now + self.queue_time(ahead) + self.service_time(request.cost) > request.deadline {
             return Decision::Refuse(self.refusal(Reason::Late, draw));
         }
-        if !at_once && self.waiting.len() >= self.setting.max_queued && self.is_last(rank) {
+        if !at_once && self.waiting.len() >= self.limits.max_queued && self.is_last(rank) {
             return Decision::Refuse(self.refusal(Reason::Full, draw));
         }
         self.charge(account, rank);
@@ -223,7 +223,7 @@
     }
 
     fn check_account(&mut self, now: Instant, account: &Account, draw: f64) -> Option<Refusal> {
-        let share = f64::from(self.setting.share) / 1000.0;
+        let share = f64::from(self.limits.share) / 1000.0;
         let rate = (f64::from(account.rate.0) * share).max(0.001);
         let burst = (f64::from(account.burst) * share).max(1.0);
         let limit = (f64::from(account.concurrency) * share).ceil().max(1.0) as u32;
@@ -279,7 +279,7 @@
 
     /// How long it takes to finish `work` with all slots.
     fn queue_time(&self, work: Duration) -> Duration {
-        let slots = f64::from(self.setting.max_concurrent.max(1));
+        let slots = f64::from(self.limits.max_concurrent.max(1));
         work.div_f64(slots * self.pace)
     }
 
@@ -288,8 +288,9 @@
     }
 
     fn refusal(&self, reason: Reason, draw: f64) -> Refusal {
-        let clear = self.queue_time(self.queued).max(MIN_RETRY_AFTER);
-        let retry_after = clear.mul_f64(1.0 + draw).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+        let queue_time_now = self.queue_time(self.queued).max(MIN_RETRY_AFTER);
+        let retry_after =
+            queue_time_now.mul_f64(1.0 + draw).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Refusal { reason, retry_after }
     }
 
@@ -304,7 +305,7 @@
     pub fn next(&mut self, now: Instant, mut draw: impl FnMut() -> f64) -> Vec<Event> {
         let mut events = Vec::new();
         self.refuse_late(now, &mut draw, &mut events);
-        while self.under_way < self.setting.max_concurrent {
+        while self.under_way < self.limits.max_concurrent {
             let Some(rank) = self.select_next(now) else { break };
             let waiting = self.remove(rank);
             self.start(rank, waiting.cost);
--- a/lib/src/baseline.rs
+++ b/lib/src/baseline.rs
@@ -38,13 +38,13 @@
     views: &[RunnerView],
     work: &Work,
     now: Instant,
-    setting: Settings,
+    settings: Settings,
     rng: &mut R,
 ) -> Option<usize> {
     let mut ranked: Vec<(f64, usize)> = Vec::new();
     for (at, view) in views.iter().enumerate() {
         if view.takes_work(now) {
-            ranked.push((rank(view, work, now, setting, rng.random()), at));
+            ranked.push((rank(view, work, now, settings, rng.random()), at));
         }
     }
     ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/lib/src/choose.rs
+++ b/lib/src/choose.rs
@@ -58,8 +58,8 @@
 
 impl Settings {
     /// Updates the average with a request that spent `residence` seconds at a runner.
-    pub fn observe_residence(&mut self, stay: f64) {
-        self.residence += (stay - self.residence) * RESIDENCE_GAIN;
+    pub fn observe_residence(&mut self, residence: f64) {
+        self.residence += (residence - self.residence) * RESIDENCE_GAIN;
     }
 }
 
@@ -82,12 +82,12 @@
 }
 
 /// Predicts the times of `work` at the runner of `view`.
-pub fn predict(view: &RunnerView, work: &Work, now: Instant, setting: Settings) -> Prediction {
+pub fn predict(view: &RunnerView, work: &Work, now: Instant, settings: Settings) -> Prediction {
     let load = Load {
         requests: f64::from(view.in_flight) + view.others.requests,
         backlog: view.own_backlog as f64 + view.others.backlog,
     };
-    predict_with_load(view, load, work, now, setting)
+    predict_with_load(view, load, work, now, settings)
 }
 
 /// Predicts the times of `work` at a runner that has `load`.
@@ -96,7 +96,7 @@
     load: Load,
     work: &Work,
     now: Instant,
-    setting: Settings,
+    settings: Settings,
 ) -> Prediction {
     let prefill_rate = f64::from(view.report.prefill_rate.0.max(1));
     let decode_rate = f64::from(view.report.decode_rate.0.max(1));
@@ -107,7 +107,7 @@
     let slots = f64::from(view.slots.max(1));
     let output_time = f64::from(work.output.0) / decode_rate;
     let rounds = ((load.requests + 1.0 - slots) / slots).max(0.0);
-    let slot_wait = rounds * setting.residence;
+    let slot_wait = rounds * settings.residence;
 
     // Requests in a batch slow each other a little even while slots are free.
     let batch_slowdown = (load.requests / slots).min(1.0) * BATCH_SLOWDOWN * output_time;
@@ -117,14 +117,14 @@
 
 /// The rank of a runner for `work`, in seconds; the lowest is chosen. `draw` is a random number
 /// from 0 to 1.
-pub fn rank(view: &RunnerView, work: &Work, now: Instant, setting: Settings, draw: f64) -> f64 {
-    let sharers = f64::from(setting.nodes_per_runner);
+pub fn rank(view: &RunnerView, work: &Work, now: Instant, settings: Settings, draw: f64) -> f64 {
+    let nodes = f64::from(settings.nodes_per_runner);
     let load = Load {
-        requests: f64::from(view.in_flight) * sharers + view.others.requests,
-        backlog: view.own_backlog as f64 * sharers + view.others.backlog,
+        requests: f64::from(view.in_flight) * nodes + view.others.requests,
+        backlog: view.own_backlog as f64 * nodes + view.others.backlog,
     };
-    let unit = setting.residence / f64::from(view.slots.max(1)) * sharers;
-    predict_with_load(view, load, work, now, setting).last_token + draw * unit * RANK_JITTER
+    let unit = settings.residence / f64::from(view.slots.max(1)) * nodes;
+    predict_with_load(view, load, work, now, settings).last_token + draw * unit * RANK_JITTER
 }
 
 /// The random part of a rank, in units of the wait that one request of each node adds.
@@ -139,31 +139,31 @@
     views: &[RunnerView],
     work: &Work,
     now: Instant,
-    setting: Settings,
+    settings: Settings,
     excluded: &[usize],
     rng: &mut R,
 ) -> Option<Choice> {
-    let sample = candidates(views, work, now, setting, excluded, rng);
-    let best_sampled = best(views, work, now, setting, sample.iter().copied(), rng);
+    let sample = candidates(views, work, now, settings, excluded, rng);
+    let best_sampled = best(views, work, now, settings, sample.iter().copied(), rng);
     if best_sampled.is_some() {
         return best_sampled;
     }
     // The sample had no usable runner, so all are considered.
     let usable = |at: &usize| views[*at].takes_work(now) && !excluded.contains(at);
-    best(views, work, now, setting, (0..views.len()).filter(usable), rng)
+    best(views, work, now, settings, (0..views.len()).filter(usable), rng)
 }
 
 fn best<R: Rng>(
     views: &[RunnerView],
     work: &Work,
     now: Instant,
-    setting: Settings,
+    settings: Settings,
     candidates: impl Iterator<Item = usize>,
     rng: &mut R,
 ) -> Option<Choice> {
-    let ranked = candidates.map(|at| (rank(&views[at], work, now, setting, rng.random()), at));
+    let ranked = candidates.map(|at| (rank(&views[at], work, now, settings, rng.random()), at));
     let (_, at) = ranked.min_by(|a, b| a.0.total_cmp(&b.0))?;
-    Some(Choice { at, prediction: predict(&views[at], work, now, setting) })
+    Some(Choice { at, prediction: predict(&views[at], work, now, settings) })
 }
 
 type Candidates = SmallVec<[usize; COMPARE_ALL]>;
@@ -172,12 +172,12 @@
     views: &[RunnerView],
     work: &Work,
     now: Instant,
-    setting: Settings,
+    settings: Settings,
     excluded: &[usize],
     rng: &mut R,
 ) -> Candidates {
     let usable = |at: usize| views[at].takes_work(now) && !excluded.contains(&at);
-    if views.len() <= COMPARE_ALL.max(setting.sample) {
+    if views.len() <= COMPARE_ALL.max(settings.sample) {
         return (0..views.len()).filter(|at| usable(*at)).collect();
     }
     let mut candidates = Candidates::new();
@@ -190,7 +190,7 @@
             }
         }
     }
-    for _ in 0..setting.sample {
+    for _ in 0..settings.sample {
         let at = rng.random_range(0..views.len());
         if usable(at) && !candidates.contains(&at) {
             candidates.push(at);
--- a/lib/src/config_fetch.rs
+++ b/lib/src/config_fetch.rs
@@ -198,8 +198,8 @@
 
     /// Each peer in turn, then the store, then the peers again.
     fn source(&self) -> Source {
-        let turn = self.attempts % (self.sources.len() + 1);
-        self.sources.get(turn).map_or(Source::Store, |name| Source::Peer(name.clone()))
+        let index = self.attempts % (self.sources.len() + 1);
+        self.sources.get(index).map_or(Source::Store, |name| Source::Peer(name.clone()))
     }
 }
 
--- a/lib/src/hash.rs
+++ b/lib/src/hash.rs
@@ -62,8 +62,8 @@
         return None;
     }
     let mut bytes = [0; N];
-    for (at, byte) in bytes.iter_mut().enumerate() {
-        *byte = u8::from_str_radix(&text[at * 2..at * 2 + 2], 16).ok()?;
+    for (index, byte) in bytes.iter_mut().enumerate() {
+        *byte = u8::from_str_radix(&text[index * 2..index * 2 + 2], 16).ok()?;
     }
     Some(bytes)
 }
--- a/lib/src/history.rs
+++ b/lib/src/history.rs
@@ -116,7 +116,7 @@
 pub enum PointError {
     /// The text does not consist of two parts separated by a dot.
     #[error("position is not of the form ERA.REVISION")]
-    Form,
+    Format,
     /// The era is invalid.
     #[error(transparent)]
     Era(#[from] EraError),
@@ -129,7 +129,7 @@
     type Err = PointError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (era, revision) = text.split_once('.').ok_or(PointError::Form)?;
+        let (era, revision) = text.split_once('.').ok_or(PointError::Format)?;
         Ok(Self { era: era.parse()?, revision: Revision(revision.parse()?) })
     }
 }
--- a/lib/src/member.rs
+++ b/lib/src/member.rs
@@ -497,11 +497,11 @@
     /// The updates are not queued for sending, because the node that sent the list has already done
     /// so.
     pub fn merge_updates(&mut self, now: Instant, updates: Vec<Update>) {
-        let queue = std::mem::take(&mut self.queued_updates);
+        let queued_before = std::mem::take(&mut self.queued_updates);
         for update in updates {
             self.apply_update(now, update);
         }
-        self.queued_updates = queue;
+        self.queued_updates = queued_before;
     }
 
     /// Returns the node for a full synchronization at `now` if too many updates are queued.
--- a/lib/src/role.rs
+++ b/lib/src/role.rs
@@ -312,8 +312,8 @@
         return unchanged(Reason::Stale);
     }
     let away = usable.iter().filter(|e| e.changing).count();
-    let most_away = (usable.len() as f64 * change_cost.away_limit).floor().max(1.0) as usize;
-    let max_changes = most_away.saturating_sub(away);
+    let max_away = (usable.len() as f64 * change_cost.away_limit).floor().max(1.0) as usize;
+    let max_changes = max_away.saturating_sub(away);
     if max_changes == 0 {
         return unchanged(Reason::AwayLimit);
     }
@@ -357,11 +357,11 @@
     }
 
     fn cost(&self, changes: u32) -> f64 {
-        let one = self.change_cost.away + self.change_cost.extra;
-        f64::from(changes) * one.as_secs_f64()
+        let per_change = self.change_cost.away + self.change_cost.extra;
+        f64::from(changes) * per_change.as_secs_f64()
     }
 
-    /// The best role counts that at most `room` changes lead to.
+    /// The best role counts that at most `max_changes` changes lead to.
     fn best(&self, current: RoleCounts, max_changes: u32) -> Best {
         let base = self.value(current);
         let mut best = Best { target: current, gain: 0.0, cost: 0.0 };
@@ -439,10 +439,10 @@
     change_cost: ChangeCost,
 ) -> SmallVec<[Change; 4]> {
     const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
-    let mut wanted: SmallVec<[Role; 8]> = SmallVec::new();
+    let mut new_roles: SmallVec<[Role; 8]> = SmallVec::new();
     for role in ROLES {
         let missing = target.of(role).saturating_sub(current.of(role));
-        wanted.extend(std::iter::repeat_n(role, missing as usize));
+        new_roles.extend(std::iter::repeat_n(role, missing as usize));
     }
     let may_change = |e: &&&Engine| {
         !e.changing
@@ -456,5 +456,5 @@
         of_role.sort_by_key(|e| (e.changed, e.at));
         free.extend(of_role.into_iter().take(excess));
     }
-    free.into_iter().zip(wanted).map(|(e, to)| Change { at: e.at, to }).collect()
+    free.into_iter().zip(new_roles).map(|(e, to)| Change { at: e.at, to }).collect()
 }
--- a/lib/tests/choosing.rs
+++ b/lib/tests/choosing.rs
@@ -40,12 +40,12 @@
         };
         let views: Vec<RunnerView> = loads.iter().enumerate().map(view).collect();
         let work = Work { prompt: Tokens(900), output: Tokens(90), ..Work::default() };
-        let setting = Settings::default();
+        let settings = Settings::default();
         // Both draw once per usable runner in the same order, so equal seeds give equal draws.
         let mut rng = StdRng::seed_from_u64(seed);
-        let chosen = choose(&views, &work, now, setting, &[], &mut rng).map(|c| c.at);
+        let chosen = choose(&views, &work, now, settings, &[], &mut rng).map(|c| c.at);
         let mut rng = StdRng::seed_from_u64(seed);
-        let naive = best_of_all(&views, &work, now, setting, &mut rng);
+        let naive = best_of_all(&views, &work, now, settings, &mut rng);
         prop_assert_eq!(chosen, naive);
         prop_assert_eq!(chosen.is_none(), loads.iter().all(|(.., drained)| *drained));
     }
@@ -66,7 +66,7 @@
 
     #[test]
     fn queue_ends_each_request_once(
-        offers in proptest::collection::vec((0..5_usize, 1..4000_u64, 0..3000_u64), 1..60),
+        requests in proptest::collection::vec((0..5_usize, 1..4000_u64, 0..3000_u64), 1..60),
         max_concurrent in 1..6_u32,
     ) {
         let start = Instant::now();
@@ -74,7 +74,7 @@
         let mut ended = std::collections::BTreeMap::new();
         let mut running: Vec<(u64, Name)> = Vec::new();
         let mut waiting = std::collections::BTreeMap::new();
-        for (id, (who, cost, gap)) in offers.iter().enumerate() {
+        for (id, (who, cost, gap)) in requests.iter().enumerate() {
             let now = start + Duration::from_millis(id as u64 * gap);
             let account = Account {
                 name: name("account", *who),
@@ -85,14 +85,14 @@
                 priority: Priority::Normal,
                 weight: 1,
             };
-            let offer = AdmissionRequest {
+            let request = AdmissionRequest {
                 id: RequestId(id as u64),
                 account: account.name.clone(),
                 priority: Priority::Normal,
                 deadline: now + Duration::from_secs(6),
                 cost: Duration::from_millis(*cost),
             };
-            match queue.submit(now, &account, offer, 0.5) {
+            match queue.submit(now, &account, request, 0.5) {
                 Decision::Start => running.push((id as u64, account.name.clone())),
                 Decision::Wait => {
                     waiting.insert(id as u64, account.name.clone());
@@ -124,7 +124,7 @@
         for id in waiting.keys() {
             *ended.entry(*id).or_insert(0) += 1;
         }
-        prop_assert_eq!(ended.len(), offers.len());
+        prop_assert_eq!(ended.len(), requests.len());
         prop_assert!(ended.values().all(|n| *n == 1));
     }
 }
--- a/lib/tests/duty_model.rs
+++ b/lib/tests/duty_model.rs
@@ -283,12 +283,12 @@
     fn handle_answer(&mut self, at: usize) {
         let now = self.now;
         let Some(call) = &self.nodes[at].call else { return };
-        let has_come = call.answered.is_some_and(|answered| answered <= now);
-        let given_up = now >= call.sent + ANSWER;
-        if !has_come && !given_up {
+        let has_arrived = call.answered.is_some_and(|answered| answered <= now);
+        let timed_out = now >= call.sent + ANSWER;
+        if !has_arrived && !timed_out {
             return;
         }
-        if !has_come {
+        if !has_arrived {
             self.abandon_call(at);
             let lease = &mut self.nodes[at].lease;
             lease.on_written(now, TERM, Written::Lost);
