--- a/lib/src/choose.rs
+++ b/lib/src/choose.rs
@@ -1,191 +1,200 @@
-//! The choice of a runner for a request, by predicted completion.
+//! The choice of a runner for a request, by predicted completion time.
 //!
-//! Load reports are late, so every node sees the same runner as idle at the same time; nodes that
-//! all send there at once swamp it, and with reports a second old the naive choice by the last
-//! report is far worse than no choice at all (docs/design/choosing.md has the figures). Four things
-//! prevent this:
+//! Load reports are delayed, so all nodes see the same runner as idle at the same time and overload
+//! it if each of them sends work there. With reports that are one second old, choosing the least
+//! loaded runner by its last report is far worse than choosing at random (figures in
+//! docs/design/choosing.md). Four measures prevent this:
 //!
-//! - A node's own part of a runner's load is known exactly and without delay. It counts as often as
-//!   there are nodes that share the runner, since what one node does, all do on average.
-//! - The part of others is smoothed over a time much longer than any delay, so that it tells lasting
-//!   differences between runners and not the waves that the nodes themselves make.
-//! - A random part of one request's wait is added to each rank. Own numbers are small and often
-//!   equal, and without it all nodes would break their ties in the same way.
-//! - Where there are many runners only a few taken at random are compared, with those that probably
-//!   have the prompt cached.
+//! - A node knows its own part of a runner's load exactly and without delay. It multiplies this
+//!   part by the number of nodes that use the runner, because on average all of them act alike.
+//! - The load of the other nodes is smoothed over a time much longer than the delay. It then
+//!   reflects lasting differences between runners and not the oscillations caused by the nodes
+//!   themselves.
+//! - A random part of one request's wait is added to each rank. A node's own counts are small and
+//!   often equal, and all nodes would otherwise break ties in the same way.
+//! - In large fleets only a few random runners are compared, along with those that probably have
+//!   the prompt cached.
 
 use std::time::Instant;
 
 use rand::{Rng, RngExt as _};
 use smallvec::SmallVec;
 
-use crate::hash::place;
-use crate::runner::{Load, View, Work};
+use crate::hash::stable_hash;
+use crate::runner::{Load, RunnerView, Work};
 
-/// How many runners are compared besides those with the prompt cached.
-pub const SAMPLE: usize = 4;
+/// How many random runners are compared.
+pub const SAMPLE_SIZE: usize = 4;
 
-/// How many runners are taken for a prefix by hash, so that prompts with the same start meet.
-pub const AFFINE: usize = 2;
+/// How many runners are selected by the hash of a prefix, so that prompts with the same start go to
+/// the same runners.
+pub const PREFIX_CANDIDATES: usize = 2;
 
-/// Up to this number of runners all are compared.
+/// Up to this number of runners, all are compared.
 pub const COMPARE_ALL: usize = 32;
 
-/// What the choice depends on besides the runners.
+/// Parameters of the choice other than the runners.
 #[derive(Clone, Copy, Debug)]
-pub struct Setting {
+pub struct Settings {
     /// How many nodes send work to each of these runners.
-    pub sharers: u32,
-    /// How many runners are compared.
+    pub nodes_per_runner: u32,
+    /// How many random runners are compared.
     pub sample: usize,
-    /// How long a request stays at a runner on average, in seconds.
-    pub stay: f64,
+    /// The average time that a request spends at a runner, in seconds.
+    pub residence: f64,
 }
 
-impl Default for Setting {
+impl Default for Settings {
     fn default() -> Self {
-        Self { sharers: 1, sample: SAMPLE, stay: FIRST_STAY }
+        Self { nodes_per_runner: 1, sample: SAMPLE_SIZE, residence: INITIAL_RESIDENCE }
     }
 }
 
-/// What is assumed of a request's stay until some have ended, in seconds.
-const FIRST_STAY: f64 = 2.0;
+/// The residence time assumed before any request has ended, in seconds.
+const INITIAL_RESIDENCE: f64 = 2.0;
 
-/// The gain with which the average stay follows what is seen.
-const STAY_GAIN: f64 = 0.02;
+/// The gain of the moving average of the residence time.
+const RESIDENCE_GAIN: f64 = 0.02;
 
-impl Setting {
-    /// Learns from a request that stayed for `stay` seconds.
-    pub fn learn_stay(&mut self, stay: f64) {
-        self.stay += (stay - self.stay) * STAY_GAIN;
+impl Settings {
+    /// Updates the average with a request that spent `residence` seconds at a runner.
+    pub fn observe_residence(&mut self, residence: f64) {
+        self.residence += (residence - self.residence) * RESIDENCE_GAIN;
     }
 }
 
-/// The predicted course of a request at one runner, in seconds from now.
+/// The predicted times of a request at one runner, in seconds from now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
-    /// Until the first token.
-    pub first: f64,
-    /// Until the last token.
-    pub last: f64,
+    /// Time to the first token.
+    pub first_token: f64,
+    /// Time to the last token.
+    pub last_token: f64,
 }
 
-/// A choice with its reason.
+/// A chosen runner with its prediction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// The place of the runner in the slice it was chosen from.
+    /// The index in the slice of runners.
     pub at: usize,
-    /// What is predicted of it.
+    /// The prediction.
     pub prediction: Prediction,
 }
 
-/// Predicts the course of `work` at `view`.
-pub fn predict(view: &View, work: &Work, now: Instant, setting: Setting) -> Prediction {
+/// Predicts the times of `work` at the runner of `view`.
+pub fn predict(view: &RunnerView, work: &Work, now: Instant, settings: Settings) -> Prediction {
     let load = Load {
         requests: f64::from(view.in_flight) + view.others.requests,
         backlog: view.own_backlog as f64 + view.others.backlog,
     };
-    course(view, load, work, now, setting)
+    predict_with_load(view, load, work, now, settings)
 }
 
-/// The course of `work` at a runner that has `load`.
-fn course(view: &View, load: Load, work: &Work, now: Instant, setting: Setting) -> Prediction {
+/// Predicts the times of `work` at a runner that has `load`.
+fn predict_with_load(
+    view: &RunnerView,
+    load: Load,
+    work: &Work,
+    now: Instant,
+    settings: Settings,
+) -> Prediction {
     let prefill_rate = f64::from(view.report.prefill_rate.0.max(1));
     let decode_rate = f64::from(view.report.decode_rate.0.max(1));
     let cached = if view.has_cached(work.prefix, now) { work.cached.0 } else { 0 };
     let prompt = f64::from(work.prompt.0.saturating_sub(cached));
 
-    // A request that finds all slots taken waits until one of them is done.
+    // A request that finds all slots taken waits for one to become free.
     let slots = f64::from(view.slots.max(1));
     let output_time = f64::from(work.output.0) / decode_rate;
     let rounds = ((load.requests + 1.0 - slots) / slots).max(0.0);
-    let slot_wait = rounds * setting.stay;
+    let slot_wait = rounds * settings.residence;
 
-    // More requests in a batch slow each other a little even while slots are free.
-    let crowding = (load.requests / slots).min(1.0) * CROWDING * output_time;
-    let first = (load.backlog + prompt) / prefill_rate + slot_wait;
-    Prediction { first, last: first + output_time + crowding }
+    // Requests in a batch slow each other a little even while slots are free.
+    let batch_slowdown = (load.requests / slots).min(1.0) * BATCH_SLOWDOWN * output_time;
+    let first_token = (load.backlog + prompt) / prefill_rate + slot_wait;
+    Prediction { first_token, last_token: first_token + output_time + batch_slowdown }
 }
 
 /// The rank of a runner for `work`, in seconds; the lowest is chosen. `draw` is a random number
 /// from 0 to 1.
-pub fn rank(view: &View, work: &Work, now: Instant, setting: Setting, draw: f64) -> f64 {
-    let sharers = f64::from(setting.sharers);
+pub fn rank(view: &RunnerView, work: &Work, now: Instant, settings: Settings, draw: f64) -> f64 {
+    let nodes = f64::from(settings.nodes_per_runner);
     let load = Load {
-        requests: f64::from(view.in_flight) * sharers + view.others.requests,
-        backlog: view.own_backlog as f64 * sharers + view.others.backlog,
+        requests: f64::from(view.in_flight) * nodes + view.others.requests,
+        backlog: view.own_backlog as f64 * nodes + view.others.backlog,
     };
-    let unit = setting.stay / f64::from(view.slots.max(1)) * sharers;
-    course(view, load, work, now, setting).last + draw * unit * DITHER
+    let unit = settings.residence / f64::from(view.slots.max(1)) * nodes;
+    predict_with_load(view, load, work, now, settings).last_token + draw * unit * RANK_JITTER
 }
 
-/// The random part of a rank, in waits that one request of each sharer makes for others.
-const DITHER: f64 = 0.25;
+/// The random part of a rank, in units of the wait that one request of each node adds.
+const RANK_JITTER: f64 = 0.25;
 
-/// By how much a full batch is slower than an empty one; breaks ties in favour of empty runners.
-const CROWDING: f64 = 0.25;
+/// How much slower a full batch is than an empty one. It breaks ties in favour of empty runners.
+const BATCH_SLOWDOWN: f64 = 0.25;
 
-/// Chooses a runner for `work`, or none if none takes work. `skip` are places that were tried.
+/// Chooses a runner for `work`. Returns `None` if no runner takes work. `excluded` are the indices
+/// of runners that have been tried already.
 pub fn choose<R: Rng>(
-    views: &[View],
+    views: &[RunnerView],
     work: &Work,
     now: Instant,
-    setting: Setting,
-    skip: &[usize],
+    settings: Settings,
+    excluded: &[usize],
     rng: &mut R,
 ) -> Option<Choice> {
-    let sampled = candidates(views, work, now, setting, skip, rng);
-    let found = best(views, work, now, setting, sampled.iter().copied(), rng);
-    if found.is_some() {
-        return found;
+    let sample = candidates(views, work, now, settings, excluded, rng);
+    let best_sampled = best(views, work, now, settings, sample.iter().copied(), rng);
+    if best_sampled.is_some() {
+        return best_sampled;
     }
-    // The sample had no usable runner; none is overlooked as long as one is left.
-    let usable = |at: &usize| views[*at].takes_work(now) && !skip.contains(at);
-    best(views, work, now, setting, (0..views.len()).filter(usable), rng)
+    // The sample had no usable runner, so all are considered.
+    let usable = |at: &usize| views[*at].takes_work(now) && !excluded.contains(at);
+    best(views, work, now, settings, (0..views.len()).filter(usable), rng)
 }
 
 fn best<R: Rng>(
-    views: &[View],
+    views: &[RunnerView],
     work: &Work,
     now: Instant,
-    setting: Setting,
-    places: impl Iterator<Item = usize>,
+    settings: Settings,
+    candidates: impl Iterator<Item = usize>,
     rng: &mut R,
 ) -> Option<Choice> {
-    let ranked = places.map(|at| (rank(&views[at], work, now, setting, rng.random()), at));
+    let ranked = candidates.map(|at| (rank(&views[at], work, now, settings, rng.random()), at));
     let (_, at) = ranked.min_by(|a, b| a.0.total_cmp(&b.0))?;
-    Some(Choice { at, prediction: predict(&views[at], work, now, setting) })
+    Some(Choice { at, prediction: predict(&views[at], work, now, settings) })
 }
 
-type Places = SmallVec<[usize; COMPARE_ALL]>;
+type Candidates = SmallVec<[usize; COMPARE_ALL]>;
 
 fn candidates<R: Rng>(
-    views: &[View],
+    views: &[RunnerView],
     work: &Work,
     now: Instant,
-    setting: Setting,
-    skip: &[usize],
+    settings: Settings,
+    excluded: &[usize],
     rng: &mut R,
-) -> Places {
-    let usable = |at: usize| views[at].takes_work(now) && !skip.contains(&at);
-    if views.len() <= COMPARE_ALL.max(setting.sample) {
+) -> Candidates {
+    let usable = |at: usize| views[at].takes_work(now) && !excluded.contains(&at);
+    if views.len() <= COMPARE_ALL.max(settings.sample) {
         return (0..views.len()).filter(|at| usable(*at)).collect();
     }
-    let mut places = Places::new();
+    let mut candidates = Candidates::new();
     if work.cached.0 > 0 {
-        for turn in 0..AFFINE {
-            let hash = place(turn as u64, &work.prefix.0.to_le_bytes());
+        for turn in 0..PREFIX_CANDIDATES {
+            let hash = stable_hash(turn as u64, &work.prefix.0.to_le_bytes());
             let at = (hash % views.len() as u64) as usize;
-            if usable(at) && !places.contains(&at) {
-                places.push(at);
+            if usable(at) && !candidates.contains(&at) {
+                candidates.push(at);
             }
         }
     }
-    for _ in 0..setting.sample {
+    for _ in 0..settings.sample {
         let at = rng.random_range(0..views.len());
-        if usable(at) && !places.contains(&at) {
-            places.push(at);
+        if usable(at) && !candidates.contains(&at) {
+            candidates.push(at);
         }
     }
-    places
+    candidates
 }
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -1,8 +1,8 @@
-//! The states of a request, and what may still be done or said in each.
+//! The states of a request, and which actions and statements are allowed in each.
 //!
-//! The promise is that a refusal which says `not_run` is true and that a caller gets exactly its
-//! own whole answer. Both hang on one order of events: a request is *sent* before the first of its
-//! bytes can leave, and from then on only the runner's own proof makes it not run.
+//! Two guarantees depend on them: a refusal marked `not_run` is true, and a client gets exactly the
+//! complete answer to its own request. For this a request is marked as sent before its first byte
+//! can leave, and from then on only proof from the runner allows saying that it was not run.
 
 use smol_str::SmolStr;
 use strum::{Display, EnumString, IntoStaticStr};
@@ -14,56 +14,56 @@
 #[derive(Clone, Copy, Debug, Display, EnumString, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Run {
-    /// It had none: no runner started it.
+    /// No runner started it.
     NotRun,
-    /// It may have had one.
+    /// It may have had an effect.
     Unknown,
 }
 
-/// What may be done again with a request.
+/// How a request may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Repeat {
-    /// Nothing once it was sent.
+pub enum RetryMode {
+    /// Not at all once it was sent.
     Never,
-    /// The whole of it.
+    /// From the start.
     Idempotent,
-    /// It goes on from the token at which it stopped.
+    /// From the token at which it stopped.
     Resumable,
 }
 
 /// How an attempt failed.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Fault {
-    /// No connection: no byte of the request left.
-    #[error("connecting to {peer}: {detail}")]
+    /// The connection failed; no byte of the request was sent.
+    #[error("connection to {peer} failed: {detail}")]
     Connect {
         /// The runner.
         peer: Name,
-        /// What the transport says.
+        /// The error of the transport.
         detail: SmolStr,
     },
-    /// The runner says that it did not start the request.
-    #[error("{peer} refused the request unstarted: {detail}")]
+    /// The runner refused the request without starting it.
+    #[error("{peer} refused the request before starting it: {detail}")]
     Refused {
         /// The runner.
         peer: Name,
-        /// What it says.
+        /// The reason given by the runner.
         detail: SmolStr,
     },
-    /// The answer broke off, or never came.
-    #[error("answer of {peer} broke off: {detail}")]
-    Broken {
+    /// The response was interrupted or never arrived.
+    #[error("response of {peer} was interrupted: {detail}")]
+    Interrupted {
         /// The runner.
         peer: Name,
-        /// What the transport says.
+        /// The error of the transport.
         detail: SmolStr,
     },
-    /// The answer is not one to this request: a token is missing, or the form is wrong.
-    #[error("answer of {peer} does not fit: {detail}")]
-    Wrong {
+    /// The response does not match the request: a token is missing or the format is wrong.
+    #[error("response of {peer} is invalid: {detail}")]
+    Invalid {
         /// The runner.
         peer: Name,
-        /// What does not fit.
+        /// What does not match.
         detail: SmolStr,
     },
 }
@@ -75,21 +75,21 @@
     }
 }
 
-/// Where a request is on its way.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum State {
     /// Its head has been read.
     Received,
-    /// It may use the system.
+    /// It has been admitted.
     Admitted,
-    /// A runner is chosen.
+    /// A runner has been chosen.
     Bound,
-    /// Its bytes may have left.
+    /// Bytes of it may have been sent.
     Sent,
-    /// Part of its answer has come.
+    /// Part of the response has arrived.
     Streaming,
-    /// Its whole answer has come.
+    /// The complete response has arrived.
     Done,
     /// It was refused.
     Refused,
@@ -97,82 +97,82 @@
 
 /// What to do after a fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
-    /// Try again from the start.
+pub enum NextStep {
+    /// Retry from the start.
     Retry,
-    /// Go on from this token at another runner.
+    /// Resume at another runner.
     Resume {
-        /// Tokens that the caller already has.
+        /// The number of tokens that the client already has.
         from: u64,
     },
-    /// Give up and say so.
+    /// Refuse the request.
     Refuse(Run),
 }
 
-/// What to do with a frame of an answer.
+/// What to do with a frame of a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// Pass it to the caller.
+    /// Forward it to the client.
     Pass,
-    /// Drop it: it belongs to an older attempt or has been passed already.
+    /// Drop it: it belongs to an earlier attempt or was forwarded already.
     Drop,
-    /// The answer has a gap: the attempt has failed.
+    /// Fail the attempt: a token is missing.
     Gap,
 }
 
-/// One request's way through a node.
+/// The state machine of one request in a node.
 #[derive(Clone, Debug)]
 pub struct Request {
     state: State,
-    repeat: Repeat,
+    repeat: RetryMode,
     attempt: Attempt,
-    passed: u64,
-    /// The attempt under way has been sent and not been proved unstarted.
+    forwarded: u64,
+    /// The current attempt has been sent and is not proved to be unstarted.
     sent: bool,
     /// An earlier attempt may have run.
-    doubt: bool,
+    may_have_run: bool,
 }
 
 impl Request {
-    /// A request that has been received.
-    pub fn new(repeat: Repeat) -> Self {
+    /// Creates a request that has been received.
+    pub fn new(repeat: RetryMode) -> Self {
         Self {
             state: State::Received,
             repeat,
             attempt: Attempt(0),
-            passed: 0,
+            forwarded: 0,
             sent: false,
-            doubt: false,
+            may_have_run: false,
         }
     }
 
-    /// Where the request is.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The attempt under way.
+    /// The current attempt.
     pub fn attempt(&self) -> Attempt {
         self.attempt
     }
 
-    /// How many tokens the caller has.
-    pub fn passed(&self) -> u64 {
-        self.passed
+    /// How many tokens have been forwarded to the client.
+    pub fn forwarded(&self) -> u64 {
+        self.forwarded
     }
 
-    /// Notes that the request may use the system.
+    /// Records that the request was admitted.
     pub fn admit(&mut self) {
         debug_assert_eq!(self.state, State::Received);
         self.state = State::Admitted;
     }
 
-    /// Notes that a runner is chosen.
+    /// Records that a runner was chosen.
     pub fn bind(&mut self) {
         self.state = State::Bound;
     }
 
-    /// Notes that bytes may leave from now on, and numbers the attempt.
+    /// Records that bytes may be sent from now on, and returns the number of the attempt.
     pub fn send(&mut self) -> Attempt {
         self.state = State::Sent;
         self.attempt = self.attempt.next();
@@ -180,23 +180,23 @@
         self.attempt
     }
 
-    /// Judges token `index` (from 0) of `attempt`'s answer.
-    pub fn frame(&mut self, attempt: Attempt, index: u64) -> Verdict {
+    /// Handles token `index` (from 0) of the response to `attempt`.
+    pub fn on_token(&mut self, attempt: Attempt, index: u64) -> Verdict {
         if attempt != self.attempt || !matches!(self.state, State::Sent | State::Streaming) {
             return Verdict::Drop;
         }
-        if index < self.passed {
+        if index < self.forwarded {
             return Verdict::Drop;
         }
-        if index > self.passed {
+        if index > self.forwarded {
             return Verdict::Gap;
         }
         self.state = State::Streaming;
-        self.passed += 1;
+        self.forwarded += 1;
         Verdict::Pass
     }
 
-    /// Judges the closing frame of `attempt`'s answer.
+    /// Handles the final frame of the response to `attempt`.
     pub fn close(&mut self, attempt: Attempt) -> Verdict {
         if attempt != self.attempt || !matches!(self.state, State::Sent | State::Streaming) {
             return Verdict::Drop;
@@ -205,29 +205,29 @@
         Verdict::Pass
     }
 
-    /// What to do after `fault` of the attempt under way. `granted` says whether the retry budget
-    /// and the deadline allow another.
-    pub fn fail(&mut self, fault: &Fault, granted: bool) -> Next {
-        self.doubt |= self.sent && !fault.proves_not_run();
+    /// Handles `fault` of the current attempt. `granted` says whether the retry budget and the
+    /// deadline allow another attempt.
+    pub fn on_fault(&mut self, fault: &Fault, granted: bool) -> NextStep {
+        self.may_have_run |= self.sent && !fault.proves_not_run();
         self.sent = false;
         let repeatable = match self.repeat {
-            Repeat::Never => !self.doubt,
-            Repeat::Idempotent => self.passed == 0,
-            Repeat::Resumable => true,
+            RetryMode::Never => !self.may_have_run,
+            RetryMode::Idempotent => self.forwarded == 0,
+            RetryMode::Resumable => true,
         };
         if !granted || !repeatable {
-            return Next::Refuse(self.refuse());
+            return NextStep::Refuse(self.refuse());
         }
         self.state = State::Admitted;
-        match (self.repeat, self.passed) {
-            (Repeat::Resumable, from) if from > 0 => Next::Resume { from },
-            _ => Next::Retry,
+        match (self.repeat, self.forwarded) {
+            (RetryMode::Resumable, from) if from > 0 => NextStep::Resume { from },
+            _ => NextStep::Retry,
         }
     }
 
-    /// Ends the request without an answer and says what may be said of it.
+    /// Ends the request without an answer and returns whether it may have run.
     pub fn refuse(&mut self) -> Run {
         self.state = State::Refused;
-        if self.sent || self.doubt { Run::Unknown } else { Run::NotRun }
+        if self.sent || self.may_have_run { Run::Unknown } else { Run::NotRun }
     }
 }
--- a/lib/tests/usage.rs
+++ b/lib/tests/usage.rs
@@ -7,7 +7,7 @@
 use sardinepick_lib::usage::ledger::{Ledger, MAX_WAITING};
 use sardinepick_lib::usage::tally::{Count, MAX_COUNTS_PER_MESSAGE, Message, NodeInstance, Tally};
 use sardinepick_lib::usage::window::{Counts, Windows};
-use sardinepick_lib::wall::Estimate;
+use sardinepick_lib::wall_clock::Estimate;
 
 const S: Duration = Duration::from_secs(1);
 
@@ -296,7 +296,7 @@
     for n in 1..40 {
         let step = if (10..30).contains(&n) { 2.0 } else { 0.0 };
         let now = start + S * n / 4;
-        estimate.note_wall(now, wall(f64::from(n) / 4.0 + step));
+        estimate.observe_wall_clock(now, wall(f64::from(n) / 4.0 + step));
         assert!(error(&estimate, now, f64::from(n) / 4.0) < 0.01);
     }
 }
@@ -308,7 +308,7 @@
     for n in 1..10_000 {
         // The monotonic clock runs slow by 100 us per second.
         let (now, time) = (start + S * n, f64::from(n) * 1.000_1);
-        estimate.note_wall(now, wall(time));
+        estimate.observe_wall_clock(now, wall(time));
         assert!(error(&estimate, now, time) < 0.05);
     }
 }
@@ -327,7 +327,7 @@
         for at in 0..all.len() {
             for other in (1..9).map(|step| (at + step * 7 + round) % names.len()) {
                 let time = all[other].at(now);
-                all[at].note_other(now, &names[other], time);
+                all[at].observe_peer(now, &names[other], time);
             }
         }
     }
--- a/node/src/dump.rs
+++ b/node/src/dump.rs
@@ -103,14 +103,14 @@
             incarnation: p.update.incarnation.0,
             state: p.update.state.to_string(),
             generation: p.status.generation.0,
-            heard_ms: p.heard.map(millis),
+            heard_ms: p.last_heard.map(millis),
         };
         (members.me().state.to_string(), members.peers().map(line).collect())
     };
     let pools = node.pools();
     let pools = pools.iter().map(|pool| {
         let peek = pool.peek();
-        let runner = |v: &sardinepick_lib::runner::View| RunnerDump {
+        let runner = |v: &sardinepick_lib::runner::RunnerView| RunnerDump {
             name: v.name.to_string(),
             takes_work: v.takes_work(now),
             in_flight: v.in_flight,
--- a/node/src/duty/lease.rs
+++ b/node/src/duty/lease.rs
@@ -123,12 +123,12 @@
             self.note_era(&mut state.lease);
             let wanted = leads && within(state.last_wanted, WANTED_TTL);
             let holds = state.lease.holding(now).is_some();
-            let must_settle = state.lease.wants_settling();
+            let must_settle = state.lease.take_settling_read();
             if !wanted && !holds && !must_settle {
                 return true;
             }
             if !holds && !within(state.last_read, READ_PERIOD) {
-                state.lease.want_read();
+                state.lease.request_read();
             }
             (wanted, must_settle)
         };
@@ -154,7 +154,7 @@
 
     fn note_era(&self, lease: &mut Lease) {
         if let Some(since) = self.history.since() {
-            lease.note_era(self.history.era(), since);
+            lease.set_era(self.history.era(), since);
         }
     }
 
@@ -168,12 +168,12 @@
             Ok(found) => {
                 state.failures = 0;
                 let found = found.map(|object| decode(&object));
-                state.lease.take_read(now, self.term, found);
+                state.lease.on_read(now, self.term, found);
             }
             Err(error) => {
                 log::info!(error:% = error; "failed to read the lease");
                 state.failures += 1;
-                state.lease.want_read();
+                state.lease.request_read();
             }
         }
     }
@@ -208,7 +208,7 @@
                 "lease {change}"
             );
         }
-        state.lease.take_written(now, self.term, written);
+        state.lease.on_written(now, self.term, written);
     }
 }
 
--- a/node/src/history/mod.rs
+++ b/node/src/history/mod.rs
@@ -8,7 +8,7 @@
 use http::HeaderMap;
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::fleet::outage::DOUBT;
-use sardinepick_lib::history::{Era, Point, Present, Sight};
+use sardinepick_lib::history::{CurrentEra, Era, EraChange, Point};
 use sardinepick_platform::store::read_era;
 use thiserror::Error;
 use tokio::sync::watch;
@@ -44,7 +44,7 @@
 pub struct EraTracker {
     clock: Arc<dyn Clock>,
     metrics: Metrics,
-    current: Mutex<Present>,
+    current: Mutex<CurrentEra>,
     /// Whether any response of the store has named an era.
     is_named: AtomicBool,
     last_logged: Mutex<Option<Instant>>,
@@ -65,7 +65,7 @@
         }
     }
 
-    fn current(&self) -> MutexGuard<'_, Present> {
+    fn current(&self) -> MutexGuard<'_, CurrentEra> {
         lock(&self.current)
     }
 
@@ -82,12 +82,12 @@
     /// Until when a missing entry may still reappear: after the store has been restored from a
     /// copy, the writer of an entry writes it again.
     pub fn doubt(&self, now: Instant) -> Option<Instant> {
-        self.current().doubt(now, DOUBT)
+        self.current().grace_until(now, DOUBT)
     }
 
     /// Whether the store has been restored from a copy since this process started.
     pub fn has_come_back(&self) -> bool {
-        self.current().has_come_back()
+        self.current().was_restored()
     }
 
     /// A channel that receives each change of the era.
@@ -148,7 +148,7 @@
     fn ensure_initial_era(&self) {
         let mut current = self.current();
         if current.since().is_none() {
-            current.note(Era::default(), self.clock.now());
+            current.observe(Era::default(), self.clock.now());
         }
     }
 
@@ -156,29 +156,29 @@
         let (known, sight) = {
             let mut current = self.current();
             let known = current.era();
-            (known, current.note(shown, self.clock.now()))
+            (known, current.observe(shown, self.clock.now()))
         };
         match sight {
-            Sight::Same => return Ok(shown),
-            Sight::First => {
+            EraChange::Same => return Ok(shown),
+            EraChange::First => {
                 self.count("first");
                 log::info!(era:% = shown, source = source; "store's era known");
             }
-            Sight::Later { before } => {
+            EraChange::Later { before } => {
                 self.count("later");
                 log::warn!(
                     era:% = shown, before:% = before, source = source;
                     "store came back from a copy"
                 );
             }
-            Sight::Former => {
+            EraChange::Earlier => {
                 self.count("former");
                 if self.is_log_due() {
                     log::warn!(era:% = shown, known:% = known; "answer of a former era not used");
                 }
                 return Err(EraError::Former { shown, known });
             }
-            Sight::Unconfirmed => {
+            EraChange::Unconfirmed => {
                 self.count("unconfirmed");
                 if self.is_log_due() {
                     log::warn!(era:% = shown, known:% = known; "store's era not believed yet");
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -14,7 +14,7 @@
 use sardinepick_lib::fleet::engine::Stage;
 use sardinepick_lib::fleet::route::Configuration;
 use sardinepick_lib::fleet::runner::{Entry, Runner, Tag};
-use sardinepick_lib::id::{Born, Epoch, RunnerId, ServiceId};
+use sardinepick_lib::id::{Epoch, RunnerId, ServiceId, StartTime};
 use sardinepick_platform::order::{Order, Reply, Report, ask, read_report, reply, request};
 use tokio::time::{sleep, timeout};
 
@@ -45,7 +45,7 @@
     /// The incarnation of the runner that the order was for. An answered order ends with it; an
     /// unanswered one may still be carried out by the next incarnation, whose order count also
     /// starts at zero.
-    born: Option<Born>,
+    born: Option<StartTime>,
 }
 
 impl StageOrder {
--- a/node/src/upstream/completions.rs
+++ b/node/src/upstream/completions.rs
@@ -12,7 +12,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use sardinepick_lib::order::{Answer, Condition, Order};
+use sardinepick_lib::order::{Answer, EngineStatus, Order};
 use sardinepick_lib::outcome::Fault;
 use sardinepick_lib::runner::Report;
 use serde::{Deserialize, Serialize};
@@ -83,7 +83,7 @@
             if error.is_connect() {
                 Fault::Connect { peer, detail }
             } else {
-                Fault::Broken { peer, detail }
+                Fault::Interrupted { peer, detail }
             }
         })
     }
@@ -97,7 +97,7 @@
             let response = self.send(peer, Method::GET, path, Bytes::new()).await?;
             let body = http_body_util::Limited::new(response.into_body(), MAX_REPLY_BYTES);
             let body = body.collect().await.map_err(|error| broken(peer, error.to_string()))?;
-            serde_json::from_slice(&body.to_bytes()).map_err(|error| Fault::Wrong {
+            serde_json::from_slice(&body.to_bytes()).map_err(|error| Fault::Invalid {
                 peer: peer.name.clone(),
                 detail: SmolStr::new(error.to_string()),
             })
@@ -119,7 +119,7 @@
 }
 
 fn broken(peer: &Peer, detail: impl Into<String>) -> Fault {
-    Fault::Broken { peer: peer.name.clone(), detail: SmolStr::new(detail.into()) }
+    Fault::Interrupted { peer: peer.name.clone(), detail: SmolStr::new(detail.into()) }
 }
 
 fn is_true(headers: &HeaderMap, name: &str) -> bool {
@@ -133,7 +133,7 @@
     let fault = if is_true(headers, NOT_RUN) {
         Fault::Refused { peer, detail }
     } else {
-        Fault::Broken { peer, detail }
+        Fault::Interrupted { peer, detail }
     };
     Failure { fault, leaving: is_true(headers, LEAVING) }
 }
@@ -146,13 +146,13 @@
     if data == DONE {
         return Ok(vec![Frame::Close]);
     }
-    let chunk: Chunk = serde_json::from_str(data).map_err(|error| Fault::Wrong {
+    let chunk: Chunk = serde_json::from_str(data).map_err(|error| Fault::Invalid {
         peer: peer.name.clone(),
         detail: SmolStr::new(error.to_string()),
     })?;
     if chunk.id.as_ref().is_some_and(|named| named != id) {
         let detail = SmolStr::new_static("event of another request");
-        return Err(Fault::Wrong { peer: peer.name.clone(), detail });
+        return Err(Fault::Invalid { peer: peer.name.clone(), detail });
     }
     let mut frames = Vec::with_capacity(2);
     if !chunk.text.is_empty() {
@@ -216,7 +216,7 @@
         self.query(peer, "/v1/load").await
     }
 
-    async fn condition(&self, peer: &Peer) -> Result<Condition, Fault> {
+    async fn condition(&self, peer: &Peer) -> Result<EngineStatus, Fault> {
         self.query(peer, "/v1/condition").await
     }
 
@@ -224,7 +224,7 @@
         let body = serde_json::to_vec(order).expect("an order is JSON");
         let sent = self.send(peer, Method::POST, "/v1/orders", Bytes::from(body));
         match tokio::time::timeout(QUERY_TIMEOUT, sent).await {
-            Ok(Ok(response)) if response.status().is_success() => Answer::Taken,
+            Ok(Ok(response)) if response.status().is_success() => Answer::Accepted,
             Ok(Ok(response)) if response.status() == StatusCode::CONFLICT => Answer::Fenced,
             _ => Answer::Lost,
         }
