--- a/lib/src/fleet/place.rs
+++ b/lib/src/fleet/place.rs
@@ -1,10 +1,11 @@
-//! Where a request goes: the choice of runners by predicted first answer.
+//! Placement: chooses the runners for a request by predicted latency.
 //!
-//! A prompt can be read by a prefill runner and go on at a decode runner, or be read and answered
-//! by one decode runner, more slowly. For each way the time until the first event is predicted from
-//! what waits there, from what of the prompt is kept there, and from the runner's pace. To that the
-//! reading time is added once more, as the delay that the work makes for others: without it a busy
-//! fleet would read shared prompts again at every idle runner, and so make itself slower.
+//! A prompt can be prefilled by one runner and decoded by another, or prefilled and decoded by a
+//! single decode runner, which is slower. For each option the time to the first event is predicted
+//! from the runner's queue, the part of the prompt that it has cached, and its learned speed. The
+//! prefill time is then added again with a weight, for the delay that the work causes for other
+//! requests. Without that, a busy fleet would prefill shared prompts again on every idle runner and
+//! slow itself down.
 
 use std::time::Instant;
 
@@ -20,82 +21,85 @@
 use crate::hash::{place, rendezvous};
 use crate::id::{DataCentre, RunnerId, ServiceId};
 
-/// The way a generation takes.
+/// The runners chosen for a generation.
 #[derive(Clone, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Plan {
-    /// One runner reads and answers.
+    /// One runner prefills and decodes.
     Whole {
-        /// It.
+        /// The runner.
         runner: RunnerId,
     },
-    /// One runner reads, another answers.
+    /// One runner prefills, another decodes.
     Split {
-        /// The one that reads.
+        /// The runner that prefills the prompt.
         prefill: RunnerId,
-        /// The one that answers.
+        /// The runner that decodes the answer.
         decode: RunnerId,
     },
 }
 
-/// A choice with what is predicted of it.
+/// A chosen plan with its predicted timing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// The way.
+    /// The chosen runners.
     pub plan: Plan,
-    /// Until the first event, in seconds from now.
+    /// Predicted time to the first event, in seconds from now.
     pub first: f64,
-    /// Until the prompt is read, in seconds from now.
+    /// Predicted time until the prompt has been prefilled, in seconds from now.
     pub read: f64,
-    /// Until the reading begins, in seconds from now.
+    /// Predicted time until prefill starts, in seconds from now.
     pub wait: f64,
-    /// Prompt tokens to read.
+    /// Prompt tokens to prefill.
     pub fresh: u64,
-    /// The runner from which what is kept of the prompt is fetched, if that spares reading it.
+    /// The runner from which to fetch the KV cache of the prompt, if that saves prefill.
     pub fetch: Option<RunnerId>,
 }
 
-/// What the choice is made for.
+/// The parameters of a placement.
 #[derive(Clone, Copy, Debug)]
 pub struct Question<'a> {
     /// The service.
     pub service: &'a ServiceId,
-    /// The pool of it whose runners come first; others are taken where none of it can be. None where
-    /// all of them do.
+    /// The preferred pool of the service. Runners of other pools are used only if none of this one
+    /// is available. `None` stands for all pools.
     pub pool: Option<Pool>,
-    /// The class in which the work would wait.
+    /// The class in which the work would be queued.
     pub class: Class,
     /// The data centre of this node.
     pub home: &'a DataCentre,
-    /// Runners that are not to be taken.
+    /// Runners to exclude.
     pub skip: &'a [RunnerId],
-    /// Whether the work goes on from what was read elsewhere. For such work room within a rate limit
-    /// was set aside when its reading was placed.
+    /// Whether the work continues from a prompt that another runner prefilled. Rate limit tokens
+    /// for such work were reserved when its prefill was placed.
     pub goes_on: bool,
-    /// The time.
+    /// The current time.
     pub now: Instant,
 }
 
-/// How often its reading time is charged to a request for the delay it makes for others. At 2 instead
-/// of 1, a fifth less is read again and 0.03 more worth is earned on the second of the users' sites.
+/// The weight of the prefill time in the cost of a placement, for the delay that the work causes
+/// for other requests. With 2 instead of 1, one fifth fewer tokens are prefilled again, and 0.03
+/// more worth is earned on the second of the two reference sites.
 const DELAY_OF_OTHERS: f64 = 2.0;
-/// What a runner's failures add, in seconds for a share of one: as much as a lost second.
+/// The cost of a runner at a failure rate of 1, in seconds: a failure counts as one lost second.
 const FAILURE_COST: f64 = 1.0;
-/// The runners that are the homes of a shared prompt, the first before the second. With two, the
-/// load of one that is busy has a place to go where the prompt is probably kept too.
+/// The number of runners that a shared prompt has affinity to, in order of preference. The second
+/// one takes the overflow of the first and is likely to have the prompt cached too.
 const HOMES: usize = 2;
-/// The advantage of a prompt's first home, in seconds, and the share of the time to read what nobody
-/// keeps of it that is added. With it all nodes begin a new prompt at one runner, also before they
-/// have heard of each other's choice.
+/// The cost reduction for the most preferred runner of a prompt: a constant in seconds, plus a
+/// fraction of the time to prefill the shared part that no runner has cached. It makes all nodes
+/// start a new prompt on the same runner, even before they have heard of each other's decisions.
 const HOME_ADVANTAGE: (f64, f64) = (0.04, 0.5);
-/// The random part, in seconds, by which nodes with like pictures part at ties.
+/// The range of the random cost, in seconds, by which nodes with the same view break ties
+/// differently.
 const DITHER: f64 = 0.004;
-/// The fewest tokens that are fetched from another runner: what is read in the time that a transfer
-/// takes to set up.
+/// The smallest number of tokens worth fetching from another runner: what can be prefilled in the
+/// time it takes to set up a transfer.
 const LEAST_FETCH: u64 = 1_024;
-/// What another data centre adds, in seconds: the way there and back, and its price in bytes.
+/// The cost of a runner in another data centre, in seconds: the round trip and the price of the
+/// traffic.
 const DISTANCE: f64 = 0.004;
-/// The piece of a prompt that a runner reads between two steps.
+/// The size of the prefill chunks that a runner interleaves with decode steps, in tokens.
 const INTERLEAVED_TOKENS: u64 = 256;
 
 struct Candidate<'a> {
@@ -119,7 +123,7 @@
         good = all().filter(usable).map(with_load).collect();
     }
     if good.is_empty() {
-        // A runner on trial is still better than a refusal.
+        // A runner that is being probed after failures is better than a refusal.
         let open = |r: &&Runner| r.is_last_resort() && r.closed(question.now).is_none();
         return all().filter(open).map(with_load).collect();
     }
@@ -132,19 +136,19 @@
         self.runner.health.failing() * FAILURE_COST + distance + draw * DITHER
     }
 
-    /// Whether its queue is short enough for work of `class`.
+    /// Whether the queue is short enough for more work of `class`.
     fn is_open(&self, class: Class, engine: &Engine) -> bool {
         let most = if class == Class::LATE { FULL.0 } else { FULL.1 };
         f64::from(self.load.total()) < most * f64::from(engine.slots)
     }
 
-    /// Whether no prompt waits there or is being read.
+    /// Whether no prompt is waiting or being prefilled there.
     fn is_idle(&self) -> bool {
         self.load.ahead(Class::LATE) == 0
     }
 
-    /// Until the first event once the prompt is there, in seconds: one step, longer by a piece of a
-    /// prompt where prompts are read too.
+    /// The time from a prefilled prompt to the first event, in seconds: one step, plus one prefill
+    /// chunk if prompts are prefilled there too.
     fn first_event(&self) -> f64 {
         let piece = if self.is_idle() {
             0.0
@@ -155,16 +159,16 @@
     }
 }
 
-/// The reading of a prompt at one candidate.
+/// The estimated prefill of a prompt on one candidate.
 struct Reading<'a, 'b> {
     at: &'b Candidate<'a>,
-    /// Until it is read, in seconds.
+    /// Time until the prompt has been prefilled, in seconds.
     read: f64,
-    /// Until it is begun, in seconds.
+    /// Time until prefill starts, in seconds.
     wait: f64,
     fresh: u64,
     fetch: Option<&'b RunnerId>,
-    /// What the choice compares, in seconds.
+    /// The cost by which candidates are compared, in seconds.
     rank: f64,
 }
 
@@ -175,13 +179,15 @@
     }
 }
 
-/// The runner that keeps most of a prompt, and how many tokens of it.
+/// The runner that has the longest prefix of a prompt cached, and the length of that prefix in
+/// tokens.
 struct Keeper<'b> {
     runner: &'b Runner,
     tokens: u64,
 }
 
-/// Of the runners of the service, also those that take no new work now, the one that keeps most.
+/// Finds the runner of the service with the longest cached prefix, including runners that are
+/// closed to new requests for now.
 fn keeper<'b>(
     register: &'b Register,
     question: &Question<'b>,
@@ -194,7 +200,7 @@
     kept.filter(|keeper| keeper.tokens > 0).max_by_key(|keeper| keeper.tokens)
 }
 
-/// What a request looks for at each candidate.
+/// The inputs of a prefill estimate that are the same for all candidates.
 struct Search<'b> {
     work: &'b Work,
     engine: &'b Engine,
@@ -227,44 +233,47 @@
     Reading { at, read, wait, fresh, fetch, rank }
 }
 
-/// The parts that the runners of a service have while some read for others.
+/// The candidates of a service by role.
 ///
-/// A runner that has begun a prompt reads it to its end, and what comes meanwhile, a KV cache from
-/// elsewhere too, waits for its first token. One long prompt so delays every stream that begins at
-/// its runner. Some decode runners therefore read nothing, and late work, which is mostly long, is
-/// read by a part of the others alone.
+/// A runner that has started a prompt prefills it to the end, and everything that arrives
+/// meanwhile, including a KV cache from another runner, waits for its first token. One long prompt
+/// thus delays every stream that starts on its runner. Therefore some decode runners do no prefill,
+/// and late work, most of which is long, is prefilled by a subset of the other runners only.
 struct Lanes<'a, 'b> {
-    /// Decode runners, all of which can go on from what was read elsewhere.
+    /// Decode runners, all of which can continue from a prompt prefilled elsewhere.
     decode: Vec<&'b Candidate<'a>>,
-    /// Those of them that read and answer too.
+    /// The decode runners that also prefill.
     whole: Vec<&'b Candidate<'a>>,
     /// Prefill runners for work that can be on time.
     prefill: Vec<&'b Candidate<'a>>,
-    /// Prefill runners for late work; work that can be on time may go there too. Where they are busy,
-    /// late work goes to idle ones of the others.
+    /// Prefill runners for late work; work that can be on time may use them too. When they are
+    /// busy, late work goes to idle runners of `prefill`.
     late: Vec<&'b Candidate<'a>>,
 }
 
-/// The share of the decode runners that read nothing, and the share of all runners that they are at
-/// the least. Two of nine carry the streams of the users' sheets at twice their usual rate with less
-/// than 60 at once each.
+/// The fraction of the decode runners that do no prefill, and their minimum as a fraction of all
+/// runners. Two of nine carry the streams of the reference load at twice its usual rate with fewer
+/// than 60 each.
 const DECODE_ONLY: (f64, f64) = (0.4, 0.2);
-/// The share of the reading that late work may take. In bursts a third of the tokens that are asked
-/// for cannot be read in time.
+/// The fraction of the prefill capacity that late work may use. In bursts, one third of the
+/// requested tokens cannot be prefilled in time.
 const LATE_SHARE: f64 = 0.35;
-/// How much longer late work waits at its own runners before it goes to an idle one of the others,
-/// in seconds. There it may hold up work that could be on time, by half of its reading on average;
-/// on a fleet whose other runners are idle for two thirds of the time, keeping it away altogether
-/// made the runners for late work five times as busy as the rest.
+/// How much longer late work waits for the runners reserved for it before it goes to an idle one of
+/// the others, in seconds. There it may delay work that could be on time, on average by half of its
+/// prefill. Excluding late work altogether, on a fleet whose other runners were idle for two thirds
+/// of the time, made the runners for late work five times as busy as the rest.
 const SPILL: f64 = 0.2;
-/// The share of the other runners that late work leaves idle, for what can be on time.
+/// The fraction of the other prefill runners that late work leaves idle, for work that can be on
+/// time.
 const IDLE_RESERVE: f64 = 0.5;
-/// From how many requests for each place in its batch on a decode runner is begun no more late work
-/// at, and no other work while there is another. A runner turns away what comes when its queue is
-/// full, urgent or not, and each such call spends of the retry budget: late work that waited for a
-/// second filled the queues in which urgent work would have waited for a step.
+/// The queue length of a decode runner, in requests per batch slot, from which it gets no more late
+/// work, and from which it gets no other work while another runner is available. A runner rejects
+/// whatever arrives when its queue is full, urgent or not, and each rejected call uses up retry
+/// budget. Late work that waited for a second filled the queues in which urgent work would have
+/// waited for one step.
 const FULL: (f64, f64) = (2.0, 3.0);
-/// What a decode runner reads against a prefill runner: half the speed in a quarter of the pieces.
+/// The prefill speed of a decode runner relative to a prefill runner: half the speed in chunks of a
+/// quarter of the size.
 const WHOLE_SPEED: f64 = 0.4;
 
 fn lanes<'a, 'b>(
@@ -273,7 +282,7 @@
     engine: &Engine,
     work: &Work,
 ) -> Lanes<'a, 'b> {
-    // The same at every node that sees the same runners, whatever their number.
+    // The order is the same on all nodes that see the same runners, whatever their number.
     let service = place(0, question.service.as_str().as_bytes());
     let of_stage = |stage| {
         let mut some: Vec<&Candidate<'_>> =
@@ -305,7 +314,7 @@
 }
 
 impl Lanes<'_, '_> {
-    /// Leaves out the decode runners whose queues are too long for work of `class`.
+    /// Removes the decode runners whose queues are too long for work of `class`.
     fn close(&mut self, class: Class, engine: &Engine) {
         let open = |c: &&Candidate<'_>| c.is_open(class, engine);
         self.decode.retain(open);
@@ -313,7 +322,7 @@
     }
 }
 
-/// Leaves those that `suit`, if any does.
+/// Keeps only the candidates that match, unless none does.
 fn prefer<'a, 'b>(
     some: &mut Vec<&'b Candidate<'a>>,
     suit: impl FnMut(&&'b Candidate<'a>) -> bool + Copy,
@@ -323,7 +332,7 @@
     }
 }
 
-/// The prefill runners that may read for work of a class, with what each costs besides in seconds.
+/// The prefill runners for work of a class, each with an additional cost in seconds.
 fn readers<'a, 'b>(lanes: &Lanes<'a, 'b>, class: Class) -> Vec<(&'b Candidate<'a>, f64)> {
     let own = lanes.late.iter().map(|c| (*c, 0.0));
     if class != Class::LATE {
@@ -334,7 +343,7 @@
     if idle.len() as f64 > reserve { own.chain(idle).collect() } else { own.collect() }
 }
 
-/// Chooses for a generation, or none if no runner of the service can run it.
+/// Chooses the runners for a generation. Returns `None` if no runner of the service can run it.
 pub fn generation<R: Rng>(
     register: &Register,
     question: &Question<'_>,
@@ -394,8 +403,8 @@
     Some((reader.rank + rank, reader.placement(plan, reader.read + first)))
 }
 
-/// The runner that goes on soonest from what was read in the data centre `from`: its rank, the time
-/// until the first event, and itself.
+/// Returns the runner that can continue soonest from a prompt prefilled in data centre `from`, with
+/// its cost and the time to the first event.
 fn maker<'a, R: Rng>(
     from: &DataCentre,
     decode: &[&Candidate<'a>],
@@ -414,8 +423,8 @@
     ranked.min_by(|a, b| a.0.total_cmp(&b.0))
 }
 
-/// Chooses the runner that goes on from a prompt that has been read at `reader`. The reading takes
-/// up to seconds, in which the runner that was planned may have begun to leave.
+/// Chooses the runner that continues from a prompt prefilled by `reader`. Prefill takes up to
+/// several seconds, in which the runner planned for decoding may have started to drain.
 pub fn decode<R: Rng>(
     register: &Register,
     question: &Question<'_>,
@@ -431,8 +440,8 @@
     maker(from, makers, question, engine, work, rng).map(|(.., id)| id.clone())
 }
 
-/// The homes of a shared prompt among runners, the first one first: the same at every node that sees
-/// the same runners.
+/// The runners that a shared prompt has affinity to, most preferred first. All nodes that see the
+/// same runners get the same result.
 fn homes<'a>(
     runners: impl Iterator<Item = &'a Candidate<'a>>,
     work: &Work,
@@ -451,7 +460,7 @@
     homes.into_iter().map(|(_, id)| id).collect()
 }
 
-/// What a candidate is preferred by for being a home of the prompt, in seconds.
+/// The cost reduction of a candidate that the prompt has affinity to, in seconds.
 fn home_advantage(homes: &[&RunnerId], reading: &Reading<'_, '_>, search: &Search<'_>) -> f64 {
     let id = &reading.at.runner.entry.id;
     let Some(at) = homes.iter().position(|home| *home == id) else { return 0.0 };
@@ -462,23 +471,23 @@
     whole * (1.0 - at as f64 / HOMES as f64)
 }
 
-/// A choice for a plain request.
+/// The runner chosen for a plain request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plain {
     /// The runner.
     pub runner: RunnerId,
-    /// Until the answer, in seconds from now.
+    /// Predicted time to the answer, in seconds from now.
     pub answer: f64,
 }
 
-/// Chooses for a plain request, or none if the service has no runner.
+/// Chooses the runner for a plain request. Returns `None` if the service has no available runner.
 pub fn plain<R: Rng>(register: &Register, question: &Question<'_>, rng: &mut R) -> Option<Plain> {
     let all = candidates(register, question);
     let ranked = all.iter().map(|c| {
         let slots = f64::from(c.runner.entry.slots.max(1));
         let ahead = (f64::from(c.load.total()) + 1.0 - slots).max(0.0);
         let answer = c.runner.answer_time * (1.0 + ahead / slots);
-        // Equal runners are told apart by how full they are, so that bursts spread.
+        // Among equal runners the least utilized one is chosen, so that bursts spread.
         let fullness = f64::from(c.load.total()) / slots * c.runner.answer_time;
         (answer + fullness + c.cost(question, rng.random()), answer, c)
     });
--- a/lib/src/fleet/pool.rs
+++ b/lib/src/fleet/pool.rs
@@ -1,9 +1,10 @@
-//! Pools: the parts into which the runners of a service are divided, so that one node can know all
-//! that is under way at the runners it places work on.
+//! Pools: partitions of the runners of a service, small enough for one node to track all work on
+//! the runners of a pool.
 //!
-//! Every node that knows the same runners divides them alike, without asking. The runners of each
-//! stage are ordered by a hash and cut into equal parts: a runner that comes or goes moves at most
-//! one other over each cut, so most of what is known of a pool stays right.
+//! All nodes that know the same runners compute the same partition without communication. The
+//! runners of each stage are ordered by a hash and split into equal parts. When a runner joins or
+//! leaves, at most one other runner moves across each boundary, so most of what is known of a pool
+//! stays valid.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,35 +14,36 @@
 use crate::hash::place;
 use crate::id::{RunnerId, ServiceId};
 
-/// The most runners of a pool. Choosing looks at each of them, and their work is what one node
-/// hears of; fewer would leave too few of each stage to make up for one that fails.
+/// The maximum number of runners in a pool. Placement examines each of them, and one node receives
+/// reports of all their work. Smaller pools would have too few runners of each stage to compensate
+/// for a failure.
 pub const MOST_RUNNERS: usize = 24;
 
-/// One pool of a service, by its number.
+/// A pool of a service, by its number.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Pool(pub u16);
 
-/// How many pools a service with so many runners has: a power of two, so that with another number
-/// each pool is cut in two, or joined with its neighbour.
+/// The number of pools for a service with `runners` runners. It is a power of two, so that a change
+/// of the number splits each pool in two or merges it with its neighbour.
 pub fn count(runners: usize) -> u16 {
     let pools = runners.div_ceil(MOST_RUNNERS).max(1).next_power_of_two();
     u16::try_from(pools).unwrap_or(1 << 15)
 }
 
 impl Pool {
-    /// The pool of a prompt, of `pools`, by the part of it that it meets others at.
+    /// The pool of a prompt, out of `pools`, by its affinity key.
     pub fn of_prompt(meeting: ChainKey, pools: u16) -> Self {
-        // The key's high bits, so that with twice the pools each is cut in two.
+        // Uses the high bits of the key, so that doubling the number of pools splits each in two.
         Self(((u128::from(meeting.0) * u128::from(pools)) >> 64) as u16)
     }
 
-    /// A hash of the pool, for whom it falls to.
+    /// A hash of the pool, from which its scheduler is chosen.
     pub fn key(self, service: &ServiceId) -> u64 {
         place(place(u64::from(self.0), b"pool"), service.as_str().as_bytes())
     }
 }
 
-/// Divides runners into the pools of their services, and gives the number of pools of each.
+/// Assigns runners to the pools of their services and returns the number of pools of each service.
 pub(super) fn divide(runners: &mut HashMap<RunnerId, Runner>) -> HashMap<ServiceId, u16> {
     type Order<'a> = BTreeMap<(Option<bool>, u64, RunnerId), &'a mut Runner>;
     let mut services: HashMap<ServiceId, Order<'_>> = HashMap::new();
--- a/lib/src/fleet/scheduler.rs
+++ b/lib/src/fleet/scheduler.rs
@@ -1,12 +1,13 @@
-//! Scheduling: what a node asks of the one that schedules a pool, and what that one decides.
+//! Pool scheduling: the requests that a node sends to the scheduler of a pool, and the scheduler's
+//! decisions.
 //!
-//! The load it answers: hundreds of nodes, each with a few requests a second. What one of them has
-//! under way at a runner says nothing of how busy the runner is, and what it hears of the others
-//! is older than the time a prompt takes to be read. So a pool's work is placed by one node, which
-//! hears of all of it as it begins and ends.
+//! With hundreds of nodes, each of which handles a few requests per second, the load that one node
+//! puts on a runner says nothing about how busy the runner is, and reports from other nodes are
+//! older than the time a prompt takes to prefill. Therefore one node places all work of a pool; it
+//! learns of every start and end.
 //!
-//! The node that asks stays the one that answers for its request: whether it has run, may be run
-//! again, or is late is known there alone. What is decided here is only where it goes.
+//! The node that asks keeps the responsibility for its request: only it knows whether the request
+//! has run, may run again, or is late. The scheduler decides only where it runs.
 
 use std::time::{Duration, Instant};
 
@@ -25,83 +26,85 @@
 use crate::hash::rendezvous;
 use crate::id::{DataCentre, NodeId, RunnerId, ServiceId};
 
-/// How long the scheduler of a pool has to answer before it is asked once more, and then before the
-/// node that asks places by its own prediction. Two nodes are at most a few milliseconds apart; a
-/// twentieth of the shortest objective of a generation is what a caller can spare.
+/// The time in which the scheduler of a pool must reply before it is asked again, and then before
+/// the asking node places the request by its own prediction. Nodes are at most a few milliseconds
+/// apart, and a caller can spare one twentieth of the shortest objective of a generation.
 pub const PATIENCE: Duration = Duration::from_millis(30);
-/// How often a scheduler is asked.
+/// The number of times a scheduler is asked.
 pub const TRIES: u32 = 2;
-/// How many questions in a row a scheduler leaves unanswered before another takes its place. One
-/// datagram can be lost.
+/// The number of consecutive unanswered queries after which another node takes over from a
+/// scheduler. A single datagram may be lost.
 pub const SILENCES: u32 = 2;
-/// For how long another takes its place: a node that was cut off or held up is soon back, one that
+/// How long another node takes over. A node that was partitioned or stalled is back soon; one that
 /// is gone has left the roster by then.
 pub const PASSED_OVER: Duration = Duration::from_secs(2);
 
-/// What a request asks of the scheduler of its pool.
+/// A query to the scheduler of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
     /// The service.
     pub service: ServiceId,
-    /// The data centre of the node that asks.
+    /// The data centre of the asking node.
     pub data_centre: DataCentre,
-    /// The request's terms at the gate.
+    /// The admission terms of the request.
     pub terms: Terms,
-    /// What it asks of an engine.
+    /// The engine work of the request.
     pub work: Work,
-    /// Runners that are not to be taken.
+    /// Runners to exclude.
     pub skip: SmallVec<[RunnerId; 4]>,
-    /// What is to be decided.
+    /// The step to be decided.
     pub step: Step,
 }
 
-/// What is to be decided.
+/// The step of a request that is to be decided.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Whether the request starts, and where.
+    /// Whether the request starts, and on which runners.
     Start(Firmness),
-    /// Where a prompt that was read for it goes on.
+    /// On which runner the request continues after prefill.
     GoOn {
-        /// The runner that has read it.
+        /// The runner that prefilled the prompt.
         reader: RunnerId,
-        /// The class in which it was started.
+        /// The class in which the request was started.
         class: Class,
     },
 }
 
-/// How firmly a request is to be placed.
+/// Whether a request may be refused or delayed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Firmness {
     /// It may be refused.
     New,
-    /// It has run: it is placed late rather than refused.
+    /// It has already run: it is placed as late work rather than refused.
     HasRun,
-    /// Its caller is reading the answer: it goes on in its class.
+    /// Its caller is already receiving the answer: it continues in its class.
     Streaming,
 }
 
-/// What is decided.
+/// The scheduler's decision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// It starts.
+    /// The request starts.
     Placed {
-        /// Where.
+        /// The chosen runners.
         placement: Placement,
-        /// In which class.
+        /// The class in which it starts.
         class: Class,
     },
-    /// A prompt that was read goes on here.
+    /// The request continues on this runner after prefill.
     GoesOn(RunnerId),
-    /// It cannot be in time to be of use. What was predicted tells when to come back.
+    /// The request cannot be answered in time to be useful. The prediction determines when the
+    /// caller should retry.
     Late(Placement),
     /// No runner of the service can run it.
     NoRunner,
-    /// The rate limits of the runners that could run it leave no room for so long.
+    /// The rate limits of the eligible runners allow no request for this long.
     RateLimited(Duration),
 }
 
 impl Decision {
-    /// The runners at which work is placed anew: it will ask for a permit at each with a rate limit.
+    /// The runners at which new work is placed. The request needs a permit from each that has a
+    /// rate limit.
     pub fn placed(&self) -> SmallVec<[&RunnerId; 2]> {
         match self {
             Decision::Placed { placement, .. } => match &placement.plan {
@@ -115,7 +118,7 @@
         }
     }
 
-    /// What the decided work takes of the runner that it begins at.
+    /// The resources that the decided work takes of the runner on which it starts.
     pub fn share(&self, work: &Work, step: &Step) -> Option<(&RunnerId, Share)> {
         match (self, step) {
             (Decision::Placed { placement, class }, _) => {
@@ -133,7 +136,7 @@
     }
 }
 
-/// Decides, by what `register` knows of the pool.
+/// Makes the decision from what `register` knows of the pool.
 pub fn decide<R: Rng>(
     register: &Register,
     ask: &Ask,
@@ -155,7 +158,7 @@
     let none = || {
         match register.closed(&ask.service, now) {
             Some(Closed::RateLimit(wait)) => Decision::RateLimited(wait),
-            // From whom this node backs off says nothing of others.
+            // The back-off of this node from a runner does not apply to other nodes.
             Some(Closed::BackOff(_)) | None => Decision::NoRunner,
         }
     };
@@ -179,8 +182,9 @@
     }
 }
 
-/// Counts what was decided for another node: the work, until that node tells of it, and the prompt
-/// that a runner now begins to read, so that the next request with it goes there too.
+/// Records a decision made for another node: the work, until that node reports it, and the prompt
+/// that the runner now starts to prefill, so that the next request with the same prompt is placed
+/// there too.
 pub fn note(
     register: &mut Register,
     node: &NodeId,
@@ -199,28 +203,28 @@
     }
 }
 
-/// What the end of a piece of work teaches about its runner.
+/// What the end of a piece of work tells about its runner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lesson {
-    /// How long a prompt took to be read, in seconds.
+    /// The duration of a prefill, in seconds.
     Reading {
-        /// As it was predicted, with the wait.
+        /// The predicted duration, including the wait.
         predicted: f64,
-        /// The part of that for the reading itself. The longer it is, the more it tells of the
-        /// runner's speed.
+        /// The part of the prediction that is the prefill itself. The longer it is, the more weight
+        /// the observation has for the runner's speed.
         reading: f64,
-        /// As it was seen.
+        /// The observed duration.
         seen: f64,
     },
-    /// How long a stream took from its first event to its last, in seconds.
+    /// The duration of a stream from its first event to its last, in seconds.
     Stream(f64),
-    /// What came of it.
+    /// The outcome of the work.
     Outcome(Outcome),
 }
 
 impl Placement {
-    /// What it teaches that the first event, or the whole prompt, which was predicted in `predicted`
-    /// seconds, took `seen` seconds.
+    /// The lesson from a first event, or a whole prompt, that was predicted to take `predicted`
+    /// seconds and took `seen` seconds.
     pub fn lesson(&self, predicted: f64, seen: f64) -> Lesson {
         let reading = (self.read - self.wait - start_time()).max(0.0);
         Lesson::Reading { predicted, reading, seen }
@@ -228,7 +232,7 @@
 }
 
 impl Runner {
-    /// Takes in what work has taught.
+    /// Updates the estimates of the runner.
     pub fn learn(&mut self, lesson: Lesson, now: Instant) {
         match lesson {
             Lesson::Reading { predicted, reading, seen } => {
@@ -240,8 +244,8 @@
     }
 }
 
-/// The node that schedules a pool: the one of highest weight. All nodes that know the same ones
-/// choose the same.
+/// The node that schedules a pool: the one of highest rendezvous weight. All nodes that know the
+/// same nodes choose the same one.
 pub fn holder<'a>(
     service: &ServiceId,
     pool: Pool,
