--- a/lib/src/fleet/cache.rs
+++ b/lib/src/fleet/cache.rs
@@ -1,14 +1,14 @@
-//! What a runner probably keeps of prompts, from what was sent to it.
+//! An estimate of the prompt prefixes that a runner has cached, from the prompts sent to it.
 //!
-//! A prompt is a chain of parts. A runner that has read a chain keeps it until memory runs out, the
-//! least recently used first. Every node knows what it sent itself and hears what others sent, so
-//! all come to like pictures without asking any runner. The picture is a hint: a wrong one costs
-//! time, never an answer.
+//! A prompt is a chain of parts. A runner keeps the parts it has prefilled until memory runs out,
+//! and evicts the least recently used ones first. Each node knows what it sent itself and hears
+//! what others sent, so all nodes reach similar estimates without querying any runner. The estimate
+//! is a hint: an error costs time, never an answer.
 //!
-//! A part counts from the moment at which it is sent to be read. Requests that share a long part
-//! come close together; one that goes where the part is being read waits for it there and reads
-//! nothing twice, while another runner would read the same again. Only what has been read can be
-//! fetched from elsewhere.
+//! A part counts as cached from the moment it is sent for prefill. Requests with a long common part
+//! arrive close together; one that is sent to the runner that is prefilling the part waits for it
+//! there and repeats nothing, while another runner would prefill it again. Only parts whose prefill
+//! is complete can be fetched by other runners.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -21,23 +21,23 @@
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Part {
-    /// A hash of this part and all before it.
+    /// A hash of this part and all parts before it.
     pub key: ChainKey,
-    /// A hash of this part alone, by which runners name what they keep.
+    /// A hash of this part alone, by which runners name the parts they have cached.
     pub alone: ChainKey,
-    /// Tokens of this part alone.
+    /// The number of tokens in this part.
     pub tokens: u64,
 }
 
 impl Part {
-    /// A part as a runner names it that keeps it, without those before it.
+    /// A part as a runner that has it cached names it, without the parts before it.
     pub fn kept(model: &str, id: &str, tokens: u64) -> Self {
         let alone = ChainKey::alone(model, id);
         Self { key: alone, alone, tokens }
     }
 }
 
-/// A hash of a chain's start up to one part.
+/// A hash of a chain up to and including one part.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
@@ -45,7 +45,7 @@
 pub struct ChainKey(pub u64);
 
 impl ChainKey {
-    /// The hash of a part without those before it.
+    /// The hash of a part without the parts before it.
     fn alone(model: &str, id: &str) -> Self {
         Self(place(place(1, model.as_bytes()), id.as_bytes()))
     }
@@ -56,7 +56,7 @@
 pub struct Chain(pub SmallVec<[Part; 4]>);
 
 impl Chain {
-    /// A chain from the ids and sizes of its parts, for one model.
+    /// Creates a chain from the ids and sizes of its parts, for one model.
     pub fn new<'a>(model: &str, parts: impl Iterator<Item = (&'a str, u64)>) -> Self {
         let mut key = place(0, model.as_bytes());
         let parts = parts.map(|(id, tokens)| {
@@ -66,26 +66,28 @@
         Self(parts.collect())
     }
 
-    /// The last part that others may share, by which requests with the same long prompt meet. The
-    /// first part would not do: a few of them stand before the prompts of a whole kind of request.
+    /// The key of the last part that other requests may share, by which requests with the same long
+    /// prompt are placed together. The first part is not specific enough: a few first parts are
+    /// shared by whole categories of requests.
     pub fn meeting(&self) -> ChainKey {
         let shared = self.0.iter().rev().nth(1).or(self.0.first());
         shared.map(|part| part.key).unwrap_or_default()
     }
 
-    /// Tokens of the parts that others may share: all but the last, which is the request's own.
+    /// The number of tokens in the parts that other requests may share: all but the last part,
+    /// which is specific to the request.
     pub fn shared(&self) -> u64 {
         let own = self.0.len().saturating_sub(1);
         self.0[..own].iter().map(|part| part.tokens).sum()
     }
 }
 
-/// How far a runner is with a part.
+/// The prefill progress of a part on a runner.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Progress {
-    /// It has been told to read it.
+    /// Prefill has been requested.
     Begun,
-    /// It has read it.
+    /// Prefill is complete.
     Read,
 }
 
@@ -96,11 +98,11 @@
     progress: Progress,
 }
 
-/// How long a part counts that was begun and is not known to be read. A caller of a stream waits
-/// two seconds for its first event, so a reading that takes longer has been broken off.
+/// How long a part counts as cached while its prefill is not known to be complete. The caller of a
+/// stream waits two seconds for the first event, so a prefill that takes longer has been cancelled.
 const BEGUN_LIFE: Duration = Duration::from_millis(2_500);
 
-/// What is assumed of a runner's memory until the configuration tells, in tokens.
+/// The assumed memory of a runner until the configuration is known, in tokens.
 const FIRST_MEMORY: u64 = 500_000;
 
 impl Default for Cache {
@@ -109,7 +111,7 @@
     }
 }
 
-/// What one runner probably keeps.
+/// The parts that one runner has cached, as far as is known.
 #[derive(Clone, Debug)]
 pub struct Cache {
     memory: u64,
@@ -118,14 +120,15 @@
 }
 
 impl Cache {
-    /// Tokens of the start of `chain` that need not be read again there.
+    /// The number of tokens at the start of `chain` that need no prefill on this runner.
     pub fn cached(&self, chain: &Chain, now: Instant) -> u64 {
         self.start(chain, |kept| {
             kept.progress == Progress::Read || now.saturating_duration_since(kept.used) < BEGUN_LIFE
         })
     }
 
-    /// Tokens of the start of `chain` that have been read there and can be fetched.
+    /// The number of tokens at the start of `chain` that are prefilled and can be fetched by
+    /// another runner.
     pub fn fetchable(&self, chain: &Chain) -> u64 {
         self.start(chain, |kept| kept.progress == Progress::Read)
     }
@@ -143,7 +146,8 @@
         self.memory = memory;
     }
 
-    /// Notes how far the runner is with `chain`, and forgets what no longer fits.
+    /// Records the progress of all parts of `chain`, and evicts parts that no longer fit into
+    /// memory.
     pub fn note(&mut self, chain: &Chain, progress: Progress, now: Instant) {
         for part in &chain.0 {
             self.insert(part, progress, now);
@@ -151,7 +155,7 @@
         self.evict();
     }
 
-    /// Notes one part of which another node says how far the runner is with it.
+    /// Records the progress of one part, as reported by another node.
     pub fn note_part(&mut self, part: Part, progress: Progress, now: Instant) {
         self.insert(&part, progress, now);
         self.evict();
@@ -170,8 +174,8 @@
         self.tokens = self.tokens + part.tokens - before.map_or(0, |kept| kept.tokens);
     }
 
-    /// Forgets the least recently used parts, a tenth more than needed so that the search for them
-    /// is rare.
+    /// Evicts the least recently used parts. Frees a tenth of the memory beyond what is needed, so
+    /// that the search for them is rare.
     fn evict(&mut self) {
         let memory = self.memory;
         if self.tokens <= memory {
@@ -190,13 +194,13 @@
         }
     }
 
-    /// Forgets everything, as a runner does that starts anew.
+    /// Removes all parts, for a runner that has restarted.
     pub fn clear(&mut self) {
         self.kept.clear();
         self.tokens = 0;
     }
 
-    /// Tokens kept in all.
+    /// The number of cached tokens.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
--- a/lib/src/fleet/engine.rs
+++ b/lib/src/fleet/engine.rs
@@ -1,9 +1,9 @@
-//! What a model engine is and how long its work takes.
+//! Model engines and the time their work takes.
 //!
-//! The time model is a batch engine's: each step makes one token for every running request and
-//! reads one piece of a waiting prompt. The figures are those that the users' sheets give for both
-//! deployments; what differs from them at a runner (its speed, its crowding, a slow spell) is
-//! learned from its answers as one factor, [`Pace`].
+//! The model is that of a batch engine: each step generates one token for every running request and
+//! prefills one chunk of a waiting prompt. The constants are those of the reference sheets for both
+//! deployments. The deviation of a runner from them (its hardware, contention, temporary slowness)
+//! is learned from its answers as a single factor, [`Pace`].
 
 use std::time::Duration;
 
@@ -15,52 +15,53 @@
 #[derive(Clone, Copy, Debug, Display, EnumString, Eq, Hash, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Stage {
-    /// It reads prompts and hands their KV cache on.
+    /// It prefills prompts and hands their KV cache over.
     Prefill,
-    /// It makes tokens; it can read prompts too, more slowly.
+    /// It generates tokens; it can also prefill, more slowly.
     Decode,
 }
 
-/// The engine of a service, as the configuration tells it.
+/// The engine of a service, as configured.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests at once.
+    /// The batch size: the maximum number of concurrent requests.
     pub slots: u32,
     /// Memory, in tokens.
     pub memory: u64,
-    /// The size of one token's KV cache, in bytes.
+    /// The size of the KV cache of one token, in bytes.
     pub token_bytes: u32,
-    /// The link between runners, in bits a second.
+    /// The bandwidth of the link between runners, in bits per second.
     pub link_rate: f64,
-    /// How long a KV cache that was read for another runner is kept.
+    /// How long a KV cache that was prefilled for another runner is kept.
     pub handle_ttl: Duration,
-    /// How long a change of stage takes a runner away.
+    /// How long a runner is unavailable while it changes its stage.
     pub switch: Duration,
 }
 
-/// The shortest step of an engine, in seconds (users' sheets: 3.41 ms).
+/// The shortest step of an engine, in seconds (reference sheets: 3.41 ms).
 const STEP: f64 = 0.003_41;
-/// What each running request adds to a step, in seconds (fitted to pauses seen on calm days).
+/// The time that each running request adds to a step, in seconds (fitted to the pauses under light
+/// load).
 const STEP_PER_REQUEST: f64 = 0.000_1;
-/// Prompt tokens read in a second (users' sheets: 112 a millisecond).
+/// Prefill rate, in tokens per second (reference sheets: 112 per millisecond).
 const PREFILL_RATE: f64 = 112_000.0;
-/// The piece in which a prompt is read, in tokens (users' sheets).
+/// The size of a prefill chunk, in tokens (reference sheets).
 const CHUNK: f64 = 1_024.0;
-/// What attention over a long context adds, in seconds for a million pairs of tokens (fitted to
-/// first tokens seen on calm days).
+/// The time that attention over a long context adds, in seconds per million token pairs (fitted to
+/// the times to first token under light load).
 const MILLION_PAIRS: f64 = 0.000_22;
-/// How much slower a decode runner reads a prompt (platform's protocol: half the speed).
+/// How much slower a decode runner prefills (platform protocol: half the speed).
 const DECODE_SLOWDOWN: f64 = 2.0;
-/// How much smaller its pieces are (platform's protocol: a quarter).
+/// The size of a prefill chunk on a decode runner, in tokens (platform protocol: a quarter).
 const DECODE_CHUNK: f64 = CHUNK / 4.0;
-/// The fixed delay from the arrival of a prompt to its first token, in seconds (an idle engine's
-/// answer to the shortest prompts, less the way there and back).
+/// The fixed latency from the arrival of a prompt to its first token, in seconds (the response time
+/// of an idle engine to the shortest prompts, less the round trip).
 const START: f64 = 0.036;
-/// Setting up one transfer between runners, in seconds (an idle engine's first event after a prompt
-/// that was read elsewhere, less the transfer).
+/// The time to set up a transfer between runners, in seconds (the time to the first event of an
+/// idle engine after a prompt prefilled elsewhere, less the transfer).
 const TRANSFER_SETUP: f64 = 0.010;
 
-/// How long an engine is busy with reading `fresh` tokens after `cached` ones, in seconds.
+/// How long an engine takes to prefill `fresh` tokens after `cached` ones, in seconds.
 pub fn prefill_time(stage: Stage, fresh: u64, cached: u64, running: u32) -> f64 {
     let (fresh, cached) = (fresh as f64, cached as f64);
     let pairs = fresh * (cached + fresh / 2.0) / 1e6;
@@ -74,7 +75,7 @@
     }
 }
 
-/// How long one step takes with `running` requests, in seconds.
+/// The duration of one step with `running` requests, in seconds.
 pub fn step_time(running: u32) -> f64 {
     STEP + f64::from(running) * STEP_PER_REQUEST
 }
@@ -85,7 +86,7 @@
 }
 
 impl Engine {
-    /// How long the KV cache of `tokens` is on its way from runner to runner, in seconds.
+    /// The time to transfer the KV cache of `tokens` between runners, in seconds.
     pub fn transfer_time(&self, tokens: u64, same_data_centre: bool) -> f64 {
         let bits = tokens as f64 * f64::from(self.token_bytes) * 8.0;
         let distance = if same_data_centre { 1.0 } else { 2.0 };
@@ -93,41 +94,42 @@
     }
 }
 
-/// What a request asks of an engine.
+/// The engine work of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Work {
     /// The parts of the prompt.
     pub chain: Chain,
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// The most tokens that may be made.
+    /// The maximum number of tokens to generate.
     pub output: u64,
 }
 
 impl Work {
-    /// The memory it takes at a runner, in tokens.
+    /// The memory that the request takes at a runner, in tokens.
     pub fn footprint(&self) -> u64 {
         self.prompt + self.output
     }
 }
 
-/// How much slower a runner is than the model says, learned from its answers.
+/// How much slower a runner is than the model, learned from its answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace(f64);
 
-/// How fast the pace follows what is seen of a prompt that takes long to be read: half of a lasting
-/// change after seven answers. A shorter one teaches less, by its share of [`LONG_READING`]: most of
-/// its error is that of the wait before it and of the start. Where all taught as much, a runner that
-/// had been held up once counted as slow and its neighbours were overrun (worth on a fleet of 20 runners
-/// that lost a third of them 0.42 instead of 0.58), or, taught slowly, a slow engine's long prompts were
-/// begun where no caller could wait for them.
+/// The gain of the pace for a prompt whose prefill is long: half of a lasting change is learned
+/// after seven answers. The gain of a shorter prefill is reduced in proportion to [`LONG_READING`],
+/// as most of its error stems from the wait and the startup latency. With the same gain for all, a
+/// runner that had stalled once counted as slow and its neighbours were overloaded (a worth of 0.42
+/// instead of 0.58 on a fleet of 20 runners that lost a third of them); with a low gain for all,
+/// long prompts were started on slow engines where no caller could wait for them.
 const PACE_GAIN: f64 = 0.1;
-/// The time to read a prompt, in seconds, from which an answer teaches all that one can: several times
-/// the start and a usual wait.
+/// The prefill time from which an answer has the full gain, in seconds: several times the startup
+/// latency and a usual wait.
 const LONG_READING: f64 = 0.4;
-/// The least and the most that is believed of a pace.
+/// The range of the pace.
 const PACE_RANGE: (f64, f64) = (0.3, 8.0);
-/// The shortest predicted time from which a pace is learned, in seconds; below it noise rules.
+/// The shortest prediction from which the pace is learned, in seconds; shorter ones are dominated
+/// by noise.
 const SHORTEST_LESSON: f64 = 0.01;
 
 impl Default for Pace {
@@ -142,8 +144,8 @@
         self.0
     }
 
-    /// Learns from work that took `seen` where `predicted` was expected, of which `reading` was to be
-    /// for reading its prompt, all in seconds.
+    /// Learns from work that took `seen` seconds where `predicted` were expected, of which
+    /// `reading` were for its prefill.
     pub fn learn(&mut self, predicted: f64, reading: f64, seen: f64) {
         if predicted < SHORTEST_LESSON || seen <= 0.0 {
             return;
--- a/lib/src/fleet/load.rs
+++ b/lib/src/fleet/load.rs
@@ -1,4 +1,4 @@
-//! The load of a runner, as one node makes it and as it adds up over nodes.
+//! The load of a runner, per node and summed over all nodes.
 
 use std::time::{Duration, Instant};
 
@@ -7,71 +7,71 @@
 
 use crate::id::NodeId;
 
-/// The classes in which work waits at a runner; a lower one goes first.
+/// The number of classes in which work is queued at a runner. Lower classes are served first.
 pub const CLASSES: usize = 4;
 
-/// The class of work: the rank of its route, or behind all ranks if it will be late.
+/// The class of a piece of work: the rank of its route, or below all ranks if it will be late.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Class(u8);
 
 impl Class {
-    /// Work that is late already, or will be. It runs on what others leave over, so that it never
-    /// makes work late that could be on time.
+    /// Work that is late or is predicted to be. It uses only spare capacity, so that it never
+    /// delays work that could be on time.
     pub const LATE: Class = Class((CLASSES - 1) as u8);
 
-    /// The class of work that can be on time, by the rank of its route. Ranks beyond the last class
-    /// of their own share it.
+    /// The class of work that can be on time, by the rank of its route. Ranks beyond the number of
+    /// classes share the last one.
     pub fn of_rank(rank: u8) -> Self {
         Class(rank.min(CLASSES as u8 - 2))
     }
 
-    /// Its place, from 0.
+    /// The index of the class, from 0.
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
 }
 
-/// What one node has under way at one runner.
+/// The outstanding work of one node at one runner.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Load {
-    /// Requests under way, by class.
+    /// Outstanding requests, by class.
     pub requests: [u32; CLASSES],
-    /// Prompt tokens sent and not yet known to be read, by class.
+    /// Prompt tokens that were sent and are not known to be prefilled yet, by class.
     pub backlog: [u64; CLASSES],
-    /// Prompts of which these are, by class.
+    /// The number of prompts that `backlog` consists of, by class.
     pub unread: [u32; CLASSES],
-    /// Memory that the requests take, in tokens.
+    /// The memory that the requests take, in tokens.
     pub tokens: u64,
 }
 
 impl Load {
-    /// Whether nothing is under way.
+    /// Whether there is no outstanding work.
     pub fn is_empty(&self) -> bool {
         self.total() == 0
     }
 
-    /// Requests under way.
+    /// Outstanding requests.
     pub fn total(&self) -> u32 {
         self.requests.iter().sum()
     }
 
-    /// Requests under way that go before new work of `class`, or came before it in its own.
+    /// Outstanding requests that are served before new work of `class`.
     pub fn before(&self, class: Class) -> u32 {
         self.requests[..=class.index()].iter().sum()
     }
 
-    /// The prompt tokens that go before new work of `class`.
+    /// Prompt tokens that are prefilled before new work of `class`.
     pub fn ahead(&self, class: Class) -> u64 {
         self.backlog[..=class.index()].iter().sum()
     }
 
-    /// The prompts that go before new work of `class`.
+    /// Prompts that are prefilled before new work of `class`.
     pub fn prompts(&self, class: Class) -> u32 {
         self.unread[..=class.index()].iter().sum()
     }
 
-    /// The prompt tokens that probably go before new work of `class` though they are less urgent: a
-    /// runner that has begun a prompt reads it to its end, and on average half of it is left.
+    /// The expected prompt tokens of less urgent work that are prefilled before new work of
+    /// `class`: a runner finishes the prompt it has started, and on average half of it remains.
     pub fn begun(&self, class: Class) -> u64 {
         let behind = class.index() + 1;
         let prompts: u32 = self.unread[behind..].iter().sum();
@@ -94,7 +94,7 @@
     }
 }
 
-/// What another node says that it has under way.
+/// The outstanding work of another node, as it reported it.
 #[derive(Clone, Debug)]
 struct Report {
     node: NodeId,
@@ -102,22 +102,22 @@
     heard: Instant,
 }
 
-/// How long a node's report counts. A node that has stopped telling is dead or cut off; its work
-/// has ended by then or is not known any more.
+/// How long a report is valid. A node that has stopped reporting is dead or partitioned; its work
+/// has ended by then or is no longer known.
 pub const REPORT_LIFE: Duration = Duration::from_millis(1_500);
 
-/// The part of a prompt that a runner is reading which it has read, on average. What was read of it
-/// is not known until all of it has been.
+/// The average fraction of the current prompt that a runner has prefilled. Progress within a prompt
+/// is not reported.
 const PART_READ: f64 = 0.5;
 
-/// What the other nodes have under way at one runner.
+/// The outstanding work of all other nodes at one runner.
 #[derive(Clone, Debug, Default)]
 pub struct Others {
     reports: SmallVec<[Report; 8]>,
 }
 
 impl Others {
-    /// Takes a node's report in place of its last one.
+    /// Replaces the last report of a node.
     pub fn take(&mut self, node: &NodeId, load: Load, now: Instant) {
         self.reports.retain(|r| r.node != *node);
         if !load.is_empty() {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Adds to what a node has reported.
+    /// Adds to the last report of a node.
     pub fn add(&mut self, node: &NodeId, load: Load, now: Instant) {
         match self.reports.iter_mut().find(|report| report.node == *node) {
             Some(report) => {
@@ -136,9 +136,9 @@
         }
     }
 
-    /// The sum of the reports. A prompt counts whole until it has been read, so what the runner has
-    /// read of the one that it is at is taken off: as much as it can have read since the oldest
-    /// report, at `rate` prompt tokens a second, and about half of a prompt at the most.
+    /// The sum of the reports. A prompt counts in full until it has been prefilled, so the progress
+    /// on the current prompt is subtracted: what the runner can have prefilled since the oldest
+    /// report, at `rate` prompt tokens per second, but at most about half a prompt.
     pub fn sum(&self, now: Instant, rate: f64) -> Load {
         let mut sum = Load::default();
         let mut oldest = Duration::ZERO;
--- a/lib/src/fleet/register.rs
+++ b/lib/src/fleet/register.rs
@@ -1,16 +1,17 @@
-//! All runners that a node knows, by the platform's register.
+//! The runners known to a node, from the platform's register.
 //!
-//! The platform forgets a runner that has been silent, also while its store is away and hears
-//! nobody. Runners that lapsed so are back within two seconds of the store's return, so an entry
-//! that is missing at the first look after an outage is doubted and not dropped at once: dropping
-//! all runners of a service when the store comes back would refuse requests that could be served.
+//! The platform removes the entry of a runner that has been silent, also during an outage of its
+//! store, when it hears from no runner. Entries that expired that way return within two seconds
+//! after the outage. So an entry that is missing at the first read after an outage is kept as
+//! doubtful for a while: removing all runners of a service when the store returns would refuse
+//! requests that can be served.
 //!
-//! A runner that starts again under its id holds and knows nothing of before: it takes the place of
-//! its former life as a runner of which only the entry is known. A late entry of a former life
-//! changes nothing, and what was begun in one life ends in it ([`Stay`]).
+//! A runner that restarts under the same id has lost all state. It replaces its former incarnation
+//! as a runner of which only the entry is known. A late entry of a former incarnation is ignored,
+//! and work that started in one incarnation ends in it ([`Stay`]).
 //!
-//! A store that comes back from a copy shows what runners wrote before what is known of them, in a
-//! later era. A runner's own count of its writes tells the two apart.
+//! A store that was restored from a copy shows older entries in a later era. The runners' own write
+//! counts tell them from new ones.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
@@ -24,49 +25,50 @@
 use crate::history::Point;
 use crate::id::{NodeId, RunnerId, ServiceId};
 
-/// What a change of the register did.
+/// The effect of a change of the register.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// A runner that was not known.
+    /// A new runner was added.
     Added,
-    /// A runner that has started again under its id.
+    /// A runner has restarted under its id.
     Reborn,
-    /// A runner that takes no new work any more.
+    /// A runner accepts no new work any more.
     Leaving,
-    /// A runner whose entry is missing; it is kept for a while.
+    /// The entry of a runner is missing; the runner is kept for a while.
     Doubted,
-    /// A runner that is gone.
+    /// A runner was removed.
     Removed,
-    /// Another change.
+    /// Another field of an entry has changed.
     Updated,
-    /// Nothing new.
+    /// No effect.
     None,
-    /// Nothing, though it came later than what is known: it is of a former life.
+    /// No effect: the entry is later than what is known, but from a former incarnation.
     Former,
 }
 
-/// How many runners that have left are remembered, for a store that comes back from a copy in which
-/// they are still there.
+/// The maximum number of departed runners that are remembered, to recognize them in a store that
+/// was restored from a copy.
 const MOST_LEFT: usize = 512;
 
-/// The runners.
+/// The known runners.
 #[derive(Clone, Debug, Default)]
 pub struct Register {
     runners: HashMap<RunnerId, Runner>,
     tags: HashMap<Tag, RunnerId>,
     doubted: HashMap<RunnerId, Instant>,
-    /// The last entries of runners that have left, oldest first.
+    /// The last entries of departed runners, oldest first.
     left: VecDeque<Entry>,
-    /// How many stays there have been.
+    /// The number of registrations so far.
     stays: u64,
-    /// How many pools each service has.
+    /// The number of pools of each service.
     pools: HashMap<ServiceId, u16>,
-    /// Whether runners have come, gone or turned since the pools were divided.
+    /// Whether runners have joined, left or changed their stage since the pools were last assigned.
     is_undivided: bool,
 }
 
 impl Register {
-    /// Takes in an entry. One that is older than what is known, or of a former life, changes nothing.
+    /// Applies an entry. An entry that is older than the known one, or of a former incarnation, has
+    /// no effect.
     pub fn apply(&mut self, entry: Entry) -> Change {
         let Some(runner) = self.runners.get_mut(&entry.id) else {
             if self.left.iter().any(|left| entry.is_shown_again(left)) {
@@ -75,8 +77,9 @@
             self.insert(entry);
             return Change::Added;
         };
-        // A doubted runner that is back has written anew. What is known of it comes again from nodes that
-        // have not heard yet that its entry is missing, and must not keep it in use.
+        // A doubtful runner that is back has written a new entry. Its old entry may arrive again
+        // from nodes that have not noticed yet that it is missing, and must not keep the runner in
+        // use.
         if entry.at <= runner.entry.at {
             return Change::None;
         }
@@ -86,7 +89,8 @@
             return if was_doubted { Change::Updated } else { Change::None };
         }
         match (entry.born, runner.entry.born) {
-            // The runner says when it began; who does not is not the runner.
+            // A runner reports its start time in every entry; an entry without one was not written
+            // by it.
             (None, Some(_)) => return self.disown(&entry.id, entry.at),
             (new, known) if new < known => return Change::Former,
             _ => {}
@@ -102,7 +106,7 @@
         let turned = runner.entry.stage != entry.stage;
         runner.entry = entry;
         if turned {
-            // What was learned of it in its other stage says nothing of this one.
+            // What was learned about it in its former stage does not apply to the new one.
             runner.pace = Pace::default();
             runner.health = Record::default();
             runner.cache.clear();
@@ -112,9 +116,8 @@
         if leaves { Change::Leaving } else { Change::Updated }
     }
 
-    /// Takes in that what stands under the id of a runner since `at` is not of that runner's making.
-    /// There is no runner to use under that id then, and nothing to doubt: the store has just shown what
-    /// it has.
+    /// Handles an entry under the id of a runner that was not written by that runner. The id then
+    /// names no usable runner, and there is no doubt, as the store has just shown its contents.
     pub fn disown(&mut self, id: &RunnerId, at: Point) -> Change {
         match self.runners.get(id) {
             Some(runner) if runner.entry.at < at => {
@@ -132,8 +135,8 @@
         self.runners.insert(entry.id.clone(), Runner::new(entry, self.stays));
     }
 
-    /// Takes in that an entry is gone. Where that is in doubt, because the store has been away, the
-    /// runner is kept until the doubt is over.
+    /// Handles the removal of an entry. If `doubt` is set, because the store was unavailable, the
+    /// runner is kept until then.
     pub fn remove(&mut self, id: &RunnerId, doubt: Option<Instant>) -> Change {
         let Some(runner) = self.runners.get(id) else { return Change::None };
         if let Some(until) = doubt
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Takes in a whole list: entries that are not in it are gone.
+    /// Replaces the whole list: runners without an entry in it are removed.
     pub fn replace(
         &mut self,
         entries: Vec<Entry>,
@@ -183,7 +186,7 @@
         changes
     }
 
-    /// Drops doubted runners whose time is over, and names them.
+    /// Removes doubtful runners whose time is over, and returns their ids.
     pub fn expire(&mut self, now: Instant) -> Vec<RunnerId> {
         let over: Vec<RunnerId> = self
             .doubted
@@ -197,14 +200,14 @@
         over
     }
 
-    /// Divides the runners into pools anew, if they have changed.
+    /// Assigns the runners to pools again, if they have changed.
     pub fn divide(&mut self) {
         if std::mem::take(&mut self.is_undivided) {
             self.pools = pool::divide(&mut self.runners);
         }
     }
 
-    /// How many pools a service has.
+    /// The number of pools of a service.
     pub fn pools(&self, service: &ServiceId) -> u16 {
         self.pools.get(service).copied().unwrap_or(1)
     }
@@ -214,27 +217,27 @@
         Pool::of_prompt(work.chain.meeting(), self.pools(service))
     }
 
-    /// A runner by the tag of its life.
+    /// The runner with a tag.
     pub fn by_tag(&self, tag: Tag) -> Option<&Runner> {
         self.tags.get(&tag).and_then(|id| self.runners.get(id))
     }
 
-    /// A runner by the tag of its life, to be changed.
+    /// The runner with a tag, mutably.
     pub fn by_tag_mut(&mut self, tag: Tag) -> Option<&mut Runner> {
         self.tags.get(&tag).and_then(|id| self.runners.get_mut(id))
     }
 
-    /// A runner.
+    /// The runner with an id.
     pub fn get(&self, id: &RunnerId) -> Option<&Runner> {
         self.runners.get(id)
     }
 
-    /// A runner, to be changed.
+    /// The runner with an id, mutably.
     pub fn get_mut(&mut self, id: &RunnerId) -> Option<&mut Runner> {
         self.runners.get_mut(id)
     }
 
-    /// A runner in the stay that `stay` tells of, to be changed.
+    /// The runner of a registration, mutably, if that registration is still current.
     pub fn in_stay_mut(&mut self, stay: &Stay) -> Option<&mut Runner> {
         self.runners.get_mut(&stay.id).filter(|runner| runner.is_in(stay))
     }
@@ -249,8 +252,8 @@
         self.runners.values().filter(move |r| r.entry.service == *service)
     }
 
-    /// What closes the runner of a service that opens first, of those that take work; none if no
-    /// runner that takes work is closed.
+    /// Of the eligible runners of a service that are closed, the reason and duration of the one
+    /// that opens first; `None` if no eligible runner is closed.
     pub fn closed(&self, service: &ServiceId, now: Instant) -> Option<Closed> {
         let closed = self.of(service).filter(|r| r.takes_work(now)).filter_map(|r| r.closed(now));
         closed.min_by_key(|closed| closed.wait())
@@ -266,8 +269,8 @@
         some.map(|runner| &runner.entry.id)
     }
 
-    /// Notes that work begins at a runner, and gives the stay to which it is counted; none if the
-    /// runner is not known.
+    /// Records that work starts at a runner. Returns the registration to which it is attributed, or
+    /// `None` if the runner is not known.
     pub fn begin(&mut self, id: &RunnerId, share: Share, now: Instant) -> Option<Stay> {
         let runner = self.runners.get_mut(id)?;
         runner.health.note_sent(now);
@@ -275,7 +278,7 @@
         Some(runner.stay())
     }
 
-    /// Notes that the prompt of work under way has been read.
+    /// Records that the prompt of outstanding work has been prefilled.
     pub fn note_read(&mut self, stay: &Stay, share: Share) {
         let Some(runner) = self.in_stay_mut(stay) else { return };
         let backlog = &mut runner.own.backlog[share.class.index()];
@@ -284,7 +287,7 @@
         *unread = unread.saturating_sub(1);
     }
 
-    /// Notes that work has ended.
+    /// Records that work has ended.
     pub fn end(&mut self, stay: &Stay, share: Share) {
         let Some(runner) = self.in_stay_mut(stay) else { return };
         let requests = &mut runner.own.requests[share.class.index()];
@@ -292,7 +295,7 @@
         runner.own.tokens = runner.own.tokens.saturating_sub(share.footprint);
     }
 
-    /// Takes in what another node has under way at runners, in place of what it last said of them.
+    /// Replaces the outstanding work that another node has reported for runners.
     pub fn take_report(&mut self, node: &NodeId, loads: &[(Tag, Load)], now: Instant) {
         for (tag, load) in loads {
             if let Some(runner) = self.by_tag_mut(*tag) {
@@ -301,7 +304,7 @@
         }
     }
 
-    /// Counts work that this node has placed for another, until that one tells of it.
+    /// Counts work that this node has placed for another, until that node reports it.
     pub fn note_placed(&mut self, node: &NodeId, id: &RunnerId, share: Share, now: Instant) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.health.note_sent(now);
@@ -309,14 +312,14 @@
         }
     }
 
-    /// Takes in how far a runner is with a part for another node.
+    /// Applies another node's report of the prefill progress of a part.
     pub fn take_reading(&mut self, reading: Reading, now: Instant) {
         if let Some(runner) = self.by_tag_mut(reading.runner) {
             runner.cache.note_part(reading.part, reading.progress, now);
         }
     }
 
-    /// Keeps new work from runners that are on their way to another stage.
+    /// Keeps new work away from runners that are changing their stage.
     pub fn reserve(&mut self, tags: &[Tag], until: Instant) {
         for tag in tags {
             if let Some(runner) = self.by_tag_mut(*tag) {
@@ -325,25 +328,25 @@
         }
     }
 
-    /// The tags of the runners at which this node has work under way.
+    /// The tags of the runners at which this node has outstanding work.
     pub fn busy(&self) -> impl Iterator<Item = Tag> {
         self.runners.values().filter(|r| !r.own.is_empty()).map(|r| r.entry.tag())
     }
 }
 
-/// What one piece of work takes of a runner.
+/// The resources that one piece of work takes of a runner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Share {
-    /// The class in which it waits.
+    /// The class in which it is queued.
     pub class: Class,
-    /// Prompt tokens to read.
+    /// Prompt tokens to prefill.
     pub fresh: u64,
     /// Memory, in tokens.
     pub footprint: u64,
 }
 
 impl Share {
-    /// The share as a load, from when it is sent.
+    /// The load that the work adds when it is sent.
     pub fn load(self) -> Load {
         let mut load = Load { tokens: self.footprint, ..Load::default() };
         load.requests[self.class.index()] = 1;
@@ -353,13 +356,13 @@
     }
 }
 
-/// A part of a prompt at a runner, as nodes tell each other.
+/// The prefill progress of a part of a prompt on a runner, as exchanged between nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reading {
-    /// The runner that reads it.
+    /// The runner that prefills it.
     pub runner: Tag,
     /// The part.
     pub part: Part,
-    /// How far the runner is with it.
+    /// Its progress.
     pub progress: Progress,
 }
--- a/lib/src/fleet/runner.rs
+++ b/lib/src/fleet/runner.rs
@@ -1,4 +1,4 @@
-//! One runner as a node sees it.
+//! The state that a node keeps for one runner.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,51 +16,52 @@
 use crate::history::Point;
 use crate::id::{Born, DataCentre, RunnerId, ServiceId};
 
-/// Whether a runner takes new work, in its own words.
+/// The state that a runner reports for itself.
 #[derive(Clone, Copy, Debug, Display, EnumString, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum State {
-    /// It does.
+    /// It accepts new work.
     Ready,
     /// It is about to leave.
     Draining,
 }
 
-/// What the platform's register says of a runner.
+/// The entry of a runner in the platform's register.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its id, which it keeps when it starts again.
+    /// The runner's id, which is kept over restarts.
     pub id: RunnerId,
-    /// When this life of it began; none where its deployment's runners do not say so.
+    /// When this incarnation of the runner started; `None` in deployments whose runners do not
+    /// report it.
     pub born: Option<Born>,
-    /// Its service.
+    /// The service it runs.
     pub service: ServiceId,
-    /// Where it is reached.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The data centre it runs in.
     pub data_centre: DataCentre,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: State,
     /// Its stage, for model engines.
     pub stage: Option<Stage>,
-    /// Requests at once.
+    /// The number of requests that it serves concurrently.
     pub slots: u32,
-    /// Whether it costs less and may be taken back.
+    /// Whether it is a cheaper instance that the platform may reclaim.
     pub reclaimable: bool,
-    /// How often the runner had written it, by its own count within this life.
+    /// How often the runner has written its entry in this incarnation, by its own count.
     pub writes: u64,
-    /// The change by which the entry came to be as it is.
+    /// The store's change that produced this version of the entry.
     pub at: Point,
 }
 
-/// A hash of a runner's id and birth, by which nodes name one life of it to each other in few bytes.
-/// What is told of a former life names no runner that is known, and so changes nothing. Two lives
-/// with one tag would share a load report, which is a hint and no more.
+/// A hash of a runner's id and start time, by which nodes refer to one incarnation of it in few
+/// bytes. A message about a former incarnation matches no known runner and has no effect. Two
+/// incarnations with the same tag would share a load report, which is only a hint.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Tag(pub u64);
 
 impl Tag {
-    /// The tag of one life of a runner.
+    /// The tag of one incarnation of a runner.
     pub fn of(id: &RunnerId, born: Option<Born>) -> Self {
         let id = place(0, id.as_str().as_bytes());
         Self(born.map_or(id, |born| place(id, &born.0.to_le_bytes())))
@@ -68,13 +69,14 @@
 }
 
 impl Entry {
-    /// The tag of the life that the entry is of.
+    /// The tag of the incarnation that wrote the entry.
     pub fn tag(&self) -> Tag {
         Tag::of(&self.id, self.born)
     }
 
-    /// Whether the store, back from a copy, shows with this entry no more than what the same life of the
-    /// runner had written when it wrote `known`. Who leaves does not come back in that life.
+    /// Whether this entry, read from a store that was restored from a copy, tells nothing that the
+    /// same incarnation had not written before `known`. A runner that leaves does not return in the
+    /// same incarnation.
     pub fn is_shown_again(&self, known: &Entry) -> bool {
         let same_life = self.id == known.id && self.born == known.born;
         let leaves = self.state == State::Draining && known.state == State::Ready;
@@ -84,64 +86,64 @@
     }
 }
 
-/// One stay of a runner in this node's register: from when the node first heard of this life of it
-/// until the life, or the entry, was gone. Work is counted to the stay in which it began, so that
-/// what ends late is not taken off the next life's count, and no failure of the former one, answer,
-/// or prompt that it had read is put down to the next.
+/// One registration of a runner at this node: from when the node first heard of an incarnation
+/// until the incarnation or its entry was gone. Work is attributed to the registration in which it
+/// started, so that work that ends late is not subtracted from the load of the next incarnation,
+/// and failures, answers and prefilled prompts of the former one are not attributed to it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Stay {
-    /// The runner.
+    /// The runner's id.
     pub id: RunnerId,
-    /// When its life began.
+    /// When the incarnation started.
     pub born: Option<Born>,
-    /// The number of the stay at this node.
+    /// The sequence number of the registration at this node.
     pub(super) number: u64,
 }
 
-/// A runner: its entry, and what this node knows besides.
+/// A runner: its entry, and what this node knows about it.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// The platform's entry.
+    /// The entry in the platform's register.
     pub entry: Entry,
-    /// The number of its stay in this node's register.
+    /// The sequence number of the registration at this node.
     number: u64,
-    /// The pool of its service that it belongs to.
+    /// The pool of its service that the runner is assigned to.
     pub pool: Pool,
-    /// Its health.
+    /// Failure history.
     pub health: Record,
-    /// What this node has under way there.
+    /// The outstanding work of this node.
     pub own: Load,
-    /// What other nodes have under way there.
+    /// The outstanding work of other nodes.
     pub others: Others,
-    /// What it probably keeps of prompts.
+    /// The prompt prefixes that it probably has cached.
     pub cache: Cache,
-    /// How its speed differs from the model's.
+    /// How its speed differs from the engine model.
     pub pace: Pace,
     /// The mean time of a plain answer, in seconds.
     pub answer_time: f64,
-    /// The mean time for which a stream holds its place in the batch, in seconds.
+    /// The mean time for which a stream holds its batch slot, in seconds.
     pub stream_time: f64,
-    /// Until when it gets no new work, since it is on its way to another stage.
+    /// Until when it gets no new work because it is changing its stage.
     pub reserved: Option<Instant>,
-    /// Its rate limit.
+    /// The rate limit it has announced.
     pub limit: Limit,
-    /// Until when this node sends it nothing, by its own word.
+    /// The back-off of this node from it.
     pub back_off: BackOff,
-    /// Whether this life of it has said in an answer that it leaves.
+    /// Whether this incarnation has said in an answer that it leaves.
     has_said_leaving: bool,
 }
 
-/// What closes a runner for a time, and for how long.
+/// Why a runner is closed to new requests, and for how long.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Closed {
-    /// Its rate limit.
+    /// Its rate limit is exhausted.
     RateLimit(Duration),
-    /// It has refused a request of this node for so long.
+    /// It rejected a request of this node and asked for this pause.
     BackOff(Duration),
 }
 
 impl Closed {
-    /// For how long.
+    /// How long the runner stays closed.
     pub fn wait(self) -> Duration {
         match self {
             Closed::RateLimit(wait) | Closed::BackOff(wait) => wait,
@@ -149,19 +151,20 @@
     }
 }
 
-/// What is assumed of a plain answer's time until some have come, in seconds (users' sheets: 15 ms
-/// of work).
+/// The assumed time of a plain answer until some have been seen, in seconds (reference sheets: 15
+/// ms of work).
 const FIRST_ANSWER_TIME: f64 = 0.015;
-/// What is assumed of the time a stream takes until some have ended, in seconds: a start and a dozen
+/// The assumed time of a stream until some have ended, in seconds: the startup latency and a dozen
 /// steps.
 const FIRST_STREAM_TIME: f64 = 0.1;
-/// The gain with which the mean times follow what is seen.
+/// The gain of the moving averages of answer and stream times.
 const ANSWER_GAIN: f64 = 0.1;
-/// The tokens whose reading time gives the rate at which a backlog shrinks.
+/// The prompt size from whose prefill time the prefill rate is derived, in tokens.
 const RATE_SAMPLE: u64 = 8_192;
 
 impl Runner {
-    /// A runner of which only the entry is known, with the number of its stay in the register.
+    /// Creates a runner of which only the entry is known, with the sequence number of its
+    /// registration.
     pub fn new(entry: Entry, number: u64) -> Self {
         Self {
             entry,
@@ -181,29 +184,29 @@
         }
     }
 
-    /// Its stay in this node's register.
+    /// The current registration at this node.
     pub fn stay(&self) -> Stay {
         Stay { id: self.entry.id.clone(), born: self.entry.born, number: self.number }
     }
 
-    /// Whether it is still in the stay that `stay` tells of.
+    /// Whether `stay` is the current registration.
     pub fn is_in(&self, stay: &Stay) -> bool {
         self.number == stay.number
     }
 
-    /// Whether new work may go there.
+    /// Whether it is eligible for new work.
     pub fn takes_work(&self, now: Instant) -> bool {
         let reserved = self.reserved.is_some_and(|until| now < until);
         !self.is_leaving() && !reserved && self.health.takes_work(now)
     }
 
-    /// Whether a request may be sent there now: it takes work, and nothing that it has said of itself
-    /// closes it for a time.
+    /// Whether a request may be sent now: it is eligible for work and not closed by a rate limit or
+    /// back-off.
     pub fn accepts(&self, now: Instant) -> bool {
         self.takes_work(now) && self.closed(now).is_none()
     }
 
-    /// What closes it for a time though it takes work, and for how long; none if nothing does.
+    /// What closes it to new requests, and for how long; `None` if nothing does.
     pub fn closed(&self, now: Instant) -> Option<Closed> {
         let (limited, backs_off) = (self.limit.opens_in(now), self.back_off.ends_in(now));
         if backs_off > limited {
@@ -212,74 +215,74 @@
         (!limited.is_zero()).then_some(Closed::RateLimit(limited))
     }
 
-    /// Whether it could do work at all if no better one were left.
+    /// Whether it may be used if no better runner is left.
     pub fn is_last_resort(&self) -> bool {
         !self.is_leaving() && !self.health.is_gone()
     }
 
-    /// Whether it leaves, by the register or by its own word.
+    /// Whether it leaves, by its register entry or its own answers.
     pub fn is_leaving(&self) -> bool {
         self.has_said_leaving || self.entry.state == State::Draining
     }
 
-    /// Whether this life of it has said in an answer that it leaves.
+    /// Whether this incarnation has said in an answer that it leaves.
     pub fn has_said_leaving(&self) -> bool {
         self.has_said_leaving
     }
 
-    /// Notes that it has said in an answer that it leaves. True if that is new.
+    /// Records that it has said in an answer that it leaves. Returns whether this is new.
     pub fn note_leaving(&mut self) -> bool {
         !std::mem::replace(&mut self.has_said_leaving, true)
     }
 
-    /// The rate at which it reads prompts, in tokens a second.
+    /// Prefill rate, in tokens per second.
     pub fn prefill_rate(&self) -> f64 {
         let Some(stage) = self.entry.stage else { return 1.0 };
         let time = prefill_time(stage, RATE_SAMPLE, 0, self.own.total());
         RATE_SAMPLE as f64 / (time * self.pace.factor())
     }
 
-    /// What all nodes together have under way there.
+    /// The outstanding work of all nodes together.
     pub fn load(&self, now: Instant) -> Load {
         let mut load = self.others.sum(now, self.prefill_rate());
         load.add(&self.own);
         load
     }
 
-    /// How long new work of `class` waits before its prompt is begun, in seconds. Each prompt takes a
-    /// step of its own, however short it is: twenty lookups of 300 tokens take as long as a prompt of
-    /// twice their tokens.
+    /// How long new work of `class` waits before its prefill starts, in seconds. Each prompt takes
+    /// at least one step, however short it is: twenty lookups of 300 tokens take as long as one
+    /// prompt with twice their tokens.
     pub fn wait(&self, load: &Load, class: Class) -> f64 {
         let tokens = load.ahead(class) + load.begun(class);
         let steps = f64::from(load.prompts(class)) * step_time(0) * self.pace.factor();
         tokens as f64 / self.prefill_rate() + steps
     }
 
-    /// How long it takes to read `fresh` tokens after `cached` ones once begun, in seconds.
+    /// The prefill time of `fresh` tokens after `cached` ones, in seconds.
     pub fn reading(&self, load: &Load, fresh: u64, cached: u64) -> f64 {
         let Some(stage) = self.entry.stage else { return 0.0 };
         prefill_time(stage, fresh, cached, load.total()) * self.pace.factor()
     }
 
-    /// How long one step takes there, in seconds.
+    /// The duration of one step, in seconds.
     pub fn step(&self, load: &Load) -> f64 {
         step_time(load.total()) * self.pace.factor()
     }
 
-    /// Whether `tokens` more fit into its memory beside what is under way.
+    /// Whether `tokens` more fit into its memory.
     pub fn has_room(&self, load: &Load, engine: &Engine, tokens: u64) -> bool {
         load.tokens + tokens <= engine.memory / 10 * 9
     }
 
-    /// How long new work of `class` waits for a place in the batch of `slots`, in seconds. Less urgent
-    /// work that waits is overtaken; less urgent work that runs keeps its place until it ends.
+    /// How long new work of `class` waits for one of the `slots` of the batch, in seconds. It
+    /// overtakes less urgent work that is waiting, but not less urgent work that is running.
     pub fn wait_for_place(&self, load: &Load, class: Class, slots: u32) -> f64 {
         let ahead = (load.before(class) + 1).saturating_sub(slots);
         let ahead = ahead.max(u32::from(load.total() >= slots));
         f64::from(ahead) * self.stream_time / f64::from(slots.max(1))
     }
 
-    /// Learns from a stream whose events took `seconds` from the first to the last.
+    /// Learns from a stream that took `seconds` from its first event to its last.
     pub fn learn_stream(&mut self, seconds: f64) {
         self.stream_time += (seconds + start_time() - self.stream_time) * ANSWER_GAIN;
     }
