--- a/lib/src/fleet/back_off.rs
+++ b/lib/src/fleet/back_off.rs
@@ -1,22 +1,22 @@
-//! Back-off from a runner that has rejected a request with a time to retry after.
+//! Back-off from a runner that has rejected a request with a retry delay.
 
 use std::time::{Duration, Instant};
 
 use crate::decimal::{self, DecimalError};
 
-/// The longest time that is kept to. No one answer takes a runner away for longer.
+/// The longest back-off. No single answer takes a runner out of use for longer.
 pub const LONGEST: Duration = Duration::from_secs(300);
 
-/// Reads a time to retry after, in seconds with fractions.
+/// Parses a retry delay in seconds, with optional fractions.
 ///
 /// # Errors
-/// It is no time in seconds.
+/// Fails if the text is not a number of seconds.
 pub fn read(text: &str) -> Result<Duration, DecimalError> {
     let seconds = decimal::read(text)?;
     Ok(Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST).min(LONGEST))
 }
 
-/// Until when a node sends a life of a runner nothing.
+/// The time until which a node sends nothing to an incarnation of a runner.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackOff {
     until: Option<Instant>,
@@ -24,8 +24,8 @@
 }
 
 impl BackOff {
-    /// Backs off for `after`. Of two answers the later end holds. True if this node was not backing off
-    /// before.
+    /// Backs off for `after`. Of overlapping back-offs the later end applies. Returns whether this
+    /// node was not backing off before.
     pub fn note(&mut self, after: Duration, now: Instant) -> bool {
         let begins = self.is_over(now);
         let until = now + after.min(LONGEST);
@@ -33,17 +33,17 @@
         begins
     }
 
-    /// Notes a time that cannot be read. True the first time.
+    /// Records a retry delay that could not be parsed. Returns whether it is the first.
     pub fn note_malformed(&mut self) -> bool {
         !std::mem::replace(&mut self.has_malformed, true)
     }
 
-    /// Whether requests may be sent again.
+    /// Whether requests may be sent.
     pub fn is_over(&self, now: Instant) -> bool {
         self.ends_in(now).is_zero()
     }
 
-    /// How long it is until they may.
+    /// The time until requests may be sent.
     pub fn ends_in(&self, now: Instant) -> Duration {
         self.until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
--- a/lib/src/fleet/digest.rs
+++ b/lib/src/fleet/digest.rs
@@ -1,18 +1,20 @@
-//! Finding out by the digests in beats that what nodes know differs, so that they compare it.
+//! Detects by the digests in heartbeats that nodes have different knowledge, so that they compare
+//! it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::id::NodeId;
 
-/// How long another node's digest must have differed, and the least pause between two comparisons.
-/// What is new reaches all within a tenth of it.
+/// How long another node's digest must differ before the nodes compare, and the minimum time
+/// between two comparisons. News reaches all nodes within a tenth of it.
 const DIFFERENCE: Duration = Duration::from_secs(1);
-/// The most nodes that are remembered to differ: many more than beat to one.
+/// The maximum number of differing nodes that are tracked: many more than send heartbeats to one
+/// node.
 const MOST: usize = 64;
 
-/// Which nodes' digests differ from this one's, and since when. Each node's is timed by itself: one
-/// that has missed something says so alone, among many that have not.
+/// The nodes whose digests differ from this node's, and since when. Each node is timed separately,
+/// as a node that has missed an update is the only one to differ.
 #[derive(Clone, Debug, Default)]
 pub struct Differences {
     since: HashMap<NodeId, Instant>,
@@ -20,8 +22,8 @@
 }
 
 impl Differences {
-    /// Notes whether the digest of a node is the same as this one's. True if it is time to compare
-    /// with that node.
+    /// Records whether the digest of a node equals this node's. Returns whether it is time to
+    /// compare with that node.
     pub fn note(&mut self, node: &NodeId, same: bool, now: Instant) -> bool {
         if same {
             self.since.remove(node);
--- a/lib/src/fleet/fanout.rs
+++ b/lib/src/fleet/fanout.rs
@@ -1,31 +1,31 @@
-//! Giving something large to many nodes that ask for it in the same instant.
+//! Distributes a large object to many nodes that request it at the same time.
 //!
-//! The load: a new configuration of up to a megabyte, which a few nodes have and all others ask them
-//! for at once, over links of 10 Mbit/s. Copies that share a link end late together, and a copy that
-//! is given up has cost as much as one that arrives. So a node gives few copies at a time while the
-//! others wait, and whoever has just got one takes over half of those: with copies in turn n nodes
-//! have it after the time of log2 n copies, with all at once after that of n.
+//! The case it handles is a new configuration of up to a megabyte, which a few nodes have and all
+//! others request at once, over links of 10 Mbit/s. Copies that share a link all finish late, and
+//! an aborted copy has cost as much as a complete one. So a node sends few copies at a time while
+//! the other requesters wait, and each node that has received a copy takes over half of those: this
+//! way n nodes have it after the time of log2 n copies, with all copies at once after that of n.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// The fewest copies that a node gives at once: with one alone, a receiver whose path is cut would
-/// hold up all others.
+/// The minimum number of concurrent copies: with a single one, a receiver that has become
+/// unreachable would block all others.
 const FEWEST: usize = 2;
-/// Bytes that a node gives at once; what 10 Mbit/s, the thinnest link of the users' sheets, carry in
-/// 50 ms. Small copies need not wait for each other.
+/// The bytes that a node sends concurrently: what 10 Mbit/s, the slowest link in the reference
+/// sheets, carry in 50 ms. Small copies need not wait for each other.
 const AT_ONCE: usize = 64 << 10;
 
-/// What becomes of a node that asks.
+/// The response to a waiting requester.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Turn {
-    /// It is given its copy now.
+    /// It is sent its copy now.
     Given,
-    /// It should ask this node, which has just got one.
+    /// It should ask this node, which has just received a copy.
     Elsewhere(SocketAddr),
 }
 
-/// The nodes that ask one node; `W` stands for one that waits.
+/// The nodes that request a copy from one node; `W` represents a waiting one.
 #[derive(Debug)]
 pub struct Fanout<W> {
     given: usize,
@@ -39,8 +39,8 @@
 }
 
 impl<W> Fanout<W> {
-    /// Takes in a node that asks for a copy of `bytes` bytes. True if it is given one now; its end
-    /// is to be told by [`Fanout::end`]. Otherwise it waits.
+    /// Handles a request for a copy of `bytes` bytes. Returns whether it is sent now; its end must
+    /// then be reported with [`Fanout::end`]. Otherwise the requester waits.
     pub fn ask(&mut self, waiter: impl FnOnce() -> W, bytes: usize) -> bool {
         let now = self.given < most_at_once(bytes);
         if now {
@@ -51,8 +51,8 @@
         now
     }
 
-    /// Notes that a copy has ended, with the node that got it whole if one did, and gives the turns
-    /// of those that need not wait any more. `bytes` is the size of the next copies.
+    /// Records that a copy has ended, with the receiver if it was complete, and returns the
+    /// responses to requesters that no longer need to wait. `bytes` is the size of the next copies.
     pub fn end(&mut self, receiver: Option<SocketAddr>, bytes: usize) -> Vec<(W, Turn)> {
         self.given = self.given.saturating_sub(1);
         let mut turns = Vec::new();
@@ -67,12 +67,12 @@
         turns
     }
 
-    /// Forgets those that wait no more.
+    /// Removes requesters that no longer wait.
     pub fn retain(&mut self, waits: impl FnMut(&W) -> bool) {
         self.waiting.retain(waits);
     }
 
-    /// How many wait.
+    /// The number of waiting requesters.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
--- a/lib/src/fleet/fingerprint.rs
+++ b/lib/src/fleet/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests one and the same, whatever attempt of whichever caller's they are.
+//! Fingerprints, which identify equal requests across attempts and callers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,22 +11,23 @@
 /// The length of a fingerprint in bytes.
 const LENGTH: usize = 16;
 
-/// A hash over what a runner is asked. It is wide and hard to collide with on purpose: a caller must
-/// not be able to make a request that is taken for another's.
+/// A hash of what a runner is asked. It is collision-resistant, as a caller must not be able to
+/// construct a request that is taken for another caller's.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Fingerprint([u8; LENGTH]);
 
-/// Text or bytes that are no fingerprint.
+/// The error for text or bytes that are not a fingerprint.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 #[error("a fingerprint is {} hexadecimal digits", LENGTH * 2)]
 pub struct FingerprintError;
 
 impl Fingerprint {
-    /// The fingerprint of a request by its parts, such as its path and body, in their order.
+    /// The fingerprint of a request from its parts, such as path and body, in order.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hash = Sha256::new();
         for part in parts {
-            // Lengths keep the end of one part from passing for the start of the next.
+            // Lengths separate the parts, so that moving bytes between adjacent parts changes the
+            // hash.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
@@ -36,7 +37,7 @@
         Self(bytes)
     }
 
-    /// Its bytes.
+    /// The bytes of the fingerprint.
     pub fn as_bytes(&self) -> &[u8; LENGTH] {
         &self.0
     }
--- a/lib/src/fleet/limit.rs
+++ b/lib/src/fleet/limit.rs
@@ -1,7 +1,9 @@
-//! The rate limit that a runner announces: the requests a second that it accepts from all nodes together.
+//! Rate limits announced by runners: the requests per second that a runner accepts from all nodes
+//! together.
 //!
-//! One node grants permits for a runner from a token bucket, the others acquire one for each request.
-//! Announcements come in answers of the runner, to this node or another, and the latest holds.
+//! For each runner, one node grants permits from a token bucket, and the other nodes acquire a
+//! permit for each request. A runner announces its limit in answers, to this node or another; the
+//! latest announcement applies.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -13,23 +15,24 @@
 use super::runner::Tag;
 use crate::decimal::{self, DecimalError};
 
-/// Requests a second.
+/// A rate in requests per second.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Rate(f64);
 
-/// The least rate that is kept to, in requests a second. A runner that announces less still gets a request
-/// now and then: only its answers tell that the limit is over.
+/// The minimum rate, in requests per second. A runner that announces less still gets an occasional
+/// request, as only its answers show that the limit is over.
 const LEAST: f64 = 0.25;
-/// The highest rate that is kept to, in requests a second; more than any runner serves.
+/// The maximum rate, in requests per second; more than any runner serves.
 const MOST: f64 = 1e6;
 
 impl Rate {
-    /// A rate of so many requests a second, within the range that is kept to; none if it is no number.
+    /// Creates a rate, clamped to the supported range. Returns `None` if `per_second` is negative
+    /// or not a number.
     pub fn new(per_second: f64) -> Option<Self> {
         (per_second >= 0.0).then(|| Self(per_second.clamp(LEAST, MOST)))
     }
 
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -56,18 +59,19 @@
     }
 }
 
-/// A token bucket: requests that may be sent at once, filled at a rate.
+/// A token bucket.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: f64,
     at: Instant,
 }
 
-/// The requests that an idle bucket saves up: one, and so many seconds of its rate.
+/// The capacity of a bucket: a number of tokens, plus a number of seconds at its rate.
 const BURST: (f64, f64) = (1.0, 0.25);
 
 impl Bucket {
-    /// An empty bucket: a node that begins to grant does not know what the one before it granted last.
+    /// Creates an empty bucket: a node that starts to grant permits does not know what the previous
+    /// granter has granted last.
     fn new(now: Instant) -> Self {
         Self { tokens: 0.0, at: now }
     }
@@ -84,94 +88,97 @@
         takes
     }
 
-    /// How long it is until there is a token.
+    /// The time until a token is available.
     fn wait(&self, rate: f64) -> Duration {
         Duration::from_secs_f64((1.0 - self.tokens).max(0.0) / rate)
     }
 }
 
-/// What a runner last said of its limit.
+/// The last announcement of a runner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Notice {
-    /// The rate; none if the answer announced no limit.
+    /// The rate; `None` if the answer announced no limit.
     pub rate: Option<Rate>,
-    /// When the answer came.
+    /// When the answer arrived.
     pub at: Instant,
 }
 
-/// What a runner has announced, as nodes tell each other.
+/// An announcement of a runner, as exchanged between nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Announced {
-    /// The life of the runner.
+    /// The incarnation of the runner.
     pub runner: Tag,
-    /// The rate; none if the limit is over.
+    /// The rate; `None` if the limit was lifted.
     pub rate: Option<Rate>,
-    /// How long ago it said so.
+    /// The age of the announcement.
     pub age: Duration,
 }
 
-/// How a limit changed.
+/// A change of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// It is there, or another one than before.
+    /// A limit was set or changed.
     Set(Rate),
-    /// It is over.
+    /// The limit was lifted.
     Lifted,
 }
 
-/// The rate limit of one life of a runner, as a node knows it.
+/// The rate limit of one incarnation of a runner, as known to one node.
 #[derive(Clone, Debug, Default)]
 pub struct Limit {
-    /// What the runner last said; none while it has never announced a limit.
+    /// The last announcement; `None` if the runner has never announced a limit.
     notice: Option<Notice>,
-    /// What this node grants from, if it has.
+    /// The bucket from which this node grants permits, if it has granted any.
     bucket: Option<Bucket>,
-    /// Tokens set aside for requests that were placed, each until when.
+    /// Expiry times of the tokens reserved for requests that have been placed.
     reserved: VecDeque<Instant>,
-    /// Requests that were refused a permit and are to come back, by the rate that works them off.
+    /// The number of requests that were denied a permit and will ask again, which decreases at the
+    /// granted rate.
     waiting: f64,
-    /// Until when this node sends the runner nothing.
+    /// Until when this node sends nothing to the runner.
     closed_until: Option<Instant>,
-    /// Whether an answer has announced a limit that is no rate.
+    /// Whether an answer has announced a limit that could not be parsed.
     has_malformed: bool,
 }
 
-/// For how long a token is set aside. A window of the users' rule sees up to this more of the rate.
+/// How long a token stays reserved. A window in which the users count requests can contain this
+/// much more of the rate.
 const RESERVED: Duration = Duration::from_secs(1);
-/// The longest time after which a node that was refused a permit asks again.
+/// The longest time after which a node that was denied a permit asks again.
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
 
 impl Limit {
-    /// The rate; none if the runner takes what comes.
+    /// The rate; `None` if there is no limit.
     pub fn rate(&self) -> Option<Rate> {
         self.notice.and_then(|notice| notice.rate)
     }
 
-    /// What the runner last said; none while it has never announced a limit.
+    /// The last announcement; `None` if the runner has never announced a limit.
     pub fn notice(&self) -> Option<Notice> {
         self.notice
     }
 
-    /// Whether a request may be sent there, as far as this node knows without a permit.
+    /// Whether a request may be sent, as far as this node knows without asking for a permit.
     pub fn is_open(&self, now: Instant) -> bool {
         self.opens_in(now).is_zero()
     }
 
-    /// Whether a token is set aside there.
+    /// Whether a token is reserved.
     pub fn has_reserved(&self, now: Instant) -> bool {
         self.reserved.back().is_some_and(|until| now < *until)
     }
 
-    /// How long it is until a request may be sent there.
+    /// The time until a request may be sent.
     pub fn opens_in(&self, now: Instant) -> Duration {
         let closed = self.closed_until.filter(|_| self.rate().is_some());
         closed.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Takes in what an answer of the runner announces, whose request was sent at `sent`.
+    /// Applies the limit announced in an answer to a request that was sent at `sent`.
     ///
-    /// Answers overtake each other: only one to a request that was sent after the last notice came was
-    /// certainly written after it. Of two whose order is not known the lower rate holds.
+    /// Answers can overtake each other: only an answer to a request sent after the last
+    /// announcement arrived is certainly later than it. If the order of two answers is unknown, the
+    /// lower rate applies.
     pub fn note_answer(
         &mut self,
         named: Option<Rate>,
@@ -191,9 +198,10 @@
         self.set(Notice { rate, at: now })
     }
 
-    /// Takes in what another node has heard from the runner.
+    /// Applies an announcement that another node has received.
     pub fn take_notice(&mut self, notice: Notice) -> Option<Change> {
-        // Told back and forth, one announcement would seem newer by the time on the way.
+        // An announcement that is passed back and forth would look newer by the time it was under
+        // way.
         let is_new = notice.rate != self.rate();
         let is_newer = self.notice.is_none_or(|last| notice.at > last.at);
         if is_new && is_newer { self.set(notice) } else { None }
@@ -210,21 +218,22 @@
         Some(notice.rate.map_or(Change::Lifted, Change::Set))
     }
 
-    /// Notes that an answer announces a limit that is no rate. True the first time.
+    /// Records that an answer announced a limit that could not be parsed. Returns whether it is the
+    /// first.
     pub fn note_malformed(&mut self) -> bool {
         !std::mem::replace(&mut self.has_malformed, true)
     }
 
-    /// Sets a token aside for a request that is placed there and is to ask for its permit soon, or
-    /// once its prompt has been read elsewhere.
+    /// Reserves a token for a request that has been placed and will ask for its permit soon, or
+    /// once its prompt has been prefilled elsewhere.
     pub fn reserve(&mut self, part: f64, now: Instant) {
         if self.rate().is_some() && self.take_token(part, now) {
             self.reserved.push_back(now + RESERVED);
         }
     }
 
-    /// Takes a token of the part `part` of the rate if there is one. The runner is closed until the
-    /// next one comes.
+    /// Takes a token from the fraction `part` of the rate, if there is one. The runner is closed
+    /// until the next token is available.
     fn take_token(&mut self, part: f64, now: Instant) -> bool {
         let Some(rate) = self.rate() else { return true };
         let rate = rate.per_second() * part;
@@ -236,7 +245,7 @@
         taken
     }
 
-    /// Takes the token that was set aside longest ago, if one is left.
+    /// Takes the oldest reserved token that has not expired, if there is one.
     fn take_reserved(&mut self, now: Instant) -> bool {
         while let Some(until) = self.reserved.pop_front() {
             if now < until {
@@ -246,11 +255,11 @@
         false
     }
 
-    /// Grants a permit to send one request, out of the part `part` of the rate that this node may
-    /// grant, or tells when to ask again. Those who have to wait are given different times.
+    /// Grants a permit to send one request, out of the fraction `part` of the rate that this node
+    /// may grant. Requesters that are denied one are given different times to ask again.
     ///
     /// # Errors
-    /// When to ask again.
+    /// Returns the time after which to ask again if there is no permit.
     pub fn grant(&mut self, part: f64, now: Instant) -> Result<(), Duration> {
         let Some(rate) = self.rate() else { return Ok(()) };
         if self.take_reserved(now) || self.take_token(part, now) {
@@ -263,12 +272,12 @@
         Err((wait + behind).min(LONGEST_WAIT.max(wait)))
     }
 
-    /// Notes that no permit is to be had before `wait` is over.
+    /// Records that no permit is available for `wait`.
     pub fn note_denied(&mut self, wait: Duration, now: Instant) {
         let until = now + wait.min(LONGEST_DENIAL);
         self.closed_until = Some(self.closed_until.map_or(until, |closed| closed.max(until)));
     }
 }
 
-/// The longest time for which another node's refusal of a permit is believed: that of the least rate.
+/// The longest time for which another node's denial applies, derived from the minimum rate.
 const LONGEST_DENIAL: Duration = Duration::from_secs(8);
--- a/lib/src/fleet/mark.rs
+++ b/lib/src/fleet/mark.rs
@@ -1,45 +1,46 @@
-//! How new a node's knowledge of the register of runners is.
+//! The version of a node's copy of the runner register.
 
 use std::fmt;
 
 use crate::history::{Era, Point};
 
-/// The bits of an order below the store's revision: room for what a node concludes by itself, such
-/// as that an entry did not come back after an outage.
+/// The low bits of `order`, below the store's revision: they count the changes that a node makes
+/// without the store, such as removing an entry that did not come back after an outage.
 const OWN_BITS: u32 = 16;
 
-/// How new a node's knowledge of the register is: by the era of the store, then by an order within it
-/// that goes up with the store's revisions.
+/// The version of a node's copy of the runner register: the era of the store, then an order within
+/// the era that increases with the store's revision.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Mark {
     /// The era.
     pub era: Era,
-    /// The order within the era; nought where nothing is known.
+    /// The order within the era; zero if nothing is known.
     pub order: u64,
 }
 
 impl Mark {
-    /// The mark of a change in the store.
+    /// The version for a change of the store.
     pub fn of(point: Point) -> Self {
         Self { era: point.era, order: point.revision.0 << OWN_BITS }
     }
 
-    /// The mark of a store in which nothing has changed: it is more than nothing known.
+    /// At least the version of a store without any change, which is later than the version of an
+    /// unknown register.
     pub fn at_least_first(self) -> Self {
         Self { order: self.order.max(1), ..self }
     }
 
-    /// The store's change that the mark belongs to.
+    /// The store's change that the version belongs to.
     pub fn point(self) -> Point {
         Point::new(self.era, self.order >> OWN_BITS)
     }
 
-    /// The mark that follows this one.
+    /// The next version.
     pub fn next(self) -> Self {
         Self { order: self.order + 1, ..self }
     }
 
-    /// Whether it says that nothing is known.
+    /// Whether nothing is known.
     pub fn is_nothing(self) -> bool {
         self.order == 0
     }
--- a/lib/src/fleet/mod.rs
+++ b/lib/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! The serving core on a platform that keeps configuration and runners: routes, runners, the
-//! choice among them, and the gate before them.
+//! The serving core on a platform that stores configuration and a register of runners: routing,
+//! placement, admission control and the state of runners and nodes.
 
 pub mod back_off;
 pub mod balance;
--- a/lib/src/fleet/outbox.rs
+++ b/lib/src/fleet/outbox.rs
@@ -1,41 +1,41 @@
-//! Gossip about runners that is yet to be sent with heartbeats: each change once as soon as it is known,
-//! and again later, since datagrams are lost and nodes start late.
+//! Gossip about runners that is waiting to be sent with heartbeats. Each change is sent as soon as
+//! it is known, and again later, as datagrams are lost and nodes start late.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use super::runner::Tag;
 
-/// The most changes that one beat tells.
+/// The maximum number of changes in one heartbeat.
 pub const MOST_TOLD: usize = 16;
-/// The most that a beat without new changes tells again.
+/// The maximum number of changes that a heartbeat without new ones repeats.
 const MOST_RETOLD: usize = 4;
 
 #[derive(Clone, Copy, Debug)]
 struct Change {
     since: Instant,
-    /// When it was told last; none if it is yet to be told.
+    /// When it was last sent; `None` if it has not been sent.
     told: Option<Instant>,
 }
 
-/// The changes to be told, by the life of the runner.
+/// The changes to send, by the tag of the runner.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox {
     changes: HashMap<Tag, Change>,
 }
 
 impl Outbox {
-    /// Has a change told with the next beat, and again with later ones.
+    /// Adds a change to the next heartbeat, and to later ones.
     pub fn push(&mut self, runner: Tag, now: Instant) {
         self.changes.insert(runner, Change { since: now, told: None });
     }
 
-    /// What the next beat tells, with the time since each change; with `again` also what beats before
-    /// it have told. It counts as told.
+    /// Takes the changes for the next heartbeat, with their age. With `again`, includes changes
+    /// that were sent before. They are marked as sent.
     pub fn take(&mut self, again: bool, now: Instant) -> Vec<(Tag, Duration)> {
         let mut due: Vec<(Option<Instant>, Tag)> =
             self.changes.iter().map(|(tag, change)| (change.told, *tag)).collect();
-        // What is yet to be told comes first, then what was told longest ago.
+        // Changes that have not been sent come first, then those that were sent longest ago.
         due.sort_unstable_by_key(|(told, tag)| (*told, tag.0));
         let new = due.iter().filter(|(told, _)| told.is_none()).count();
         due.truncate(if again { new.max(MOST_RETOLD) } else { new }.min(MOST_TOLD));
@@ -49,12 +49,12 @@
         taken
     }
 
-    /// Stops telling of a runner.
+    /// Removes the change of a runner.
     pub fn forget(&mut self, runner: Tag) {
         self.changes.remove(&runner);
     }
 
-    /// Whether there is a change that no beat has told yet.
+    /// Whether there is a change that has not been sent.
     pub fn has_new(&self) -> bool {
         self.changes.values().any(|change| change.told.is_none())
     }
--- a/lib/src/fleet/quarantine/answered.rs
+++ b/lib/src/fleet/quarantine/answered.rs
@@ -1,14 +1,14 @@
-//! Requests that were answered lately.
+//! Recently answered requests.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
 
 use crate::fleet::fingerprint::Fingerprint;
 
-/// The most answered requests that are remembered.
+/// The maximum number of answered requests that are remembered.
 const MOST_ANSWERED: usize = 4_096;
 
-/// When requests were last answered whole.
+/// When requests were last answered completely.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Answered {
     at: HashMap<Fingerprint, Instant>,
--- a/lib/src/fleet/quarantine/entry.rs
+++ b/lib/src/fleet/quarantine/entry.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of one request that is not run, or was not.
+//! Quarantine entries, as exchanged between nodes.
 
 use std::time::{Duration, Instant};
 
@@ -9,45 +9,45 @@
 use crate::fleet::runner::Tag;
 use crate::fleet::suspect::MOST_ENDS;
 
-/// How long a proposal that nobody decides keeps a request from being run: those who counted are gone
-/// then, or were held up and know nothing newer.
+/// How long a proposal without a decision keeps a request from running. After that, the nodes that
+/// counted are gone, or have stalled and have no newer information.
 const UNDECIDED: Duration = Duration::from_secs(2);
 
-/// How far it has come with a request. Of two that are told with one serial the later one holds.
+/// The state of an entry. Of two states with the same serial the later one applies.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, IntoStaticStr, Ord, PartialEq, PartialOrd)]
 #[strum(serialize_all = "snake_case")]
 pub enum Stage {
-    /// It is not run until it is decided.
+    /// The request does not run until the decision.
     Proposed,
-    /// It is refused.
+    /// The request is refused.
     Confirmed,
-    /// It is run again; its ends still count.
+    /// The request runs again; its ends still count.
     Withdrawn,
-    /// It is run again: it has been answered, or an operator has released it.
+    /// The request runs again: it was answered, or an operator has released it.
     Cleared,
 }
 
-/// What nodes tell each other of a request.
+/// The quarantine entry of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The request.
+    /// The fingerprint of the request.
     pub request: Fingerprint,
-    /// Which proposal of it this is. A later one outweighs an earlier one.
+    /// The number of the proposal. A later proposal supersedes an earlier one.
     pub serial: u32,
-    /// How far it has come.
+    /// The state of the entry.
     pub stage: Stage,
-    /// The lives of runners that ended under it.
+    /// The incarnations of runners that ended under the request.
     pub ends: SmallVec<[Tag; MOST_ENDS]>,
-    /// At how many of them its run had begun.
+    /// At how many of them its run had started.
     pub begun: u32,
     /// When the first of them ended.
     pub first: Instant,
-    /// When it came to this stage.
+    /// When the entry reached its state.
     pub since: Instant,
 }
 
 impl Entry {
-    /// Whether it keeps the request from being run.
+    /// Whether it keeps the request from running.
     pub(super) fn stands(&self, now: Instant) -> bool {
         match self.stage {
             Stage::Proposed => now < self.since + UNDECIDED,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// How strongly the ends speak against it, beside others.
+    /// How strong the evidence against the request is, for comparison with other entries.
     pub(super) fn weight(&self) -> (usize, u32) {
         (self.ends.len(), self.begun)
     }
 
-    /// How many of its ends are left without those of `others`.
+    /// The number of its ends that are not ends of `others`.
     pub(super) fn beside<'a>(&self, others: &(impl Iterator<Item = &'a Entry> + Clone)) -> usize {
         let is_left = |life: &&Tag| !others.clone().any(|other| other.ends.contains(life));
         self.ends.iter().filter(is_left).count()
--- a/lib/src/fleet/quarantine/mod.rs
+++ b/lib/src/fleet/quarantine/mod.rs
@@ -1,14 +1,14 @@
-//! Requests that are run no more, since each runner that ran them ended.
+//! Quarantine: requests that are no longer run because each runner that ran them has ended.
 //!
-//! A node that counts enough ends under a request proposes it to all. For a moment it is run nowhere,
-//! while nodes object that have answered it since, and while other proposals for the same ends come
-//! in. Of several requests that were there when the same runners ended, the one that was there most
-//! often accounts for them, and the others are let go; where none stands out, or where many are
-//! proposed at once, it is the runners that fail, and nothing is confirmed. To refuse a good request
-//! is worse than to lose one more runner.
+//! A node that counts enough ends under a request proposes it to all nodes. The request runs
+//! nowhere for a moment, while nodes that have answered it since can object, and other proposals
+//! for the same ends arrive. If several requests were running when the same runners ended, the one
+//! with the most ends accounts for them and the others are released. If none stands out, or many
+//! are proposed at once, the runners are at fault and nothing is confirmed: refusing a good request
+//! is worse than losing one more runner.
 //!
-//! What is confirmed is refused at all nodes. It passes from node to node as records of nodes do; a
-//! digest shows to nodes that missed it that they did.
+//! A confirmed request is refused by all nodes. Entries are gossiped like roster records; a digest
+//! shows nodes that they have missed some.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -24,39 +24,39 @@
 mod answered;
 mod entry;
 
-/// How long a proposal stands before it is decided: news reaches 550 nodes in a tenth of a second,
-/// objections come back in another.
+/// How long a proposal waits for its decision: an update reaches 550 nodes in a tenth of a second,
+/// and objections take the same time back.
 pub const DELIBERATION: Duration = Duration::from_millis(300);
-/// How many requests may be proposed at once, none of which another accounts for. Where runners end by
-/// a fault of their own many are.
+/// The maximum number of concurrent proposals without a common cause. When runners end by their own
+/// fault, there are many.
 const MOST_AT_ONCE: usize = 4;
-/// The most proposals that a node makes while others stand.
+/// The maximum number of proposals that a node makes while others are undecided.
 const MOST_PROPOSED: usize = 16;
-/// How many ends decide against a request even if another was at all of them too.
+/// The number of ends that confirm a proposal even if another request was at all of them too.
 const BEYOND_CHANCE: usize = 5;
-/// How long a request is refused after the last change, and other entries are kept.
+/// How long a request is refused after the last change, and how long other entries are kept.
 const LIFE: Duration = Duration::from_secs(86_400);
-/// How long before its end an entry no longer counts for the digest: nodes forget it at moments that
-/// differ a little.
+/// How long before its expiry an entry is excluded from the digest, as nodes remove it at slightly
+/// different times.
 const DIGEST_MARGIN: Duration = Duration::from_secs(60);
-/// After how long a refused request is tried once more, each time. A runner may end once more; a good
-/// request is refused no longer than that.
+/// The pauses after which a refused request is tried again, one for each trial. A trial may end one
+/// more runner; a good request is refused no longer than until the trial.
 const TRIALS: [Duration; 3] =
     [Duration::from_secs(30), Duration::from_secs(600), Duration::from_secs(1_800)];
-/// The most entries that are kept.
+/// The maximum number of entries.
 const MOST: usize = 1_024;
-/// The most entries that one message carries, at up to 110 bytes each.
+/// The maximum number of entries in one message, at up to 110 bytes each.
 pub const MOST_TOLD: usize = 8;
 
 #[derive(Clone, Debug)]
 struct Kept {
     entry: Entry,
-    /// How often it has been tried since it was confirmed.
+    /// The number of trials since it was confirmed.
     trials: usize,
-    /// When it was last tried, and when the time before that.
+    /// The time of the last trial, and of the one before.
     tried: Instant,
     tried_before: Instant,
-    /// How often it was refused here.
+    /// How often this node has refused the request.
     refused: u64,
 }
 
@@ -65,24 +65,24 @@
 pub enum Standing {
     /// It may run.
     Free,
-    /// It is to wait until it is decided.
+    /// It waits for a decision.
     Undecided,
     /// It is refused.
     Refused,
 }
 
-/// What one node knows of requests that are not run.
+/// The quarantine entries known to one node.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     kept: HashMap<Fingerprint, Kept>,
     news: VecDeque<Fingerprint>,
     answered: Answered,
-    /// The nodes whose digests differ from this one's.
+    /// The nodes whose digests differ from this node's.
     differences: Differences,
 }
 
 impl Quarantine {
-    /// How a request stands.
+    /// What to do with a request.
     pub fn standing(&self, request: &Fingerprint, now: Instant) -> Standing {
         match self.get(request).filter(|entry| entry.stands(now)) {
             None => Standing::Free,
@@ -91,13 +91,14 @@
         }
     }
 
-    /// What is known of a request.
+    /// The entry of a request.
     pub fn get(&self, request: &Fingerprint) -> Option<&Entry> {
         self.kept.get(request).map(|kept| &kept.entry)
     }
 
-    /// Proposes a request by the ends under it. None if there are too few, if it has been proposed
-    /// already, or if so many are that the runners fail.
+    /// Proposes a request by the ends under it. Returns `None` if there are too few ends, if the
+    /// request is already proposed or confirmed, or if there are so many proposals that the runners
+    /// must be at fault.
     pub fn propose(
         &mut self,
         request: Fingerprint,
@@ -126,18 +127,18 @@
         entries.filter(move |entry| entry.stage == Stage::Proposed && entry.stands(now))
     }
 
-    /// Whether any proposal awaits its decision.
+    /// Whether any proposal is undecided.
     pub fn is_deliberating(&self, now: Instant) -> bool {
         self.proposed(now).next().is_some()
     }
 
-    /// The proposals whose time has come.
+    /// The proposals that are due for a decision.
     pub fn due(&self, now: Instant) -> Vec<Fingerprint> {
         let due = self.proposed(now).filter(|entry| now >= entry.since + DELIBERATION);
         due.map(|entry| entry.request).collect()
     }
 
-    /// What a proposal comes to, by all that is known now; none for what is no proposal.
+    /// The decision on a proposal from everything known now; `None` if the request is not proposed.
     pub fn decide(&self, request: &Fingerprint, now: Instant) -> Option<Stage> {
         let entry = self.proposed(now).find(|entry| entry.request == *request)?;
         let stands_out = self.stands_out(entry, now);
@@ -146,8 +147,8 @@
         Some(if confirmed { Stage::Confirmed } else { Stage::Withdrawn })
     }
 
-    /// Whether enough of a proposal's ends remain that no other request accounts for better, or as
-    /// well.
+    /// Whether enough ends of a proposal remain after removing those that another request accounts
+    /// for as well or better.
     fn stands_out(&self, entry: &Entry, now: Instant) -> bool {
         let certain = entry.ends.len() >= BEYOND_CHANCE;
         let others = self.kept.values().map(|kept| &kept.entry).filter(|other| {
@@ -158,14 +159,14 @@
         entry.beside(&others) >= ENDS
     }
 
-    /// Brings a request to a stage that was decided here. None if it is there already or was not
-    /// proposed.
+    /// Moves a request to a state that was decided here. Returns `None` if it is in that state
+    /// already or was not proposed.
     pub fn set(&mut self, request: &Fingerprint, stage: Stage, now: Instant) -> Option<Entry> {
         let entry = Entry { stage, since: now, ..self.get(request)?.clone() };
         self.take(entry.clone(), now).then_some(entry)
     }
 
-    /// Takes in an entry. True if it is news, which is passed on.
+    /// Applies an entry. Returns whether it is new, in which case it is passed on.
     pub fn take(&mut self, entry: Entry, now: Instant) -> bool {
         if now.saturating_duration_since(entry.since) >= LIFE {
             return false;
@@ -194,7 +195,7 @@
         true
     }
 
-    /// What is refused stays as long as there is anything else.
+    /// Confirmed entries are removed last.
     fn make_room(&mut self) {
         let order = |kept: &Kept| (kept.entry.stage == Stage::Confirmed, kept.entry.since);
         let least = self.kept.iter().min_by_key(|(_, kept)| order(kept));
@@ -202,14 +203,14 @@
         least.map(|request| self.kept.remove(&request));
     }
 
-    /// What goes with the next message.
+    /// Takes the entries for the next message.
     pub fn take_news(&mut self) -> Vec<Entry> {
         let some = self.news.len().min(MOST_TOLD);
         let some: Vec<Fingerprint> = self.news.drain(..some).collect();
         some.iter().filter_map(|request| self.get(request).cloned()).collect()
     }
 
-    /// Whether there is anything that no message has carried yet.
+    /// Whether there is an entry that has not been sent in any message.
     pub fn has_news(&self) -> bool {
         !self.news.is_empty()
     }
@@ -219,7 +220,7 @@
         self.kept.values().map(|kept| &kept.entry)
     }
 
-    /// How often a request was refused here.
+    /// How often this node has refused a request.
     pub fn refused(&self, request: &Fingerprint) -> u64 {
         self.kept.get(request).map_or(0, |kept| kept.refused)
     }
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Whether a refused request is to be tried once more, and notes that it is.
+    /// Whether a refused request is to be tried now. Records the trial if so.
     pub fn begin_trial(&mut self, request: &Fingerprint, now: Instant) -> bool {
         let Some(kept) = self.kept.get_mut(request) else { return false };
         let pause = TRIALS.get(kept.trials);
@@ -244,7 +245,8 @@
         false
     }
 
-    /// Notes that a request that was to be tried has not run: the next one is.
+    /// Records that a request that was to be tried has not run, so that the next one is tried
+    /// instead.
     pub fn return_trial(&mut self, request: &Fingerprint) {
         if let Some(kept) = self.kept.get_mut(request)
             && let Some(before) = kept.trials.checked_sub(1)
@@ -254,7 +256,7 @@
         }
     }
 
-    /// Notes that a request was answered whole. True if that speaks for one that is not run.
+    /// Records that a request was answered completely. Returns whether it is proposed or refused.
     pub fn note_answered(&mut self, request: Fingerprint, now: Instant) -> bool {
         self.answered.note(request, now);
         self.standing(&request, now) != Standing::Free
@@ -266,7 +268,7 @@
         against && self.answered.last(&entry.request).is_some_and(|at| at > entry.first)
     }
 
-    /// Forgets what is long ago, and names it.
+    /// Removes expired entries and returns their requests.
     pub fn expire(&mut self, now: Instant) -> Vec<Fingerprint> {
         let over = |kept: &Kept| now.saturating_duration_since(kept.entry.since) >= LIFE;
         let gone: Vec<Fingerprint> =
@@ -275,7 +277,7 @@
         gone
     }
 
-    /// A digest of all entries; nought where there are none.
+    /// A digest of all entries; zero if there are none.
     pub fn digest(&self, now: Instant) -> u64 {
         let young =
             |entry: &&Entry| now.saturating_duration_since(entry.since) + DIGEST_MARGIN < LIFE;
@@ -286,8 +288,8 @@
         self.entries().filter(young).fold(0, |sum, entry| sum ^ one(entry))
     }
 
-    /// Compares another node's digest with this one's. True if they have differed for so long that
-    /// lists should be compared.
+    /// Compares another node's digest with this node's. Returns whether they have differed long
+    /// enough to compare the entries.
     pub fn note_digest(&mut self, node: &NodeId, digest: u64, now: Instant) -> bool {
         let same = digest == self.digest(now);
         self.differences.note(node, same, now)
--- a/lib/src/fleet/roster.rs
+++ b/lib/src/fleet/roster.rs
@@ -1,13 +1,14 @@
-//! The nodes that serve together: who is there, who takes callers, who has fallen silent.
+//! Membership: which nodes are present, which accept callers, and which have failed.
 //!
-//! Each node sends its beats to a few others, its *watchers*, whatever their number: those of highest
-//! weight for it, the same at all nodes that know the same ones. A watcher that hears nothing asks,
-//! and then tells all that the node is silent. What is new of a node goes as a *record* from each
-//! node to its watchers as soon as it is heard of; along these few edges it reaches hundreds of nodes
-//! in three or four steps. Beats carry a digest of all that is known, and nodes whose digests stay
-//! apart compare their lists, so that what is lost on the way does not stay lost.
+//! Each node sends heartbeats to a few others, its *watchers*, whatever the number of nodes: those
+//! with the highest rendezvous weight for it, which are the same on all nodes that know the same
+//! nodes. A watcher that hears nothing probes the node, and then tells all others that it is
+//! silent. Updates about a node are passed as *records* from each node to its watchers as soon as
+//! they arrive; over these few edges they reach hundreds of nodes in three or four hops. Heartbeats
+//! carry a digest of all records, and nodes whose digests keep differing compare their lists, so
+//! that lost updates are repaired.
 //!
-//! With eight others or fewer, all are watchers of each other.
+//! With up to eight other nodes, all are watchers of each other.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,78 +23,80 @@
 use crate::hash::place;
 use crate::id::{ConfigVersion, DataCentre, Incarnation, NodeId};
 
-/// How many nodes a node beats to. In a graph drawn so, news reaches 550 nodes in four steps, and a
-/// node is cut from all its watchers at once only when most nodes are lost.
+/// The number of nodes to which a node sends heartbeats. In a random graph of this degree, updates
+/// reach 550 nodes in four hops, and a node loses all its watchers at once only when most nodes are
+/// lost.
 pub const WATCHERS: usize = 8;
-/// The time between beats. With eight watchers a node sends 40 beats a second, some 5 KB.
+/// The heartbeat interval. With eight watchers a node sends 40 heartbeats per second, about 5 KB.
 pub const PERIOD: Duration = Duration::from_millis(200);
-/// The silence after which a watcher asks a node: three beats.
+/// The silence after which a watcher probes a node: three heartbeats.
 pub const SILENCE: Duration = Duration::from_millis(600);
-/// How often a silent node is asked, and the pause between two questions, before it is told of as
-/// silent. A node that is held up for a tenth of a second must not be; a lost datagram is made up for.
+/// The number of probes and their interval before a node is reported as silent. A stall of a tenth
+/// of a second, or a lost datagram, must not cause a report.
 const QUESTIONS: u8 = 2;
 const QUESTION_PAUSE: Duration = Duration::from_millis(150);
-/// How many records one beat carries, at up to 84 bytes each.
+/// The maximum number of records in one heartbeat, at up to 84 bytes each.
 pub const MOST_RECORDS: usize = 14;
-/// How often those who watch this one, and whom it watches, are worked out anew at the most: it takes
-/// a look at each pair of nodes.
+/// The minimum time between computations of the watchers of this node and of the nodes it watches:
+/// each examines every pair of nodes.
 const WATCH_PERIOD: Duration = Duration::from_secs(1);
-/// A tick that comes so late means that this process was held up, and heard nobody for that reason.
+/// The time between ticks from which this process counts as stalled, so that its own silence
+/// explains why it heard nobody.
 const HELD_UP: Duration = Duration::from_millis(400);
 
-/// How a node stands towards callers.
+/// Whether a node accepts callers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Standing {
-    /// It knows no configuration yet.
+    /// It has no configuration yet.
     #[default]
     Starting,
-    /// It takes callers.
+    /// It accepts callers.
     Ready,
-    /// It finishes what it has.
+    /// It finishes outstanding requests.
     Leaving,
 }
 
-/// A node as others know it.
+/// The identity and addresses of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contact {
-    /// Its name.
+    /// The node's id.
     pub id: NodeId,
-    /// Its process, by the time it started.
+    /// The start time of its process.
     pub incarnation: Incarnation,
-    /// Its data centre.
+    /// The data centre it runs in.
     pub data_centre: DataCentre,
-    /// Where callers reach it.
+    /// The address for callers.
     pub front: SocketAddr,
-    /// Where other nodes reach it.
+    /// The address for other nodes.
     pub peer: SocketAddr,
 }
 
-/// What a beat says besides who sends it.
+/// The contents of a heartbeat besides the identity of its sender.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
-    /// How the node stands.
+    /// Whether the node accepts callers.
     pub standing: Standing,
     /// The version of its configuration.
     pub version: ConfigVersion,
-    /// How new its knowledge of the register of runners is.
+    /// The version of its copy of the runner register.
     pub register: Mark,
-    /// Whether the platform's store serves it; a node that has not tried counts as served.
+    /// Whether the platform's store answers it; true for a node that has not tried.
     pub served: bool,
 }
 
-/// What is known of a node, as nodes pass it on.
+/// The state of a node, as passed on between nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     /// The node.
     pub contact: Contact,
-    /// How it stands.
+    /// Whether it accepts callers.
     pub standing: Standing,
-    /// Whether the store serves it.
+    /// Whether the store answers it.
     pub served: bool,
-    /// Which of its own changes this is. A later one outweighs an earlier one.
+    /// The number of the node's own change. A later one supersedes an earlier one.
     pub serial: u32,
-    /// Whether it has fallen silent since. That outweighs what the node said itself, until it says
-    /// more.
+    /// Whether it has been silent since. This supersedes what the node has said itself, until it
+    /// sends a later serial.
     pub silent: bool,
 }
 
@@ -102,8 +105,8 @@
         (self.contact.incarnation, self.serial, self.silent)
     }
 
-    /// A hash of what it says, for the digest. Nodes that are silent or only known by name count for
-    /// nothing: they are forgotten sooner here, later there.
+    /// A hash of the record for the digest. Nodes that are silent or only known by name are
+    /// excluded, as nodes remove them at different times.
     fn digest(&self) -> u64 {
         if self.silent {
             return 0;
@@ -116,39 +119,40 @@
 #[derive(Clone, Debug)]
 struct Member {
     record: Record,
-    /// What it said last itself.
+    /// The last status that the node has sent itself.
     status: Status,
-    /// When it was last heard itself.
+    /// When the node was last heard directly.
     heard: Option<Instant>,
-    /// When the record came.
+    /// When the record arrived.
     since: Instant,
-    /// Whether this node is one of its watchers, and since when.
+    /// Since when this node is one of its watchers; `None` if it is not.
     watched: Option<Instant>,
-    /// Questions that it has left unanswered, and when the last was asked.
+    /// The number of unanswered probes, and the time of the last one.
     questions: u8,
     asked: Option<Instant>,
 }
 
-/// The other nodes, and what this one says of itself.
+/// The other nodes, and this node's own record.
 #[derive(Clone, Debug)]
 pub struct Roster {
     me: Record,
     members: HashMap<NodeId, Member>,
-    /// Records to be passed on, each in one beat: a node gets it from eight others, so few are missed.
+    /// Records to pass on, each in one heartbeat: a node receives an update from eight others, so
+    /// it rarely misses one.
     news: VecDeque<Record>,
     watchers: SmallVec<[SocketAddr; WATCHERS]>,
-    /// When the watchers were worked out, and whether nodes have come or gone since.
+    /// When the watchers were computed, and whether nodes have joined or left since.
     watched_at: Option<Instant>,
     changed: bool,
     ticked: Option<Instant>,
     /// When this node last heard any other.
     heard: Option<Instant>,
-    /// The nodes whose lists differ from this one's.
+    /// The nodes whose lists differ from this node's.
     differences: Differences,
 }
 
 impl Roster {
-    /// The roster of a node that knows no other.
+    /// Creates the roster of a node that knows no other.
     pub fn new(me: Contact) -> Self {
         let standing = Standing::Starting;
         Self {
@@ -164,12 +168,12 @@
         }
     }
 
-    /// What this node says of itself.
+    /// This node's own record.
     pub fn me(&self) -> &Record {
         &self.me
     }
 
-    /// Sets how this node stands. True if that is to be told.
+    /// Sets the state of this node. Returns whether it has changed and must be sent.
     pub fn set_me(&mut self, standing: Standing, served: bool) -> bool {
         if (self.me.standing, self.me.served) == (standing, served) {
             return false;
@@ -180,8 +184,8 @@
         true
     }
 
-    /// Takes in a node that was read from the store; nothing is heard of it yet. True if it was not
-    /// known.
+    /// Adds a node that was read from the store and has not been heard yet. Returns whether it was
+    /// unknown.
     pub fn introduce(&mut self, contact: Contact, now: Instant) -> bool {
         if contact.id == self.me.contact.id || self.members.contains_key(&contact.id) {
             return false;
@@ -201,13 +205,14 @@
         self.changed = true;
     }
 
-    /// Takes in what another node knows of one. True if it is news, which is passed on.
+    /// Applies a record from another node. Returns whether it is new, in which case it is passed
+    /// on.
     pub fn take_record(&mut self, record: &Record, now: Instant) -> bool {
         if record.contact.id == self.me.contact.id {
             return self.object(record);
         }
         let Some(member) = self.members.get_mut(&record.contact.id) else {
-            // A node that is first heard of as silent is not worth remembering.
+            // A node that is first heard of as silent is not added.
             if record.silent {
                 return false;
             }
@@ -232,7 +237,7 @@
         true
     }
 
-    /// Contradicts a record that takes this life of this node for silent.
+    /// Refutes a record that reports this incarnation of this node as silent.
     fn object(&mut self, record: &Record) -> bool {
         let mine = record.contact.incarnation == self.me.contact.incarnation;
         if !mine || !record.silent || record.serial < self.me.serial {
@@ -248,7 +253,7 @@
         self.news.push_back(record);
     }
 
-    /// Takes in a beat: what its sender says of itself and of what it knows. True if that is news.
+    /// Applies a heartbeat: the sender's record and status. Returns whether the record is new.
     pub fn take_beat(&mut self, record: &Record, status: Status, now: Instant) -> bool {
         let new = self.take_record(record, now);
         self.heard = Some(now);
@@ -263,56 +268,57 @@
         new
     }
 
-    /// Whether a node that speaks is taken for silent here: it has to be told, so that it
-    /// contradicts. Without that, nodes that lost each other would never find together again.
+    /// The known record of a sender that is considered silent here, if it supersedes the one
+    /// received. The sender must be told so that it can refute it; otherwise nodes that have lost
+    /// each other would never reconnect.
     pub fn is_mistaken(&self, record: &Record) -> Option<&Record> {
         let known = &self.members.get(&record.contact.id)?.record;
         (known.silent && known.weight() > record.weight()).then_some(known)
     }
 
-    /// The records to go with the next beat.
+    /// Takes the records for the next heartbeat.
     pub fn take_news(&mut self) -> Vec<Record> {
         let some = self.news.len().min(MOST_RECORDS);
         self.news.drain(..some).collect()
     }
 
-    /// Whether there are records that no beat has carried yet.
+    /// Whether there are records that have not been sent in any heartbeat.
     pub fn has_news(&self) -> bool {
         !self.news.is_empty()
     }
 
-    /// A few nodes that are there, for one that knows nobody.
+    /// A sample of the present nodes, for a node that knows no other.
     pub fn some<R: Rng>(&self, rng: &mut R) -> Vec<Record> {
         let there = self.present().map(|m| m.record.clone());
         there.sample(rng, MOST_RECORDS - 1)
     }
 
-    /// A digest of all nodes that are there.
+    /// A digest of all present nodes.
     pub fn digest(&self) -> u64 {
         let others = self.members.values().map(|member| member.record.digest());
         others.fold(self.me.digest(), |sum, one| sum ^ one)
     }
 
-    /// Compares another node's digest with this one's. True if the lists have differed for so long that
-    /// they should be compared.
+    /// Compares another node's digest with this node's. Returns whether they have differed long
+    /// enough to compare the lists.
     pub fn note_digest(&mut self, node: &NodeId, digest: u64, now: Instant) -> bool {
         let same = digest == self.digest();
         self.differences.note(node, same, now)
     }
 
-    /// All that is known of nodes that are there, for another node.
+    /// The records of all present nodes, for another node.
     pub fn records(&self) -> Vec<Record> {
         let there = self.members.values().map(|m| &m.record).filter(|record| !record.silent);
         std::iter::once(&self.me).chain(there).cloned().collect()
     }
 
-    /// Where this node's beats go.
+    /// The addresses to which this node sends heartbeats.
     pub fn watchers(&self) -> &[SocketAddr] {
         &self.watchers
     }
 
-    /// Looks after those that this node watches. Gives whom to ask whether it is there; those that do
-    /// not answer are told of as silent.
+    /// Checks the watched nodes. Returns the addresses to probe; nodes that have not answered their
+    /// probes are reported as silent.
     pub fn tick(&mut self, now: Instant) -> Vec<SocketAddr> {
         let held_up = self.ticked.is_some_and(|at| now > at + HELD_UP);
         self.ticked = Some(now);
@@ -320,7 +326,7 @@
         if self.changed && (due || self.members.len() <= WATCHERS) {
             self.choose_watchers(now);
         }
-        // Who hears nobody is cut off, or was held up, and says nothing of others.
+        // A node that hears nobody is partitioned or was stalled, and cannot judge others.
         let deaf = self.heard.is_none_or(|at| now > at + SILENCE);
         if held_up || deaf {
             for member in self.members.values_mut() {
@@ -350,7 +356,7 @@
         ask
     }
 
-    /// Works out who watches this node, and whom it watches.
+    /// Computes the watchers of this node and the nodes it watches.
     fn choose_watchers(&mut self, now: Instant) {
         self.changed = false;
         self.watched_at = Some(now);
@@ -360,7 +366,7 @@
             there.map(|m| (key(&m.record), m.record.contact.peer)).collect();
         let me = key(&self.me);
         let weight = |of: u64, watcher: u64| place(of, &watcher.to_le_bytes());
-        // How many come before this node among the watchers of another.
+        // The number of other nodes that precede this one among the watchers of a node.
         let before = |of: u64| {
             let mine = weight(of, me);
             let others = nodes.iter().filter(|(node, _)| *node != of);
@@ -374,33 +380,33 @@
         self.watchers = nodes.iter().take(WATCHERS).map(|(_, peer)| *peer).collect();
     }
 
-    /// All nodes that were ever known, this one not among them.
+    /// The number of other nodes ever known.
     pub fn known(&self) -> usize {
         self.members.len()
     }
 
-    /// Where the nodes are reached that are silent or only known by name: they may be back.
+    /// The addresses of nodes that are silent or only known by name, which may have returned.
     pub fn lost(&self) -> impl Iterator<Item = SocketAddr> {
         self.members.values().filter(|m| m.record.silent).map(|m| m.record.contact.peer)
     }
 
-    /// The nodes that the store serves, as far as anyone has tried.
+    /// The present nodes that the store answers, as far as known.
     pub fn served(&self) -> impl Iterator<Item = &NodeId> {
         let there = self.present().filter(|m| m.record.served);
         there.map(|m| &m.record.contact.id)
     }
 
-    /// The nodes that are there.
+    /// The present nodes.
     pub fn ids(&self) -> impl Iterator<Item = &NodeId> {
         self.present().map(|m| &m.record.contact.id)
     }
 
-    /// All other nodes that were ever known, and when what is known of each came.
+    /// All other nodes ever known, and when their records arrived.
     pub fn members(&self) -> impl Iterator<Item = (&Record, Instant)> {
         self.members.values().map(|m| (&m.record, m.since))
     }
 
-    /// The other nodes that are there.
+    /// The records of the other nodes that are present.
     pub fn present_records(&self) -> impl Iterator<Item = &Record> {
         self.present().map(|m| &m.record)
     }
@@ -409,8 +415,8 @@
         self.members.values().filter(|m| !m.record.silent)
     }
 
-    /// The nodes that are there as a part of those that could be, this one among both. Nodes that
-    /// said that they leave could not; silent ones may be on the other side of a partition.
+    /// The present nodes as a fraction of those that could be present, including this one. Nodes
+    /// that said that they leave are excluded; silent ones may be on the other side of a partition.
     pub fn part(&self) -> f64 {
         let heard = self.members.values().filter(|m| m.record.serial > 0);
         let could = heard.filter(|m| m.record.standing != Standing::Leaving).count() + 1;
@@ -418,30 +424,30 @@
         there.min(could) as f64 / could as f64
     }
 
-    /// What a node said last of itself.
+    /// The last status that a node has sent itself.
     pub fn status(&self, id: &NodeId) -> Option<Status> {
         self.members.get(id).map(|m| m.status)
     }
 
-    /// The nodes that take callers.
+    /// The nodes that accept callers.
     pub fn fronts(&self) -> Vec<&Contact> {
         let ready = self.present().filter(|m| m.record.standing == Standing::Ready);
         ready.map(|m| &m.record.contact).collect()
     }
 
-    /// The nodes that are there and know a newer register than `mine`.
+    /// The present nodes with a newer register than `mine`.
     pub fn with_newer_register(&self, mine: Mark) -> impl Iterator<Item = (&Contact, Status)> {
         let newer = self.present().filter(move |m| m.status.register > mine);
         newer.map(|m| (&m.record.contact, m.status))
     }
 
-    /// The nodes that are there and have a newer configuration than `mine`.
+    /// The present nodes with a newer configuration than `mine`.
     pub fn with_newer_configuration(&self, mine: ConfigVersion) -> impl Iterator<Item = &Contact> {
         let newer = self.present().filter(move |m| m.status.version > mine);
         newer.map(|m| &m.record.contact)
     }
 
-    /// Forgets nodes that have been silent for `limit`, for good as far as this node knows.
+    /// Removes nodes that have been silent for longer than `limit`, and returns their ids.
     pub fn forget(&mut self, now: Instant, limit: Duration) -> Vec<NodeId> {
         let gone = |m: &Member| m.record.silent && now.saturating_duration_since(m.since) > limit;
         let ids: Vec<NodeId> =
--- a/lib/src/fleet/suspect.rs
+++ b/lib/src/fleet/suspect.rs
@@ -1,12 +1,13 @@
-//! Requests under which runners have ended, and how often.
+//! Counts the runners that have ended while they ran a request.
 //!
-//! When a runner ends, all that was under way there is suspected of it, though it is one request at
-//! the most and often none. What tells them apart is how far they get. A request that ends its
-//! runners gets no further at the next one than it did at the last; one that was there by bad luck
-//! goes on elsewhere, and that clears it of the ends before.
+//! When a runner ends, every request it was running is suspect, although at most one of them is the
+//! cause and often none. Progress distinguishes them: a request that crashes its runners gets no
+//! further on the next runner than on the last. A request that was there by coincidence continues
+//! elsewhere, which clears it of the earlier ends.
 //!
-//! A request may come to any node, so two nodes count its ends for all: those of highest weight for
-//! its fingerprint. Each node besides counts what it sees itself, for when it reaches neither.
+//! A request may arrive at any node, so two nodes count its ends for all: those with the highest
+//! rendezvous weight for its fingerprint. Each node also counts what it sees itself, in case it can
+//! reach neither.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -18,42 +19,45 @@
 use crate::hash::{place, rendezvous};
 use crate::id::NodeId;
 
-/// How many runners have to end under a request before it is held back. One or two can be chance
-/// where a third of the runners is lost at once.
+/// The number of runners that must end under a request before it is held back. One or two can be a
+/// coincidence when a third of the runners is lost at once.
 pub const ENDS: usize = 3;
-/// How many nodes count the ends of a request. The second counts on when the first is lost.
+/// The number of nodes that count the ends of a request. The second one continues when the first is
+/// lost.
 pub const COUNTING: usize = 2;
-/// By how many events a request must get further to be cleared. A request that ends its runner some
-/// time after it began, and not at a certain token, gives an event more now and one less then.
+/// The number of additional events by which a request must progress to be cleared. A request that
+/// ends its runner a certain time after its start, rather than at a certain token, varies by an
+/// event or so.
 const FURTHER: u64 = 3;
 /// How long ends are remembered after the last one.
 const MEMORY: Duration = Duration::from_secs(600);
-/// How long the only end of a request is remembered where there is no room.
+/// How long the only end of a request is remembered when there is no room.
 const SHORT_MEMORY: Duration = Duration::from_secs(10);
-/// The most requests whose ends are remembered.
+/// The maximum number of suspect requests.
 const MOST: usize = 4_096;
-/// The most ends that are remembered of one request.
+/// The maximum number of ends remembered for one request.
 pub const MOST_ENDS: usize = 8;
 
-/// How far a run had come when its runner ended.
+/// The progress of a run when its runner ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Reach {
-    /// How many events of the answer the caller had.
+    /// The number of events of the answer that the caller had received.
     pub events: u64,
-    /// Whether the head of the runner's answer had come. Without it the request may have waited there.
+    /// Whether the head of the runner's answer had arrived. Without it the request may have been
+    /// queued.
     pub begun: bool,
 }
 
 /// The end of a runner under a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct End {
-    /// The life of the runner that ended.
+    /// The incarnation of the runner.
     pub life: Tag,
-    /// How far the request had come.
+    /// The progress of the request.
     pub reach: Reach,
 }
 
-/// One request's ends.
+/// The ends under one request.
 #[derive(Clone, Debug)]
 pub struct Suspect {
     ends: SmallVec<[End; 4]>,
@@ -66,12 +70,12 @@
         Self { ends: SmallVec::new(), first: now, last: now }
     }
 
-    /// The ends that count against it.
+    /// The ends that count against the request.
     pub fn ends(&self) -> &[End] {
         &self.ends
     }
 
-    /// When the first of them was noted.
+    /// When the first of them was recorded.
     pub fn first(&self) -> Instant {
         self.first
     }
@@ -79,14 +83,14 @@
     fn note(&mut self, end: End, now: Instant) {
         self.last = now;
         if let Some(known) = self.ends.iter_mut().find(|known| known.life == end.life) {
-            // Two runs of it were there; the one that got furthest tells the most.
+            // Two runs of the request were there; the furthest progress counts.
             known.reach.events = known.reach.events.max(end.reach.events);
             known.reach.begun |= end.reach.begun;
             return;
         }
         let furthest = self.ends.iter().map(|known| known.reach.events).max().unwrap_or(0);
         if end.reach.events + FURTHER <= furthest {
-            // It has come past this point elsewhere.
+            // It has progressed past this point elsewhere.
             return;
         }
         self.ends.retain(|known| known.reach.events + FURTHER > end.reach.events);
@@ -99,12 +103,13 @@
     }
 }
 
-/// All requests that are suspected, as one node knows them.
+/// All suspect requests, as known to one node.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects(HashMap<Fingerprint, Suspect>);
 
 impl Suspects {
-    /// Notes that a runner has ended under a request, and gives how many ends count against it.
+    /// Records that a runner has ended under a request. Returns the number of ends that count
+    /// against it.
     pub fn note(&mut self, request: Fingerprint, end: End, now: Instant) -> usize {
         if self.0.len() >= MOST && !self.0.contains_key(&request) {
             self.make_room(now);
@@ -114,7 +119,8 @@
         suspect.ends.len()
     }
 
-    /// Whoever sends many different requests as runners end must not push out those that matter.
+    /// Requests with several ends are kept: a caller that sends many different requests while
+    /// runners end must not displace them.
     fn make_room(&mut self, now: Instant) {
         let age = |suspect: &Suspect| now.saturating_duration_since(suspect.last);
         self.0.retain(|_, s| s.ends.len() > 1 || age(s) < SHORT_MEMORY);
@@ -125,17 +131,17 @@
         }
     }
 
-    /// What is known of a request.
+    /// The ends under a request.
     pub fn get(&self, request: &Fingerprint) -> Option<&Suspect> {
         self.0.get(request)
     }
 
-    /// Forgets the ends of a request that has been cleared.
+    /// Removes the ends of a request that has been cleared.
     pub fn clear(&mut self, request: &Fingerprint) {
         self.0.remove(request);
     }
 
-    /// Takes ends that another request accounts for off all but that one.
+    /// Removes ends that one request accounts for from all other requests.
     pub fn excuse(&mut self, lives: &[Tag], but: &Fingerprint) {
         for (request, suspect) in &mut self.0 {
             if request != but {
@@ -145,24 +151,24 @@
         self.0.retain(|_, suspect| !suspect.ends.is_empty());
     }
 
-    /// Forgets what is long ago.
+    /// Removes entries that are too old.
     pub fn expire(&mut self, now: Instant) {
         self.0.retain(|_, suspect| now.saturating_duration_since(suspect.last) < MEMORY);
     }
 
-    /// How many requests are suspected.
+    /// The number of suspect requests.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether none is.
+    /// Whether no request is suspect.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// The nodes that count the ends of a request, the first of them first. All nodes that know the same
-/// ones choose the same.
+/// The nodes that count the ends of a request, the first one first. All nodes that know the same
+/// nodes choose the same ones.
 pub fn counting<'a>(
     request: &Fingerprint,
     nodes: impl Iterator<Item = &'a NodeId>,
