--- a/lib/tests/back_off.rs
+++ b/lib/tests/back_off.rs
@@ -1,4 +1,4 @@
-//! Backing off from a runner that has refused a request for a time.
+//! Tests of the back-off from a runner that has rejected a request with a retry delay.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
     assert_eq!(read("0"), Ok(Duration::ZERO));
 }
 
-/// Guards against a runner that is lost for hours by one answer.
+/// Guards against losing a runner for hours by one answer.
 #[test]
 fn read_long_bounded() {
     assert_eq!(read("99999999999999999999"), Ok(LONGEST));
@@ -24,7 +24,7 @@
     }
 }
 
-/// Guards against an answer with an earlier end that comes after one with a later.
+/// Guards against an answer with an earlier end that arrives after one with a later end.
 #[test]
 fn note_two_ends_later_holds() {
     let (mut back_off, now) = (BackOff::default(), Instant::now());
@@ -33,5 +33,5 @@
     assert!(!back_off.note(S, now + S));
     assert_eq!(back_off.ends_in(now + S), 2 * S);
     assert!(!back_off.is_over(now + 2 * S) && back_off.is_over(now + 3 * S));
-    assert!(back_off.note(S, now + 4 * S), "it begins anew");
+    assert!(back_off.note(S, now + 4 * S), "a new back-off starts");
 }
--- a/lib/tests/budget_model.rs
+++ b/lib/tests/budget_model.rs
@@ -1,37 +1,38 @@
-//! The retry budget over two nodes, explored exhaustively: every order of bursts of requests, storms
-//! of retries, restarts and quiet stretches, checked against the users' bound in every window.
-//! Callers pick nodes at random, so a burst comes to both.
+//! Model check of the retry budget with two nodes, explored exhaustively: every order of bursts of
+//! requests, retry storms, restarts and idle periods, checked against the users' bound in every
+//! window. Callers pick nodes at random, so a burst reaches both.
 //!
-//! Two broken ways of sharing it are explored as well, and must be caught: one that counts the last
-//! window alone, and one that has its whole allowance at a restart.
+//! Two broken variants of the budget are explored as well, and must be caught: one that counts only
+//! the last window, and one that has its whole allowance after a restart.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use sardinepick_lib::fleet::budget::{Bounds, Budget};
 
-/// One step of time. A window has eight, so that the windows that nodes look at begin at steps.
+/// One step of time. A window has eight, so that the windows that nodes check start at steps.
 const TICK: Duration = Duration::from_secs(1);
 const WINDOW: usize = 8;
 const BOUNDS: Bounds = Bounds { ratio: 0.5, allowance: 12.0, window: Duration::from_secs(8) };
-/// Requests of a burst: what they earn outweighs what is kept back of the bound.
+/// The requests in a burst: they earn more than the reserve that is kept of the bound.
 const BURST: usize = 40;
 const NODES: usize = 2;
-/// Things that happen in one run, with a quiet stretch after each.
+/// The number of events in one run, each followed by an idle period.
 const EVENTS: usize = 5;
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
     /// A burst of requests.
     Burst,
-    /// Each node sends again whatever it may.
+    /// Each node retries as much as it may.
     Storm,
-    /// One node starts anew.
+    /// One node restarts.
     Restart(usize),
 }
 
 const ALL: [Event; 3] = [Event::Burst, Event::Storm, Event::Restart(0)];
-/// The ticks that pass after an event: half a window, just under one, and just over one.
+/// The ticks that pass after an event. A window has 8: a short pause, half a window, just under
+/// one, and just over one.
 const PAUSES: [usize; 4] = [1, 4, 7, 9];
 
 trait Share: Clone {
@@ -54,7 +55,7 @@
     }
 }
 
-/// Broken: what was asked in the last window is all that counts.
+/// Broken variant: counts only the requests of the last window.
 #[derive(Clone)]
 struct LastWindow {
     began: Instant,
@@ -85,7 +86,7 @@
     }
 }
 
-/// Broken: a process has its allowance as soon as it starts.
+/// Broken variant: a process has its allowance as soon as it starts.
 #[derive(Clone)]
 struct Forgetful(Budget);
 
@@ -106,7 +107,7 @@
 #[derive(Clone)]
 struct World<S> {
     shares: Vec<S>,
-    /// Requests and extras of all nodes, a tick each.
+    /// Requests and extra arrivals of all nodes, per tick.
     requests: Vec<usize>,
     extras: Vec<usize>,
 }
@@ -146,7 +147,7 @@
         self.extras.resize(self.extras.len() + ticks, 0);
     }
 
-    /// Whether every window keeps the bound.
+    /// Whether every window is within the bound.
     fn holds(&self) -> bool {
         let sum = |of: &[usize], from: isize| -> usize {
             let clip = |at: isize| usize::try_from(at).unwrap_or(0).min(of.len());
@@ -162,7 +163,7 @@
     }
 }
 
-/// The first run that breaks the bound, and how many runs were looked at.
+/// Returns the first run that violates the bound, and the number of states examined.
 fn explore<S: Share>() -> (Option<Vec<(Event, usize)>>, usize) {
     let start = Instant::now();
     let mut open = vec![(World::<S>::new(start), Vec::new())];
--- a/lib/tests/fanout.rs
+++ b/lib/tests/fanout.rs
@@ -1,4 +1,4 @@
-//! Copies of something large from node to node, on a clock of the test's own.
+//! Tests of the distribution of a large object between nodes, on a simulated clock.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use sardinepick_lib::fleet::fanout::{Fanout, Turn};
 
-/// A configuration of a megabyte, of which no node gives more than two at once.
+/// A configuration of one megabyte, of which a node sends at most two copies concurrently.
 const LARGE: usize = 1 << 20;
 
 fn address(node: usize) -> SocketAddr {
@@ -14,23 +14,23 @@
 }
 
 fn node(address: SocketAddr) -> usize {
-    let SocketAddr::V4(v4) = address else { panic!("addresses of this test are of IPv4") };
+    let SocketAddr::V4(v4) = address else { panic!("all test addresses are IPv4") };
     let [_, _, high, low] = v4.ip().octets();
     usize::from(high) << 8 | usize::from(low)
 }
 
-/// Nodes that ask each other. A link sends the copies that it has under way in turns, so of two both
-/// take twice as long; time is counted in steps of half a copy.
+/// Nodes that request copies from each other. A link sends its copies in turns, so two concurrent
+/// copies each take twice as long; time is counted in steps of half a copy.
 struct Fleet {
     fanouts: Vec<Fanout<usize>>,
-    /// Halves of a copy still to be sent, by giver and receiver.
+    /// Halves of a copy that remain to be sent, by sender and receiver.
     under_way: BTreeMap<(usize, usize), u32>,
     has: BTreeSet<usize>,
-    /// Nodes whose copies never end by themselves; they are given up after four steps.
+    /// Nodes whose copies never complete; they are aborted after four steps.
     deaf: BTreeSet<usize>,
 }
 
-/// Steps after which a copy that makes no way is given up.
+/// The number of steps after which a copy without progress is aborted.
 const GIVEN_UP: u32 = 4;
 
 impl Fleet {
@@ -54,17 +54,17 @@
         self.under_way.insert((giver, receiver), steps);
     }
 
-    /// Lets half a copy's time pass on each link.
+    /// Advances time by half a copy on each link.
     fn step(&mut self) {
         let givers: BTreeSet<usize> = self.under_way.keys().map(|(giver, _)| *giver).collect();
         let mut ended = Vec::new();
         for giver in givers {
             let mine: Vec<_> = self.under_way.keys().filter(|k| k.0 == giver).copied().collect();
-            // Two that share the link take turns: the one with less to send is ended first.
+            // Copies that share the link take turns: the one with less to send completes first.
             let least = mine.iter().min_by_key(|k| self.under_way[k]).copied();
             for key in mine {
                 let deaf = self.deaf.contains(&key.1);
-                let left = self.under_way.get_mut(&key).expect("it was just listed");
+                let left = self.under_way.get_mut(&key).expect("the key was just listed");
                 if deaf || Some(key) == least {
                     *left -= 1;
                 }
@@ -89,20 +89,21 @@
         }
     }
 
-    /// How many copies' time it takes until nothing is under way any more.
+    /// Runs until no copy is in progress and returns the time, in copies.
     fn run(&mut self) -> u32 {
         let mut steps: u32 = 0;
         while !self.under_way.is_empty() {
             self.step();
             steps += 1;
-            assert!(steps < 10_000, "copies go on for ever");
+            assert!(steps < 10_000, "copies never complete");
         }
         steps.div_ceil(2)
     }
 }
 
-/// All copies of a new configuration shared the links of the three nodes that had it, so the last of
-/// 87 nodes would have had it after the time of 28 copies, and each was given up long before.
+/// All copies of a new configuration shared the links of the three nodes that had it, so the last
+/// of 87 nodes would have received it after the time of 28 copies, and each was aborted long
+/// before.
 #[test]
 fn end_all_ask_few_time_of_few_copies() {
     let mut times = Vec::new();
@@ -131,8 +132,8 @@
 }
 
 proptest! {
-    /// Whoever asks is given a copy or sent elsewhere, once, whatever ends in which order, and no
-    /// more than two are given one at a time.
+    /// Each requester is sent a copy or redirected, exactly once, whatever the order in which
+    /// copies end, and no more than two copies are sent concurrently.
     #[test]
     fn end_any_order_each_told_once(
         steps in proptest::collection::vec((any::<bool>(), any::<bool>()), 1..120),
@@ -146,12 +147,12 @@
                        whole: bool| {
             let Some(receiver) = given.pop_front() else { return };
             for (asker, turn) in fanout.end(whole.then(|| address(receiver)), LARGE) {
-                assert!(told.insert(asker), "{asker} was told twice");
+                assert!(told.insert(asker), "{asker} got two responses");
                 if turn == Turn::Given {
                     given.push_back(asker);
                 }
             }
-            assert!(given.len() <= 2, "{} copies at once", given.len());
+            assert!(given.len() <= 2, "{} concurrent copies", given.len());
         };
         for (asks, whole) in steps {
             if asks {
--- a/lib/tests/fingerprint.rs
+++ b/lib/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints tell requests apart, and are read as they are written.
+//! Tests of fingerprints: equality, and parsing of their text form.
 
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
 
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The serving core: routes, the register, health, budgets, the gate and the choice of runners.
+//! Tests of the serving core: routes, the register, health, budgets, admission control and
+//! placement.
 
 use std::time::{Duration, Instant};
 
@@ -142,7 +143,7 @@
 }
 
 proptest! {
-    /// Events come out whole and in order however the bytes are cut, and nothing is lost.
+    /// Events are complete and in order wherever the bytes are split, and no bytes are lost.
     #[test]
     fn splitter_any_cuts_same_events(cuts in proptest::collection::vec(1usize..9, 1..60)) {
         let text: String = (1..9).map(|n| format!("id: {n}\ndata: t{n}\n\n")).collect();
@@ -154,7 +155,7 @@
             splitter.push(now);
             while let Some(event) = splitter.next_event() {
                 prop_assert!(event.bytes.ends_with(b"\n\n"));
-                ids.push(event.id.expect("each has one").to_string());
+                ids.push(event.id.expect("each event has an id").to_string());
                 bytes.extend_from_slice(&event.bytes);
             }
         }
@@ -183,14 +184,18 @@
     assert_eq!(cache.cached(&work("b", 1_000, 50).chain, now), 0);
 }
 
-/// A part that a runner has named by itself counts in any chain, and once.
+/// A part that a runner has reported by its own id counts in any chain, and only once.
 #[test]
 fn cache_part_named_alone_counts() {
     let now = Instant::now();
     let mut cache = Cache::default();
     cache.note_part(Part::kept("m", "a", 1_000), Progress::Read, now);
     assert_eq!(cache.cached(&work("a", 1_000, 70).chain, now), 1_000);
-    assert_eq!(cache.cached(&work("a", 1_200, 70).chain, now), 0, "it keeps less of it");
+    assert_eq!(
+        cache.cached(&work("a", 1_200, 70).chain, now),
+        0,
+        "the runner has less of it cached"
+    );
     cache.note(&work("a", 1_000, 70).chain, Progress::Read, now);
     assert_eq!(cache.tokens(), 1_070);
 }
@@ -219,15 +224,15 @@
     }
     assert!(!record.takes_work(start));
     let later = start + S;
-    assert!(record.takes_work(later), "a trial is due");
+    assert!(record.takes_work(later), "a probe is due");
     record.note_sent(later);
-    assert!(!record.takes_work(later + MS * 100), "one trial at a time");
+    assert!(!record.takes_work(later + MS * 100), "one probe at a time");
     record.note(Outcome::Answered, later + MS * 200);
     assert!(record.takes_work(later + MS * 200));
 }
 
-/// Symptom: all runners of a service are left alone although they work. Cause: answers of failure,
-/// which one route gives a seventh of the time, were taken for broken runners.
+/// Failure answers, which one route gives for a seventh of its requests, were taken for broken
+/// runners, so all runners of a service got no work although they were up.
 #[test]
 fn record_own_failures_still_takes_work() {
     let now = Instant::now();
@@ -252,9 +257,9 @@
     assert_eq!(outage.doubt(start + S * 2 + DOUBT), None);
 }
 
-/// Symptom: a runner that left gets work 2.2 s later. Sequence: the store turns a node away; one of
-/// its followers is served again, another hangs on for two seconds more, and then sees that an entry
-/// has gone. Cause: that follower took its own first answer for the store's return.
+/// A runner that had left got work 2.2 s later. After a rejected call, one follower of the store
+/// was served again, another hung for two more seconds and then noticed that the entry was gone; it
+/// took its own first answer for the end of the outage.
 #[test]
 fn outage_late_follower_no_new_doubt() {
     let start = Instant::now();
@@ -294,9 +299,9 @@
     assert!(register.get(&id("a")).is_some() && register.get(&id("b")).is_none());
 }
 
-/// Symptom: a runner gets work 5 s after it said that it leaves, and 3 s after its entry has gone.
-/// Sequence: its entry goes while the store's return makes it doubted; another node, which has not
-/// heard of that, tells what it knows of it. Cause: the old entry was taken for a sign of its return.
+/// A runner got work 5 s after it had said that it leaves, and 3 s after its entry was removed. The
+/// removal was in doubt after an outage, and another node, which did not know of it, sent its old
+/// entry, which was taken for a sign of the runner's return.
 #[test]
 fn register_doubted_old_entry_again_goes() {
     let start = Instant::now();
@@ -315,8 +320,8 @@
     assert_eq!(register.runners().count(), 0);
 }
 
-/// Symptom: a runner that has changed its stage is never used again. Cause: what was noted of it in
-/// its other stage still held.
+/// A runner that had changed its stage was never used again, as the health recorded in its former
+/// stage still applied.
 #[test]
 fn register_stage_changed_health_anew() {
     let now = Instant::now();
@@ -355,16 +360,16 @@
     assert_eq!(
         others.sum(start + MS * 400, 50_000.0).backlog[0],
         5_000,
-        "it is not known to be read"
+        "the prompt is not known to be prefilled"
     );
-    // What waits behind it waits whole, however long ago it was told.
+    // Prompts that wait behind it count in full, however old the report is.
     let waits = Load { backlog: [6_000, 0, 0, 0], ..load };
     others.take(&"edge-2".parse().expect("an id"), waits, start);
     assert_eq!(others.sum(start + S, 50_000.0).backlog[0], 16_000 - 4_000);
     assert_eq!(
         others.sum(start + S * 2, 50_000.0),
         Load::default(),
-        "whoever tells nothing is gone"
+        "reports of a silent node expire"
     );
 }
 
@@ -381,8 +386,8 @@
     assert!(pace.factor() <= 8.0);
 }
 
-/// The bound holds over all nodes in any window, whatever they do: each spends all it is granted,
-/// some restart and forget, some are cut off and still count the others.
+/// The bound holds over all nodes in any window: each node spends all it is granted, some restart
+/// and lose their state, some are partitioned and still count the others.
 #[test]
 fn budget_any_window_within_bounds() {
     let bounds = Bounds { ratio: 0.2, allowance: 52.0, window: S * 10 };
@@ -394,7 +399,7 @@
         let now = start + MS * 10 * step;
         let at = (step as usize * 7) % nodes;
         if step % 1_300 == 900 {
-            // All restart at once, as when all are killed.
+            // All nodes restart at once.
             budgets = (0..nodes).map(|_| Budget::new(bounds, now)).collect();
         }
         if step % 3 != 0 {
@@ -409,7 +414,7 @@
         let from = start + MS * 10 * u32::try_from(from).expect("small");
         let within = |at: &&Instant| **at >= from && **at < from + S * 10;
         let spent = extras.iter().filter(within).count() as f64;
-        // The window of the requests may be the one before.
+        // The requests may be those of the window before.
         let earlier = |at: &&Instant| **at >= from - S * 10 && **at < from;
         let most =
             requests.iter().filter(within).count().max(requests.iter().filter(earlier).count());
@@ -419,13 +424,14 @@
     assert!(extras.len() > 500, "the budget can be used");
 }
 
-/// The same bound is broken by shares that do not know of a restart, so the check above can fail.
+/// Shows that the test above can fail: the bound is exceeded if a restarted node has its allowance
+/// at once.
 #[test]
 fn budget_allowance_at_start_would_break() {
     let bounds = Bounds { ratio: 0.0, allowance: 52.0, window: S * 10 };
     let start = Instant::now();
     let mut fresh = Budget::new(bounds, start);
-    assert!(!fresh.take(start, 1), "a node that has just started has no allowance");
+    assert!(!fresh.take(start, 1), "a restarted node has no allowance");
     let mut grown = Budget::new(bounds, start);
     let later = start + S * 10;
     let granted = std::iter::repeat_with(|| grown.take(later, 1)).take_while(|g| *g).count();
@@ -439,14 +445,13 @@
     assert!(first.on_time(0.4) && !first.on_time(0.5) && !first.returned);
     let back = Terms::new(&route, S * 3, Wait { before: S * 2, here: MS }, 1.0);
     assert!(back.returned && !back.on_time(0.0));
-    assert!(back.of_use(1.2, 1.0) && !first.of_use(1.2, 1.0), "who comes back goes first");
+    assert!(back.of_use(1.2, 1.0) && !first.of_use(1.2, 1.0), "retries are admitted first");
     assert!(!back.of_use(2.9, 0.0));
 }
 
-/// Symptom: short requests that come first go behind all others, and are late though runners are
-/// idle. Sequence: callers of one route wait for different times, between 0.85 of the longest and
-/// all of it. Cause: what a caller gives less than the route's time was taken for time that it had
-/// waited.
+/// Short first attempts were queued behind all others, and were late although runners were idle:
+/// callers of one route wait for between 0.85 of the maximum time and all of it, and the difference
+/// to the maximum was taken for time already waited.
 #[test]
 fn deadlines_spread_first_attempts_have_not_waited() {
     let mut deadlines = Deadlines::default();
@@ -458,7 +463,7 @@
     assert!((0..200).all(|_| deadlines.note(draw()).is_zero()));
 }
 
-/// Those that come back are still told from them, also where a third of all requests do.
+/// Retries are still distinguished from first attempts when a third of all requests are retries.
 #[test]
 fn deadlines_who_comes_back_has_waited() {
     let mut deadlines = Deadlines::default();
@@ -480,7 +485,7 @@
     }
 }
 
-/// Where all callers wait equally long, any less has been waited.
+/// If all callers allow the same time, any difference is time already waited.
 #[test]
 fn deadlines_equal_any_less_has_waited() {
     let mut deadlines = Deadlines::default();
@@ -536,7 +541,7 @@
     assert!(placed.fresh == 0 && placed.first < 0.1, "{placed:?}");
 }
 
-/// All nodes begin a chain that nobody keeps at one runner, whatever their draws.
+/// All nodes start an uncached chain on the same runner, whatever their random draws.
 #[test]
 fn generation_new_chain_one_home() {
     let register = engines(5, 3);
@@ -565,9 +570,9 @@
     assert!((1..50).all(|seed| prefill(placed(seed)) == first));
 }
 
-/// Symptom: the most urgent streams begin 300 ms late in a burst. Sequence: late, long prompts are
-/// read at the runners where those streams are to begin. Cause: a runner reads a prompt that it has
-/// begun to its end. Late work must stay where nothing urgent goes.
+/// The most urgent streams started 300 ms late in a burst, as late long prompts were prefilled on
+/// the runners where those streams were to start, and a runner finishes a prompt it has started.
+/// Late work must stay on runners that get no urgent work.
 #[test]
 fn generation_late_work_apart_from_urgent() {
     let now = Instant::now();
@@ -586,12 +591,15 @@
     }
     late.sort();
     late.dedup();
-    assert!(late.len() >= 3, "late work has more than one runner: {late:?}");
+    assert!(late.len() >= 3, "late work uses several runners: {late:?}");
     for n in 0..40 {
         let work = work(&format!("urgent{n}"), 300, 1_000);
         let placed = choose(&register, Class::of_rank(0), &work, now).expect("a place");
         let Plan::Split { prefill, decode } = &placed.plan else { panic!("{placed:?}") };
-        assert!(!late.contains(prefill) && !late.contains(decode), "{placed:?} meets {late:?}");
+        assert!(
+            !late.contains(prefill) && !late.contains(decode),
+            "{placed:?} shares a runner with late work: {late:?}"
+        );
         assert!(placed.first < 0.15, "{placed:?}");
     }
 }
@@ -647,10 +655,10 @@
     }
 }
 
-/// Symptom: short requests that were read in time wait for a quarter of a second for their first
-/// event, and runners turn them away, while other runners have free places. Sequence: a burst of
-/// short prompts at runners with small batches. Cause: only the runners that read nothing went on
-/// from what was read elsewhere, and places in their batches were not counted.
+/// Short requests that had been prefilled in time waited a quarter of a second for their first
+/// event, and runners rejected them while others had free slots. This happened in bursts of short
+/// prompts on runners with small batches: only runners without prefill work were used for decoding
+/// after a split, and their batch slots were not counted.
 #[test]
 fn decode_batches_full_others_go_on() {
     let now = Instant::now();
@@ -677,9 +685,8 @@
     assert!(loads.clone().all(|load| load <= 18), "{:?}", loads.collect::<Vec<_>>());
 }
 
-/// Symptom: urgent requests are turned away by runners and spend the retry budget. Sequence: more
-/// late work than there is room for waits in the runners' queues until those are full. Cause: late
-/// work was sent as long as its caller would wait.
+/// Urgent requests were rejected by runners and used up the retry budget: late work was sent as
+/// long as its caller would wait, and filled the queues of the runners.
 #[test]
 fn generation_queues_long_no_late_work() {
     let now = Instant::now();
@@ -705,19 +712,19 @@
         let (Plan::Split { decode, .. } | Plan::Whole { runner: decode }) = placed.plan;
         register.begin(&decode, late, now);
         sent += 1;
-        assert!(sent <= 40, "the queues are never full");
+        assert!(sent <= 40, "the queues never fill up");
     }
-    assert_eq!(sent, 4 * 8, "two for each place");
+    assert_eq!(sent, 4 * 8, "two for each slot");
     let urgent = Class::of_rank(0);
     assert!(place::generation(&register, &question(urgent), &small, &work, &mut rng).is_some());
-    // What has been read already goes on all the same.
+    // Work whose prompt has been prefilled continues nevertheless.
     let reader = id("p0");
     let on = place::decode(&register, &question(Class::LATE), &small, &work, &reader, &mut rng);
     assert!(on.is_some());
 }
 
-/// Symptom: short prompts wait for three times as long as predicted. Sequence: a burst of them at one
-/// runner. Cause: their tokens were counted, and not that each takes a step of its own.
+/// Short prompts waited three times as long as predicted in bursts at one runner: their tokens were
+/// counted, but not that each takes at least one step.
 #[test]
 fn wait_many_short_prompts_longer_than_one_long() {
     let now = Instant::now();
@@ -732,8 +739,8 @@
     assert!(waits(20) > waits(1) * 1.5, "{} for {}", waits(20), waits(1));
 }
 
-/// Symptom: urgent requests are refused or go behind all others while a runner would begin them at
-/// once. Cause: late requests that wait for its batch were counted as if they went first.
+/// Urgent requests were refused or queued as late although a runner would have started them at
+/// once: late requests waiting for a batch slot were counted as if they came first.
 #[test]
 fn wait_for_place_less_urgent_overtaken() {
     let now = Instant::now();
@@ -805,9 +812,9 @@
     assert_eq!(balance::decide(division(1, 1), &demand(90_000, 1, 1), 6, ENGINE.memory), None);
 }
 
-/// Symptom: a fleet that has lost two runners turns five more from reading to decoding within six
-/// seconds, and serves half. Cause: requests that waited for their prompt to be read were counted as
-/// streams, so the waits that fewer prefill runners made called for fewer still.
+/// A fleet that had lost two runners changed five more from prefill to decode within six seconds,
+/// and served half. Requests that waited for their prefill were counted as streams, so the longer
+/// waits caused by fewer prefill runners reduced their number further.
 #[test]
 fn decide_waiting_requests_no_streams() {
     let waiting = demand(80_000, 8, 10_000);
@@ -824,15 +831,15 @@
     assert_eq!(balance::decide(under_way, &busy, 6, ENGINE.memory), None);
 }
 
-/// Symptom: every request is refused for four seconds though runners stand idle. Sequence: two decode
-/// runners are made prefill runners; the others are replaced and crash. Cause: a change back so soon
-/// after was not made.
+/// All requests were refused for four seconds although runners were idle. Two decode runners had
+/// been changed to prefill, then the others were replaced or crashed, and the change back was
+/// rejected as too early.
 #[test]
 fn decide_no_decode_runner_urgent() {
     let change = balance::decide(division(6, 0), &demand(50_000, 5, 10_000), 6, ENGINE.memory);
     assert_eq!(change, Some(Change { to: Stage::Decode, count: 2, urgent: true }));
     let alone = balance::decide(division(2, 0), &demand(50_000, 5, 10_000), 6, ENGINE.memory);
-    assert_eq!(alone, None, "two runners are too few to divide");
+    assert_eq!(alone, None, "two runners are too few to change the stage of one");
 }
 
 #[test]
@@ -862,10 +869,9 @@
     assert_eq!(placed.fetch, None);
 }
 
-/// Symptom: a third of all reading is of shared prompts that another runner is reading. Sequence:
-/// requests that share a prompt nobody keeps come within its reading time. Cause: a prompt counted
-/// as kept only once it had been read, so the second was read elsewhere. It must wait where the
-/// first is read.
+/// One third of all prefill was for shared prompts that another runner was already prefilling. A
+/// prompt counted as cached only once its prefill was complete, so a second request that arrived
+/// meanwhile was prefilled elsewhere. It must wait where the first one is prefilled.
 #[test]
 fn generation_prompt_being_read_goes_there() {
     let now = Instant::now();
@@ -883,21 +889,21 @@
     assert!(goes_there && placed.fresh == 2_000 && placed.fetch.is_none(), "{placed:?}");
 }
 
-/// What is still being read cannot be fetched: the fetch would find nothing, and all would be read.
+/// A prompt whose prefill is in progress cannot be fetched: the fetch would find nothing.
 #[test]
 fn cache_begun_counts_there_not_fetched() {
     let now = Instant::now();
     let (mut cache, work) = (Cache::default(), work("a", 1_000, 50));
     cache.note(&work.chain, Progress::Begun, now);
     assert_eq!((cache.cached(&work.chain, now + S), cache.fetchable(&work.chain)), (1_050, 0));
-    assert_eq!(cache.cached(&work.chain, now + S * 3), 0, "it has been broken off");
+    assert_eq!(cache.cached(&work.chain, now + S * 3), 0, "the prefill has been cancelled");
     cache.note(&work.chain, Progress::Read, now + S);
     cache.note(&work.chain, Progress::Begun, now + S * 2);
-    assert_eq!(cache.fetchable(&work.chain), 1_050, "what has been read stays read");
+    assert_eq!(cache.fetchable(&work.chain), 1_050, "a complete prefill stays complete");
 }
 
-/// Requests of one kind share the start of their prompts; it is the last shared part that makes two
-/// of them meet. By the first part a whole kind would have one home.
+/// Requests of one category share the start of their prompts. Their affinity is determined by the
+/// last shared part; by the first part, a whole category would be placed on the same runner.
 #[test]
 fn generation_kind_with_one_start_many_homes() {
     let now = Instant::now();
@@ -915,9 +921,9 @@
     assert!(homes.len() >= 8, "{homes:?}");
 }
 
-/// Symptom: in a burst the retry budget is spent, and requests are refused for it. Sequence: late
-/// prompts wait behind urgent ones that come after them, and are taken away and read elsewhere.
-/// Cause: the bound was a multiple of a prediction that cannot know what comes later.
+/// The retry budget was exhausted in bursts: late prompts that waited behind later urgent ones
+/// exceeded a multiple of their prediction, which cannot include later arrivals, and were prefilled
+/// again elsewhere.
 #[test]
 fn reading_late_work_waits_its_time() {
     assert_eq!(patience::reading(Class::LATE, 0.1, S * 2), S * 2);
@@ -932,9 +938,9 @@
     assert_eq!(patience::silence(S, f64::MAX), MS * 12_500);
 }
 
-/// Symptom: callers of long prompts leave after two seconds while most prefill runners are idle.
-/// Sequence: a burst of long prompts, none of which can be on time. Cause: they waited for the few
-/// runners of late work. Those come first, then idle ones of the others, of which half stay free.
+/// Callers of long prompts gave up after two seconds while most prefill runners were idle: in a
+/// burst of prompts that could not be on time, all waited for the few runners reserved for late
+/// work. Late work uses these first, then idle ones of the others, half of which stay free.
 #[test]
 fn generation_late_runners_busy_idle_taken() {
     let now = Instant::now();
@@ -949,14 +955,18 @@
         readers.push(prefill);
     }
     let distinct = |some: &[RunnerId]| some.iter().collect::<std::collections::HashSet<_>>().len();
-    assert_eq!(distinct(&readers[..6]), 6, "none waits while idle ones are to be had: {readers:?}");
+    assert_eq!(
+        distinct(&readers[..6]),
+        6,
+        "no prompt waits while idle runners are available: {readers:?}"
+    );
     assert_eq!(distinct(&readers), 6, "three runners stay free: {readers:?}");
 }
 
-/// Symptom: of prompts that are believed to be kept for more than eight seconds six in ten are read
-/// again, of those kept for less than four one in four. Sequence: other nodes send a runner requests with parts of their own, which push the
-/// shared prompt out of its memory. Cause: others were told of shared parts alone, and believed the
-/// runner's memory to fill a third as fast as it does.
+/// Of prompts believed to have been cached for more than eight seconds, six in ten were prefilled
+/// again; of those cached for less than four, one in four. Other nodes sent requests with parts of
+/// their own, which evicted the shared prompt, but reported only shared parts, so the runner's
+/// memory was assumed to fill at a third of the actual rate.
 #[test]
 fn take_reading_own_parts_push_shared_out() {
     let now = Instant::now();
--- a/lib/tests/life_model.rs
+++ b/lib/tests/life_model.rs
@@ -1,10 +1,11 @@
-//! Lives of one runner as two nodes see them, explored exhaustively: every order of restarts, late
-//! writes of a former life, entries that come late and out of order, work that ends after its life,
-//! and reports between the nodes that are heard late.
+//! Model check of the incarnations of one runner as seen by two nodes, explored exhaustively: every
+//! order of restarts, late writes of a former incarnation, entries that arrive late and out of
+//! order, work that ends after its incarnation, and late reports between the nodes.
 //!
-//! Whatever happens, a node counts at a runner just the work that it began in the life it believes
-//! in, counts of the other node's work nothing of another life, and believes kept only what that
-//! life has read. A register that goes by the id alone is explored as well, and must be caught.
+//! In every state, the load that a node counts for a runner is exactly the work that it started in
+//! the incarnation it knows, it counts nothing of the other node's work in another incarnation, and
+//! considers only those parts cached that this incarnation has prefilled. A register that
+//! identifies runners by id alone is explored as well, and must be caught.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -17,27 +18,27 @@
 use sardinepick_lib::id::{Born, NodeId, RunnerId};
 
 const NODES: usize = 2;
-/// Events explored from each start.
+/// The number of events explored from each start.
 const DEPTH: usize = 5;
 const SHARE: Share = Share { class: Class::LATE, fresh: 10, footprint: 20 };
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// The runner dies and starts again, and writes its entry.
+    /// The runner restarts and writes its entry.
     Restart,
-    /// A write of the life before arrives at the store.
+    /// A write of the former incarnation arrives at the store.
     LateWrite,
-    /// A node takes the newest entry.
+    /// A node receives the newest entry.
     TakeNewest(usize),
-    /// A node takes the entry before the newest.
+    /// A node receives the entry before the newest.
     TakeOlder(usize),
-    /// A node begins work.
+    /// A node starts work.
     Begin(usize),
-    /// A node's oldest work ends, its prompt read.
+    /// The oldest work of a node ends, with its prompt prefilled.
     End(usize),
-    /// The first node reports its loads and what was read for it.
+    /// The first node reports its loads and the parts prefilled for it.
     Tell,
-    /// The second node hears the oldest report that it has not heard.
+    /// The second node receives the oldest outstanding report.
     Hear,
 }
 
@@ -55,7 +56,7 @@
     Event::Hear,
 ];
 
-/// Work under way, with the life that its node believed in when it began.
+/// Work in progress, with the incarnation that its node knew when it started.
 #[derive(Clone)]
 struct Work {
     stay: Stay,
@@ -66,7 +67,7 @@
 struct Report {
     loads: Vec<(Tag, Load)>,
     readings: Vec<Reading>,
-    /// How much work of each life the sender had.
+    /// The incarnations of the sender's work in progress, one entry for each piece of work.
     truth: Vec<Born>,
 }
 
@@ -80,9 +81,9 @@
     readings: Vec<Reading>,
     told: Vec<Report>,
     heard: Vec<Born>,
-    /// The lives that have read the prompt.
+    /// The incarnations that have prefilled the prompt.
     read: HashSet<Born>,
-    /// Whether births are told at all.
+    /// Whether entries contain the start time of the runner.
     lives: bool,
 }
 
@@ -115,10 +116,11 @@
         world
     }
 
-    /// Writes an entry of one life; each life has an address of its own, by which it is told apart
-    /// here whatever the register does.
+    /// Writes an entry of one incarnation. Each incarnation has an address of its own, by which the
+    /// test distinguishes them independently of the register.
     fn write(&mut self, born: Born) {
-        let address = ([127, 0, 0, 1], u16::try_from(born.0).expect("few lives")).into();
+        let address =
+            ([127, 0, 0, 1], u16::try_from(born.0).expect("there are few incarnations")).into();
         self.written.push(Entry {
             id: id(),
             born: self.lives.then_some(born),
@@ -134,12 +136,12 @@
         });
     }
 
-    /// The life that a node believes in.
-    /// What the first node has under way in one life of the runner.
+    /// The outstanding work of the first node in one incarnation of the runner.
     fn own_in(&self, tag: Tag) -> (Tag, Load) {
         (tag, self.nodes[0].by_tag(tag).map(|runner| runner.own).unwrap_or_default())
     }
 
+    /// The incarnation of the runner that a node knows.
     fn believed(&self, at: usize) -> Option<Born> {
         let runner = self.nodes[at].get(&id())?;
         Some(Born(u64::from(runner.entry.address.port())))
@@ -158,7 +160,7 @@
                 }
             }
             Event::TakeNewest(at) => {
-                let entry = self.written.last().expect("one at least").clone();
+                let entry = self.written.last().expect("at least one entry").clone();
                 self.nodes[at].apply(entry);
             }
             Event::TakeOlder(at) => {
@@ -176,7 +178,7 @@
             Event::End(at) => self.end(at),
             Event::Tell => {
                 let report = Report {
-                    // A node tells of each life that it has worked in, also when that is over.
+                    // A node reports each incarnation in which it has worked, also after its end.
                     loads: self.written.iter().map(|entry| self.own_in(entry.tag())).collect(),
                     readings: std::mem::take(&mut self.readings),
                     truth: self.work[0].iter().map(|work| work.born).collect(),
@@ -219,24 +221,27 @@
     fn check(&self) -> Result<(), String> {
         for at in 0..NODES {
             let Some(runner) = self.nodes[at].get(&id()) else { continue };
-            let believed = self.believed(at).expect("it is known");
+            let believed = self.believed(at).expect("the runner is known");
             let mine = self.work[at].iter().filter(|work| work.born == believed).count();
             if runner.own.total() as usize != mine {
                 return Err(format!("node {at} counts {} for {mine}", runner.own.total()));
             }
             if runner.cache.tokens() > 0 && !self.read.contains(&believed) {
-                return Err(format!("node {at} believes kept what {believed} has not read"));
+                return Err(format!(
+                    "node {at} considers cached what {believed} has not prefilled"
+                ));
             }
             let of_others = runner.load(self.now).total() - runner.own.total();
             let most = self.heard.iter().filter(|born| **born == believed).count();
             if of_others as usize > most {
-                return Err(format!("node {at} counts {of_others} of another's {most}"));
+                return Err(format!("node {at} counts {of_others} for {most} of the other node"));
             }
         }
         Ok(())
     }
 
-    /// Runs all orders of events from here; gives the first that breaks a promise, and counts runs.
+    /// Explores all orders of events from this state. Returns the first violation, and counts the
+    /// states.
     fn explore(&self, depth: usize, way: &mut Vec<Event>, count: &mut u64) -> Result<(), String> {
         *count += 1;
         if depth == 0 {
@@ -256,7 +261,8 @@
 
 #[test]
 fn lives_any_order_never_crossed() {
-    // From work under way, and from there again with a report not yet heard and a new life.
+    // From a state with work in progress, and from there again with an outstanding report and a new
+    // incarnation.
     let mut count = 0;
     let mut world = World::new(true);
     world.step(Event::Begin(0));
@@ -267,7 +273,7 @@
     assert!(count > 300_000, "{count} states");
 }
 
-/// Broken: births are not told, as if ids named lives.
+/// Broken variant: entries without start times, as if ids identified incarnations.
 #[test]
 fn lives_by_id_alone_caught() {
     let mut world = World::new(false);
--- a/lib/tests/limit.rs
+++ b/lib/tests/limit.rs
@@ -1,4 +1,4 @@
-//! The rate limit that a runner announces: reading it, believing it, granting permits from it.
+//! Tests of announced rate limits: parsing, applying announcements, and granting permits.
 
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,7 @@
     assert_eq!(rate(" 2 ").to_string(), "2/s");
 }
 
-/// Guards against a runner that is lost, or a node that ends, by one malformed answer.
+/// Guards against losing a runner, or a node's process, to one malformed answer.
 #[test]
 fn rate_malformed_error() {
     for text in ["", "-1", "NaN", "inf", "1e9", "2, 3", "two", "1.2.3", "."] {
@@ -30,7 +30,8 @@
     assert_eq!(long.parse::<Rate>(), Err(DecimalError::TooLong(5_000)));
 }
 
-/// Guards against a runner that is never asked again, and so never says that its limit is over.
+/// Guards against a runner that gets no request any more, and so can never announce the end of its
+/// limit.
 #[test]
 fn rate_nought_some_requests() {
     assert!(rate("0").per_second() > 0.0);
@@ -59,14 +60,14 @@
     assert!(limit.is_open(now + 6 * MS));
 }
 
-/// Guards against an answer that was written before the limit was announced and is read after it.
+/// Guards against an answer that was written before the limit was announced but arrives after it.
 #[test]
 fn note_answer_overtaken_limit_stays() {
     let (mut limit, now) = (Limit::default(), Instant::now());
     limit.note_answer(Some(rate("2")), now, now + 10 * MS);
     assert_eq!(limit.note_answer(None, now + 5 * MS, now + 11 * MS), None);
     assert_eq!(limit.note_answer(Some(rate("9")), now + 5 * MS, now + 12 * MS), None);
-    assert_eq!(limit.rate(), Some(rate("2")), "the lower of two whose order is not known");
+    assert_eq!(limit.rate(), Some(rate("2")), "the lower one applies if the order is unknown");
 }
 
 #[test]
@@ -80,7 +81,7 @@
     assert_eq!(limit.take_notice(new), Some(Change::Set(rate("2"))));
 }
 
-/// Guards against a limit that two nodes tell each other for ever.
+/// Guards against a limit that two nodes announce to each other for ever.
 #[test]
 fn take_notice_same_rate_not_renewed() {
     let (mut limit, now) = (Limit::default(), Instant::now());
@@ -100,7 +101,7 @@
     assert_eq!(Limit::default().grant(1.0, Instant::now()), Ok(()));
 }
 
-/// Guards against a second burst each time that another node begins to grant.
+/// Guards against another burst each time a different node starts to grant permits.
 #[test]
 fn grant_first_waits() {
     let now = Instant::now();
@@ -108,18 +109,19 @@
     assert_eq!(limit.grant(1.0, now), Err(Duration::from_millis(500)));
     assert!(!limit.is_open(now + 499 * MS) && limit.is_open(now + 500 * MS));
     assert_eq!(limit.grant(1.0, now + 500 * MS), Ok(()));
-    assert!(!limit.is_open(now + 999 * MS), "nothing is left to be granted");
+    assert!(!limit.is_open(now + 999 * MS), "no permit is left");
 }
 
-/// Guards against nodes that all ask again at one moment.
+/// Guards against nodes that all ask again at the same time.
 #[test]
 fn grant_many_ask_different_waits() {
     let now = Instant::now();
     let mut limit = limited("2", now);
-    let waits: Vec<_> = (0..4).map(|_| limit.grant(1.0, now).expect_err("it is empty")).collect();
+    let waits: Vec<_> =
+        (0..4).map(|_| limit.grant(1.0, now).expect_err("the bucket is empty")).collect();
     let millis: Vec<_> = waits.iter().map(Duration::as_millis).collect();
     assert_eq!(millis, [500, 1_000, 1_500, 2_000]);
-    assert!(limit.grant(1.0, now).expect_err("it is empty") <= Duration::from_secs(2));
+    assert!(limit.grant(1.0, now).expect_err("the bucket is empty") <= Duration::from_secs(2));
 }
 
 #[test]
@@ -129,27 +131,27 @@
     limit.note_denied(300 * MS, now);
     assert!(!limit.is_open(now + 299 * MS) && limit.is_open(now + 300 * MS));
     limit.note_denied(Duration::from_secs(9_000), now);
-    assert!(limit.is_open(now + Duration::from_secs(8)), "no answer keeps a runner for hours");
+    assert!(limit.is_open(now + Duration::from_secs(8)), "no denial lasts for hours");
 }
 
-/// Guards against a prompt that is read for an engine which then has no room for it.
+/// Guards against prefilling a prompt for a decode runner that then accepts no request.
 #[test]
 fn reserve_token_kept_for_who_placed() {
     let now = Instant::now();
     let mut limit = limited("2", now);
     limit.reserve(1.0, now);
-    assert!(!limit.has_reserved(now), "there was no token");
+    assert!(!limit.has_reserved(now), "there is no token");
     limit.reserve(1.0, now + 500 * MS);
     assert!(limit.has_reserved(now + 500 * MS) && !limit.is_open(now + 900 * MS));
     assert_eq!(limit.grant(1.0, now + 900 * MS), Ok(()));
     assert!(limit.grant(1.0, now + 900 * MS).is_err());
     limit.reserve(1.0, now + 1_000 * MS);
-    assert!(!limit.has_reserved(now + 2_000 * MS), "what is not asked for lapses");
+    assert!(!limit.has_reserved(now + 2_000 * MS), "unused reservations expire");
 }
 
 proptest! {
-    /// Guards against more requests than the users' rule allows: in any 4 s one and a half times the
-    /// rate, and five, whatever asks at whatever times, and while a second node grants for 1 s.
+    /// Guards against exceeding the users' bound: in any 4 s at most one and a half times the rate,
+    /// and five, whatever the sequence of requests, and while two nodes grant permits for 1 s.
     #[test]
     fn grant_any_asking_rate_kept(
         tenths in 3_u32..500,
@@ -159,7 +161,7 @@
         let now = Instant::now();
         let text = format!("{}.{}", tenths / 10, tenths % 10);
         let mut grantors = [limited(&text, now), limited(&text, now)];
-        // Some tokens are set aside up to a second before they are asked for, or are never asked for.
+        // Some tokens are reserved up to a second before they are used, or are never used.
         let ask = |(n, (at, _)): (usize, &(u64, u64))| (*at, n, false);
         let reserve = |(n, (at, lead)): (usize, &(u64, u64))| {
             (*lead < 1_000).then(|| (at.saturating_sub(*lead), n, true))
@@ -186,8 +188,9 @@
     }
 }
 
-/// Guards against a share of a small rate that most of many nodes can never use, and against questions
-/// that grow with the nodes: 550 nodes that each want one request a second of a runner with two.
+/// Guards against dividing a low rate into shares that most of many nodes never use, and against
+/// queries that grow with the number of nodes: 550 nodes each want one request per second of a
+/// runner that accepts two.
 #[test]
 fn grant_many_nodes_rate_used_few_questions() {
     const NODES: usize = 550;
@@ -213,7 +216,7 @@
     let most = (SECONDS as f64 * 2.0 + 2.0) as usize;
     assert!((most / 2..=most).contains(&granted.len()), "{} permits", granted.len());
     let each = questions as f64 / SECONDS as f64 / NODES as f64;
-    assert!(each < 0.8, "{each} questions a second and node");
+    assert!(each < 0.8, "{each} queries per second and node");
     let users: std::collections::BTreeSet<_> = granted.iter().collect();
     assert!(users.len() > granted.len() / 2, "{} nodes use the rate", users.len());
 }
--- a/lib/tests/outbox.rs
+++ b/lib/tests/outbox.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of runners with their beats.
+//! Tests of the gossip about runners that is sent with heartbeats.
 
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,8 @@
     assert!(!outbox.has_new() && outbox.take(false, now + 2 * MS).is_empty());
 }
 
-/// Guards against a change that some are never told, and against beats that grow with the changes.
+/// Guards against a change that is never repeated, and against heartbeats that grow with the number
+/// of changes.
 #[test]
 fn take_again_all_in_turn_few_a_beat() {
     let (mut outbox, now) = (Outbox::default(), Instant::now());
--- a/lib/tests/quarantine.rs
+++ b/lib/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that are run no more: what is confirmed, what is let go, and how all nodes learn of it.
+//! Tests of the quarantine: which requests are confirmed or released, and how all nodes learn of
+//! it.
 
 use std::time::{Duration, Instant};
 
@@ -20,7 +21,7 @@
     format!("edge-{n}").parse().expect("an id")
 }
 
-/// One node that counts, and decides by itself.
+/// A node that counts ends and decides by itself.
 #[derive(Default)]
 struct Node {
     suspects: Suspects,
@@ -28,7 +29,7 @@
 }
 
 impl Node {
-    /// A request was under way when these runners ended.
+    /// Records that a request was running when these runners ended.
     fn ended(&mut self, n: u64, lives: &[u64], begun: bool, now: Instant) -> Option<Entry> {
         let reach = Reach { events: 0, begun };
         for life in lives {
@@ -43,8 +44,8 @@
     }
 
     fn confirm(&mut self, n: u64, now: Instant) {
-        self.ended(n, &[n * 10, n * 10 + 1, n * 10 + 2], true, now).expect("proposed");
-        self.quarantine.set(&request(n), Stage::Confirmed, now).expect("it stood");
+        self.ended(n, &[n * 10, n * 10 + 1, n * 10 + 2], true, now).expect("it is proposed");
+        self.quarantine.set(&request(n), Stage::Confirmed, now).expect("it is undecided");
     }
 }
 
@@ -64,8 +65,8 @@
     assert_eq!(node.quarantine.standing(&request(2), then), Standing::Free);
 }
 
-/// Three runners ended, and two requests were there each time, one of them waiting: it has only been
-/// there by bad luck.
+/// Two requests were at the same three runners when these ended, but one of them was only queued:
+/// it was there by coincidence.
 #[test]
 fn decide_waited_beside_one_that_ran_withdrawn() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -75,7 +76,7 @@
     assert_eq!(node.decided(2, now), Some(Stage::Withdrawn));
 }
 
-/// A caller's request goes on elsewhere twice, and meets the request that ends runners both times; a
+/// A request was moved to another runner twice, and met the request that ends runners both times; a
 /// fourth runner ended for another reason.
 #[test]
 fn decide_beside_one_that_accounts_for_most_withdrawn() {
@@ -86,8 +87,8 @@
     assert_eq!(node.decided(2, now), Some(Stage::Withdrawn));
 }
 
-/// Where two requests were at the same three ends nothing tells them apart. Neither is refused, and
-/// the next end decides: the other was not there.
+/// Two requests were at the same three ends, so nothing distinguishes them. Neither is refused, and
+/// the next end, at which only one was, decides.
 #[test]
 fn decide_even_next_end_tells() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -106,7 +107,7 @@
     assert_eq!(node.decided(1, now + SECOND), Some(Stage::Confirmed));
 }
 
-/// Two requests that end runners, sent always together, are not let go for ever.
+/// Two requests that end runners and are always sent together are not released for ever.
 #[test]
 fn decide_even_beyond_chance_confirmed() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -117,8 +118,8 @@
     assert_eq!(node.decided(2, now), Some(Stage::Confirmed));
 }
 
-/// Runners that all end every few seconds, by a fault of their own, end under each request that they
-/// get: many are proposed at once, and none is refused.
+/// Runners that all end every few seconds by a fault of their own end under each of their requests:
+/// many requests are proposed at once, and none is refused.
 #[test]
 fn decide_many_at_once_withdrawn() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -130,7 +131,7 @@
     }
 }
 
-/// A few requests that end runners at the same time are all found.
+/// A few requests that end runners at the same time are all confirmed.
 #[test]
 fn decide_few_at_once_confirmed() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -142,8 +143,8 @@
     }
 }
 
-/// Those who counted are gone, or slept and know nothing newer: the request is run again, and can be
-/// proposed anew.
+/// If the nodes that counted are gone or have stalled, the request runs again and can be proposed
+/// again.
 #[test]
 fn standing_nobody_decides_free_again() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -155,8 +156,8 @@
     assert!(node.ended(1, &[4], true, late).is_some());
 }
 
-/// Many callers send the same request all day, so it is there whenever a runner ends; and any node
-/// has answered it since.
+/// Many callers send the same request all day, so it is running whenever a runner ends, and some
+/// node has answered it since.
 #[test]
 fn objects_answered_since_first_end() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -165,12 +166,15 @@
     other.note_answered(request(2), now - SECOND);
     for n in [1, 2] {
         let entry = node.ended(n, &[n * 10, n * 10 + 1, n * 10 + 2], true, now).expect("proposed");
-        assert_eq!(other.objects(&entry), n == 1, "an answer before the first end says nothing");
+        assert_eq!(other.objects(&entry), n == 1, "an answer before the first end does not count");
     }
-    assert!(node.quarantine.note_answered(request(1), now + SECOND), "it speaks for it");
+    assert!(
+        node.quarantine.note_answered(request(1), now + SECOND),
+        "the answer counts in favour of the request"
+    );
 }
 
-/// A refused request is tried again, ever more seldom, and three times at the most.
+/// A refused request is tried again at increasing intervals, at most three times.
 #[test]
 fn begin_trial_three_times() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -185,7 +189,7 @@
     assert!(!node.quarantine.begin_trial(&request(2), now + 50 * SECOND));
 }
 
-/// A trial that found no runner free says nothing, and the next request is tried.
+/// A trial for which no runner was available does not count, and the next request is tried.
 #[test]
 fn return_trial_next_is_tried() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -205,14 +209,14 @@
     let confirmed = node.quarantine.set(&request(1), Stage::Confirmed, now).expect("new");
     let mut other = Quarantine::default();
     assert!(other.take(confirmed.clone(), now));
-    assert!(!other.take(proposed, now), "a late word of the proposal");
+    assert!(!other.take(proposed, now), "the proposal is superseded");
     assert!(!other.take(confirmed, now));
     let cleared = other.set(&request(1), Stage::Cleared, now).expect("new");
     assert!(node.quarantine.take(cleared, now));
     assert_eq!(node.quarantine.standing(&request(1), now), Standing::Free);
 }
 
-/// After it was cleared a request is proposed by new ends alone, and by a new serial.
+/// After a request was cleared, only new ends count, and its next proposal has a new serial.
 #[test]
 fn propose_after_cleared_counts() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -223,7 +227,7 @@
     assert_eq!(node.ended(1, &[23], true, now).map(|entry| entry.serial), Some(2));
 }
 
-/// A node that speaks nonsense of a request takes no other down.
+/// A malformed entry with the greatest serial must not make a node panic.
 #[test]
 fn propose_after_greatest_serial_none() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -263,13 +267,13 @@
     assert_eq!(node.quarantine.expire(now + 86_400 * SECOND), [request(1)]);
 }
 
-/// Nodes that each tell eight others what is new to them, and beat to them every 200 ms; one way takes
-/// ten milliseconds, and one message in ten is lost.
+/// Nodes that each send updates to eight others at once and heartbeats every 200 ms. Latency is ten
+/// milliseconds, and one message in ten is lost.
 struct Fleet {
     began: Instant,
     nodes: Vec<Quarantine>,
     watchers: Vec<Vec<usize>>,
-    /// Messages with entries, and lists compared.
+    /// Messages with entries, and comparisons of all entries.
     told: u32,
     compared: u32,
 }
@@ -292,14 +296,14 @@
         Self { began, nodes, watchers, told: 0, compared: 0 }
     }
 
-    /// How many nodes refuse the request.
+    /// The number of nodes that refuse the request.
     fn refusing(&self) -> usize {
         let refuses =
             |node: &&Quarantine| node.standing(&request(1), self.began) == Standing::Refused;
         self.nodes.iter().filter(refuses).count()
     }
 
-    /// What happens in the ten milliseconds after `at`.
+    /// Simulates the ten milliseconds after `at`.
     fn step(&mut self, at: Duration) {
         let now = self.began + at;
         let news: Vec<Vec<Entry>> = self.nodes.iter_mut().map(Quarantine::take_news).collect();
@@ -333,7 +337,7 @@
     }
 }
 
-/// One mechanism from a few nodes on: what a node sends does not grow with the fleet.
+/// The number of messages per node does not grow with the fleet.
 #[test]
 fn take_news_at_all_sizes_reaches_all() {
     for count in [2, 6, 70, 295, 550] {
@@ -346,17 +350,18 @@
         let refusing = fleet.refusing();
         assert!(refusing * 100 >= count * 99, "{refusing} of {count} after 200 ms");
         let told = f64::from(fleet.told) / count as f64;
-        assert!(told <= 8.0, "{told} messages a node at {count} nodes");
+        assert!(told <= 8.0, "{told} messages per node at {count} nodes");
         while at < 3 * SECOND {
             fleet.step(at);
             at += 10 * MS;
         }
-        assert_eq!(fleet.refusing(), count, "the digests show who missed it");
+        assert_eq!(fleet.refusing(), count, "nodes that missed the entry find out by the digests");
         assert!(fleet.compared <= 24, "{} lists compared at {count} nodes", fleet.compared);
     }
 }
 
-/// A node that slept, was cut off, or has just started sees by the digest that it has missed something.
+/// A node that has stalled, was partitioned, or has just started finds out by the digest that it
+/// has missed an entry.
 #[test]
 fn note_digest_missed_found() {
     let (mut node, now) = (Node::default(), Instant::now());
@@ -365,7 +370,7 @@
     assert!(!other.note_digest(&name, node.quarantine.digest(now), now));
     node.confirm(1, now);
     let digest = node.quarantine.digest(now);
-    assert!(!other.note_digest(&name, digest, now), "it may be on its way");
+    assert!(!other.note_digest(&name, digest, now), "the entry may still arrive");
     assert!(other.note_digest(&name, digest, now + SECOND));
     for entry in node.quarantine.entries() {
         other.take(entry.clone(), now + SECOND);
--- a/lib/tests/roster.rs
+++ b/lib/tests/roster.rs
@@ -1,5 +1,5 @@
-//! The roster: who is there, who watches whom, how what is new gets about, at up to 550 nodes on a
-//! clock of the test's own.
+//! Tests of the roster on a simulated clock, with up to 550 nodes: membership, failure detection
+//! and the spread of updates.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use sardinepick_lib::id::Incarnation;
 
 const MS: Duration = Duration::from_millis(1);
-/// One way between two nodes of these tests, in steps of the clock.
+/// The latency between two nodes, which is one step of the simulated clock.
 const STEP: Duration = Duration::from_millis(10);
 
 fn address(at: usize) -> SocketAddr {
@@ -44,34 +44,34 @@
     digest: u64,
 }
 
-/// Nodes that beat to each other, each message one step on its way.
+/// Nodes that send each other heartbeats with a latency of one step.
 struct Fleet {
     now: Instant,
     nodes: Vec<Option<Roster>>,
     at: HashMap<SocketAddr, usize>,
     next_beat: Vec<Instant>,
     under_way: Vec<Beat>,
-    /// Messages sent by each node, and how many of them carried records.
+    /// The number of messages sent by each node, and the number of records in them.
     sent: Vec<u64>,
     records: u64,
-    /// Lists compared.
+    /// The number of list comparisons.
     compared: u64,
-    /// Nodes that no message reaches or leaves.
+    /// Nodes that can neither send nor receive.
     cut: HashSet<usize>,
-    /// The share of messages that is lost.
+    /// The fraction of messages that is lost.
     loss: f64,
     rng: StdRng,
 }
 
 impl Fleet {
-    /// Nodes that all know each other.
+    /// Creates nodes that all know each other.
     fn new(count: usize) -> Self {
         let now = Instant::now();
         let mut rng = StdRng::seed_from_u64(count as u64);
         let mut nodes: Vec<Option<Roster>> =
             (0..count).map(|at| Some(Roster::new(contact(at, 1)))).collect();
         for (at, node) in nodes.iter_mut().enumerate() {
-            let node = node.as_mut().expect("all are there");
+            let node = node.as_mut().expect("all nodes are present");
             node.set_me(Standing::Ready, true);
             for other in (0..count).filter(|other| *other != at) {
                 node.take_record(&record(other, 2), now);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// How long it takes until `done`, which must be within `limit`.
+    /// Runs until `done` and returns how long it took, which must be within `limit`.
     fn until(&mut self, limit: Duration, done: impl Fn(&Fleet) -> bool) -> Duration {
         let began = self.now;
         while !done(self) {
@@ -185,13 +185,14 @@
             return;
         }
         self.compared += 1;
-        let (mine, now) = (self.nodes[one].as_ref().expect("it is there").records(), self.now);
+        let (mine, now) =
+            (self.nodes[one].as_ref().expect("the node is present").records(), self.now);
         let Some(node) = self.nodes[other].as_mut() else { return };
         for record in mine {
             node.take_record(&record, now);
         }
         let theirs = node.records();
-        let node = self.nodes[one].as_mut().expect("it is there");
+        let node = self.nodes[one].as_mut().expect("the node is present");
         for record in theirs {
             node.take_record(&record, now);
         }
@@ -201,22 +202,22 @@
         self.nodes.iter().flatten()
     }
 
-    /// How many of the nodes that are there take node `at` for there.
+    /// The number of present nodes that consider node `at` present.
     fn knowing(&self, at: usize) -> usize {
         let id = contact(at, 1).id;
         self.there().filter(|node| node.ids().any(|known| *known == id)).count()
     }
 }
 
-/// Symptom: with the number of nodes, each node's beats grow until they are sent too rarely to be of
-/// use. Cause: each node beat to all.
+/// The heartbeats of a node grew with the number of nodes until they were too infrequent to be
+/// useful, as each node sent heartbeats to all others.
 #[test]
 fn tick_more_nodes_same_messages() {
     let mut sent = BTreeMap::new();
     for count in [6, 30, 300, 550] {
         let mut fleet = Fleet::new(count);
         fleet.run(MS * 1_000);
-        assert_eq!(fleet.records, 0, "nothing is new");
+        assert_eq!(fleet.records, 0, "there are no updates");
         let most = fleet.sent.iter().max().copied().unwrap_or_default();
         sent.insert(count, most);
     }
@@ -224,8 +225,8 @@
     assert!(sent[&550] <= 5 * WATCHERS as u64 + 8, "{sent:?}");
 }
 
-/// Symptom: callers are sent to a dead node for seven seconds. Cause: with 295 nodes a beat comes
-/// every 1.2 s, and six of them had to be missed.
+/// Callers were sent to a dead node for seven seconds: with 295 nodes a heartbeat came every 1.2 s,
+/// and six of them had to be missed.
 #[test]
 fn tick_dead_node_all_know_soon() {
     for count in [6, 60, 300] {
@@ -235,12 +236,12 @@
         let took = fleet.until(MS * 3_000, |fleet| fleet.knowing(3) == 0);
         assert!(took <= SILENCE + MS * 1_000, "{count} nodes: {took:?}");
         fleet.run(MS * 2_000);
-        assert_eq!(fleet.knowing(4), count - 2, "the others know those that are there");
+        assert_eq!(fleet.knowing(4), count - 2, "the others know all present nodes");
     }
 }
 
-/// Symptom: hundreds of nodes that start again together read all entries of the store. Sequence: half
-/// of them are killed and start again. Their new lives are told of along the watchers alone.
+/// Hundreds of nodes that restarted together read all entries of the store. Half of the nodes are
+/// killed and restart; updates about their new incarnations pass along the watchers alone.
 #[test]
 fn take_record_half_start_again_all_know() {
     let mut fleet = Fleet::new(60);
@@ -251,27 +252,27 @@
     fleet.run(MS * 1_500);
     for at in (0..60).step_by(2) {
         let mut node = Roster::new(contact(at, 2));
-        // It asks one node for its list, as at each start.
-        for record in fleet.nodes[1].as_ref().expect("it is there").records() {
+        // It asks one node for its list, as at every start.
+        for record in fleet.nodes[1].as_ref().expect("the node is present").records() {
             node.take_record(&record, fleet.now);
         }
         node.set_me(Standing::Ready, true);
         let me = node.me().clone();
         fleet.nodes[at] = Some(node);
         let now = fleet.now;
-        fleet.nodes[1].as_mut().expect("it is there").take_record(&me, now);
+        fleet.nodes[1].as_mut().expect("the node is present").take_record(&me, now);
     }
     fleet.until(MS * 4_000, |fleet| (0..60).all(|at| fleet.knowing(at) >= 59));
     let fronts = fleet.there().map(|node| node.fronts().len()).min();
     assert_eq!(fronts, Some(59));
 }
 
-/// Symptom: one change of a node is told again and again. Cause: what is not new was passed on.
+/// One change of a node was sent again and again, as records that were not new were passed on.
 #[test]
 fn set_me_leaving_each_passes_it_on_few_times() {
     let mut fleet = Fleet::new(300);
     fleet.run(MS * 500);
-    fleet.nodes[7].as_mut().expect("it is there").set_me(Standing::Leaving, true);
+    fleet.nodes[7].as_mut().expect("the node is present").set_me(Standing::Leaving, true);
     let leaving = |fleet: &Fleet| fleet.there().all(|node| node.fronts().len() <= 299);
     let took = fleet.until(MS * 1_000, |fleet| {
         let id = contact(7, 1).id;
@@ -281,10 +282,10 @@
     assert!(took <= MS * 100, "{took:?}");
     fleet.run(MS * 2_000);
     let each = fleet.records as f64 / 300.0;
-    assert!(each <= 2.0 * WATCHERS as f64, "{each} records a node for one change");
+    assert!(each <= 2.0 * WATCHERS as f64, "{each} records per node for one change");
 }
 
-/// Symptom: on a link that loses packets nodes come and go from the answers to callers.
+/// With packet loss, nodes came and went in the answers to callers.
 #[test]
 fn tick_packets_lost_nobody_told_of_as_silent() {
     let mut fleet = Fleet::new(60);
@@ -296,30 +297,31 @@
     }
 }
 
-/// Symptom: after a cut has healed, nodes stay apart. Sequence: a third of the nodes is cut off, and
-/// taken for silent; the cut heals. Cause: neither side beats to the other any more.
+/// After the end of a partition, nodes stayed apart: a third of the nodes was cut off and
+/// considered silent, and neither side sent heartbeats to the other any more.
 #[test]
 fn take_beat_cut_healed_all_there_again() {
     let mut fleet = Fleet::new(30);
     fleet.run(MS * 500);
-    // Each is cut off by itself, and hears nobody.
+    // Each node is cut off by itself and hears no other.
     fleet.cut = (0..10).collect();
     fleet.until(MS * 4_000, |fleet| (0..10).all(|at| fleet.knowing(at) <= 10));
     fleet.cut.clear();
-    // A node greets one that it does not take to be there, now and then.
-    let greeted: Vec<SocketAddr> = fleet.nodes[20].as_ref().expect("it is there").lost().collect();
+    // A node occasionally contacts nodes that it does not consider present.
+    let greeted: Vec<SocketAddr> =
+        fleet.nodes[20].as_ref().expect("the node is present").lost().collect();
     assert_eq!(greeted.len(), 10);
     fleet.until(MS * 6_000, |fleet| (0..30).all(|at| fleet.knowing(at) >= 29));
 }
 
-/// Symptom: after its own pause a node tells all others that everyone is silent.
+/// After a stall of its own, a node reported all others as silent.
 #[test]
 fn tick_own_pause_nobody_told_of() {
     let mut fleet = Fleet::new(6);
     fleet.run(MS * 500);
-    let node = fleet.nodes[0].as_mut().expect("it is there");
+    let node = fleet.nodes[0].as_mut().expect("the node is present");
     let later = fleet.now + MS * 5_000;
-    assert!(node.tick(later).is_empty(), "nobody is asked");
+    assert!(node.tick(later).is_empty(), "no node is probed");
     assert!(!node.has_news());
     assert_eq!(node.ids().count(), 5);
 }
@@ -329,16 +331,16 @@
     let now = Instant::now();
     let mut roster = Roster::new(contact(0, 1));
     assert!(roster.take_record(&record(1, 3), now));
-    assert!(!roster.take_record(&record(1, 3), now), "it is known");
+    assert!(!roster.take_record(&record(1, 3), now), "it is already known");
     assert!(!roster.take_record(&record(1, 2), now), "it is older");
     assert!(roster.take_record(&Record { silent: true, ..record(1, 3) }, now));
-    assert!(!roster.take_record(&record(1, 3), now), "what it said before does not contradict");
+    assert!(!roster.take_record(&record(1, 3), now), "an earlier record does not refute it");
     assert!(roster.take_record(&record(1, 4), now));
     let next = Record { contact: contact(1, 2), ..record(1, 1) };
-    assert!(roster.take_record(&next, now), "a new life begins anew");
-    assert!(!roster.take_record(&record(1, 9), now), "and its former one is over");
+    assert!(roster.take_record(&next, now), "a new incarnation supersedes the former one");
+    assert!(!roster.take_record(&record(1, 9), now), "the former incarnation is ignored");
     assert!(!roster.take_record(&Record { silent: true, ..record(2, 1) }, now));
-    assert_eq!(roster.known(), 1, "who is first heard of as silent is not remembered");
+    assert_eq!(roster.known(), 1, "a node first heard of as silent is not added");
 }
 
 #[test]
@@ -349,7 +351,7 @@
     assert!(roster.take_record(&Record { silent: true, ..record(0, before) }, now));
     assert!(roster.me().serial > before && roster.has_news());
     let former = Record { contact: contact(0, 0), silent: true, ..record(0, 99) };
-    assert!(!roster.take_record(&former, now), "that was a former life");
+    assert!(!roster.take_record(&former, now), "that was a former incarnation");
 }
 
 #[test]
@@ -363,7 +365,7 @@
     assert_eq!(roster.fronts().len(), 1);
 }
 
-/// Symptom: nobody follows the store after the nodes that did were killed. Cause: they still counted.
+/// No node followed the store after the nodes that did were killed, as they were still counted.
 #[test]
 fn served_silent_or_turned_away_not_counted() {
     let now = Instant::now();
@@ -378,9 +380,10 @@
     assert_eq!((roster.ids().count(), roster.known()), (2, 3));
 }
 
-/// One node that nobody beats to has missed what is new. It differs from all that it beats to, but each of
-/// those hears it among many that do not differ. Each took the next equal digest for the end of the
-/// difference, and compared with nobody.
+/// A node to which no other sends heartbeats has missed an update. Its digest differs from those of
+/// all nodes to which it sends heartbeats, but each of these hears it among many that do not
+/// differ. They took the next equal digest for the end of the difference, and no comparison took
+/// place.
 #[test]
 fn note_digest_one_of_many_differs_noticed() {
     let (mut node, now) = (Roster::new(contact(0, 1)), Instant::now());
@@ -396,7 +399,7 @@
     assert!(noticed);
 }
 
-/// Guards against two sides of a partition that each take the whole of what all nodes share.
+/// Guards against two sides of a partition that each use the whole of a shared allowance.
 #[test]
 fn part_partitioned_sides_add_up() {
     let now = Instant::now();
@@ -414,5 +417,5 @@
     assert!((side(0, 0..2) + side(5, 2..9) - 1.0).abs() < 1e-9);
     let mut roster = Roster::new(contact(0, 1));
     roster.take_record(&Record { standing: Standing::Leaving, ..record(1, 2) }, now);
-    assert_eq!(roster.part(), 1.0, "one that leaves has no part");
+    assert_eq!(roster.part(), 1.0, "a leaving node has no share");
 }
--- a/lib/tests/scheduler.rs
+++ b/lib/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Pools of runners, and what is decided by the one that schedules a pool.
+//! Tests of pools and of the decisions of a pool's scheduler.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -42,7 +42,7 @@
     format!("edge-{at}").parse().expect("an id")
 }
 
-/// Every third runner reads prompts for others.
+/// Every third runner is a prefill runner.
 fn stage(at: usize) -> Stage {
     if at.is_multiple_of(3) { Stage::Prefill } else { Stage::Decode }
 }
@@ -96,14 +96,14 @@
     scheduler::decide(register, ask, &ENGINE, now, &mut StdRng::seed_from_u64(seed))
 }
 
-/// The runner that reads the prompt.
+/// The runner that prefills the prompt.
 fn reader(decision: &Decision) -> RunnerId {
     match decision {
         Decision::Placed { placement, .. } => match &placement.plan {
             Plan::Whole { runner } => runner.clone(),
             Plan::Split { prefill, .. } => prefill.clone(),
         },
-        other => panic!("it is not placed: {other:?}"),
+        other => panic!("not placed: {other:?}"),
     }
 }
 
@@ -124,9 +124,9 @@
     }
 }
 
-/// Symptom: after each loss of a runner, prompts are read anew all over the fleet. Sequence: a runner
-/// leaves, the others are divided anew. Cause: most of them came to other pools, whose schedulers do
-/// not know what they keep.
+/// After each loss of a runner, prompts were prefilled again all over the fleet: the runners were
+/// divided anew and most of them moved to other pools, whose schedulers do not know what they have
+/// cached.
 #[test]
 fn divide_one_runner_gone_few_move() {
     let before = pools(&fleet(0..160));
@@ -146,13 +146,12 @@
     }
     let pools: BTreeSet<Pool> =
         (0..1_000).map(|n| Pool::of_prompt(ChainKey(place(n, b"prompt")), 8)).collect();
-    assert_eq!(pools.len(), 8, "each has prompts");
+    assert_eq!(pools.len(), 8, "each pool has prompts");
 }
 
-/// Symptom: on a fleet of 295 nodes the busiest runner has 2.2 times the mean load and long prompts
-/// take three times what was predicted. Sequence: within the time in which one prompt is read,
-/// dozens of nodes place prompts, each by what it has heard a second ago. Cause: nobody who places
-/// knows what the others are placing.
+/// On a fleet of 295 nodes, the busiest runner had 2.2 times the mean load, and long prompts took
+/// three times as long as predicted: within the time of one prefill, dozens of nodes placed
+/// prompts, each by reports that were a second old.
 #[test]
 fn decide_many_nodes_one_moment_spread() {
     let (now, runners, requests) = (Instant::now(), 24, 48);
@@ -172,7 +171,7 @@
             reader(&decision)
         })
         .collect();
-    // Each node by itself, none of which has heard of the others' choices.
+    // Each node decides by itself and does not know the others' decisions.
     let unknown = fleet(0..runners);
     let alone: Vec<RunnerId> = asks
         .iter()
@@ -181,14 +180,13 @@
         .collect();
     let readers = by_scheduler.iter().collect::<BTreeSet<_>>().len();
     let mean = requests as f64 / readers as f64;
-    assert!(readers >= runners / 3, "every prefill runner reads: {readers}");
+    assert!(readers >= runners / 3, "every prefill runner is used: {readers}");
     assert!(f64::from(busiest(&by_scheduler)) <= mean * 2.0, "{}", busiest(&by_scheduler));
     assert!(busiest(&alone) > busiest(&by_scheduler), "{}", busiest(&alone));
 }
 
-/// Symptom: a shared part is read by several runners at once. Sequence: two nodes get requests with
-/// the same long prompt within the time that it takes to be read. Cause: the second did not know
-/// that a runner had begun to read it.
+/// Several runners prefilled the same shared part: two nodes received requests with the same long
+/// prompt within its prefill time, and the second did not know that a runner had started it.
 #[test]
 fn note_prompt_begun_next_goes_there() {
     let now = Instant::now();
@@ -198,12 +196,12 @@
     scheduler::note(&mut register, &node(1), &first, &decision, &ENGINE, now);
     let next = decide(&register, &second, now + MS * 20, 2);
     assert_eq!(reader(&next), reader(&decision));
-    let Decision::Placed { placement, .. } = next else { panic!("it is not placed") };
+    let Decision::Placed { placement, .. } = next else { panic!("not placed") };
     assert_eq!(placement.fresh, 500);
 }
 
-/// Symptom: a runner looks busy for ever, or idle while it is not. Sequence: an answer or a report is
-/// lost, comes twice or late. Cause: loads told as differences; they are told as they stand.
+/// A runner looked busy for ever, or idle while it was not: loads were reported as differences, and
+/// a message was lost, duplicated or late. Reports are absolute.
 #[test]
 fn take_report_in_place_of_what_was_placed() {
     let now = Instant::now();
@@ -213,7 +211,7 @@
     let id = reader(&decision);
     let tag = Tag::of(&id, None);
     let total = |register: &Register| register.get(&id).expect("known").load(now).total();
-    // The answer is lost: the node asks once more, and the work is counted twice.
+    // The reply is lost: the node asks again, and the work is counted twice.
     scheduler::note(&mut register, &node(1), &asked, &decision, &ENGINE, now);
     scheduler::note(&mut register, &node(1), &asked, &decision, &ENGINE, now);
     assert_eq!(total(&register), 2);
@@ -221,7 +219,7 @@
     one.requests[1] = 1;
     for _ in 0..2 {
         register.take_report(&node(1), &[(tag, one)], now);
-        assert_eq!(total(&register), 1, "what the node says is what it has");
+        assert_eq!(total(&register), 1, "the report replaces what was counted");
     }
     register.take_report(&node(2), &[(tag, one)], now);
     assert_eq!(total(&register), 2);
@@ -257,13 +255,13 @@
     assert!(matches!(decide(&register, &ask("a", 9_000, 9_000), now, 1), Decision::Late(_)));
     let firm = Ask { step: Step::Start(Firmness::HasRun), ..ask("a", 9_000, 9_000) };
     let Decision::Placed { class, .. } = decide(&register, &firm, now, 1) else {
-        panic!("what has run is placed late rather than refused");
+        panic!("a request that has run is placed as late work rather than refused");
     };
     assert_eq!(class, Class::LATE);
 }
 
-/// Symptom: when one runner has been held up for a moment, the rest of its pool is overrun. Cause: a
-/// few slow answers, heard of from all nodes at once, made it count as several times as slow.
+/// When one runner had stalled for a moment, the rest of its pool was overloaded: a few slow
+/// answers, reported by all nodes at once, made it count as several times as slow.
 #[test]
 fn learn_slow_answers_of_short_prompts_pace_stays() {
     let now = Instant::now();
@@ -275,9 +273,9 @@
     assert!(runner.pace.factor() < 1.25, "{}", runner.pace.factor());
 }
 
-/// Symptom: of the largest prompts two in five are answered, of all nine in ten. Sequence: an engine
-/// reads half as fast as is assumed; long prompts are begun where they take longer than a caller waits.
-/// Cause: the pace was learned from short prompts, whose time is mostly not reading.
+/// Only two in five of the largest prompts were answered, of all prompts nine in ten. An engine
+/// prefilled at half the assumed speed, and long prompts were started where they took longer than a
+/// caller waits, as the pace was learned from short prompts, most of whose time is not prefill.
 #[test]
 fn learn_long_prompts_slow_engine_found() {
     let now = Instant::now();
@@ -294,8 +292,8 @@
     assert!(runner.pace.factor() > 1.5, "{}", runner.pace.factor());
 }
 
-/// Symptom: requests are placed by two schedulers long after one of them came. Cause: nodes chose
-/// differently among the same nodes.
+/// Requests were placed by two schedulers long after one of them had joined, as nodes made
+/// different choices among the same nodes.
 #[test]
 fn holder_any_order_same_and_moves_little() {
     let nodes: Vec<NodeId> = (0..300).map(node).collect();
@@ -313,6 +311,6 @@
             .filter(|node| !held.contains(*node) || **node == of(&nodes, pool))
             .cloned()
             .collect();
-        assert_eq!(of(&others, pool), of(&nodes, pool), "only who is gone is replaced");
+        assert_eq!(of(&others, pool), of(&nodes, pool), "only a node that is gone is replaced");
     }
 }
--- a/lib/tests/suspect.rs
+++ b/lib/tests/suspect.rs
@@ -1,4 +1,4 @@
-//! Counting the ends of runners under a request, and telling guilt from bad luck.
+//! Tests of counting runner ends under a request, and of distinguishing causes from coincidence.
 
 use std::time::{Duration, Instant};
 
@@ -28,20 +28,21 @@
     assert_eq!(noted(&[(1, 0), (2, 0), (3, 0)]), 3);
 }
 
-/// Crashes at a moment and not at a token: the events that were passed on differ a little.
+/// The runner crashes after a certain time rather than at a certain token, so the number of
+/// delivered events varies.
 #[test]
 fn note_about_as_far_each_counts() {
     assert_eq!(noted(&[(1, 1), (2, 0), (3, 2), (4, 1)]), 4);
 }
 
-/// Two runs at once at one runner, or a late second word of one end.
+/// Two concurrent runs at one runner, or a duplicate report of one end.
 #[test]
 fn note_one_life_twice_counts_once() {
     assert_eq!(noted(&[(1, 0), (1, 0), (2, 0), (1, 0)]), 2);
 }
 
-/// A stream that went on elsewhere and came past the point at which it had broken off was there by
-/// bad luck.
+/// A stream that continued elsewhere past the point at which it was interrupted was there by
+/// coincidence.
 #[test]
 fn note_further_than_before_clears() {
     assert_eq!(noted(&[(1, 0), (2, 0), (3, 12)]), 1);
@@ -59,8 +60,8 @@
     assert_eq!(noted(&ends), MOST_ENDS);
 }
 
-/// Whoever sends different requests by the thousand, at each end of a runner, pushes out nothing that
-/// has been seen twice.
+/// A caller that sends thousands of different requests at each end of a runner does not displace a
+/// request with several ends.
 #[test]
 fn note_thousands_keeps_what_matters() {
     let (mut suspects, now) = (Suspects::default(), Instant::now());
@@ -100,8 +101,8 @@
     (0..count).map(|n| format!("edge-{n}").parse().expect("an id")).collect()
 }
 
-/// All nodes tell the same two, whatever order they know the others in; when the first is lost the
-/// second goes on counting.
+/// All nodes choose the same two nodes, whatever the order in which they know the others; when the
+/// first is lost, the second keeps counting.
 #[test]
 fn counting_first_lost_second_goes_on() {
     for count in [1, 2, 6, 550] {
@@ -116,7 +117,7 @@
     }
 }
 
-/// No node counts for much more than its share.
+/// No node counts much more than its share.
 #[test]
 fn counting_many_requests_spread() {
     let all = nodes(550);
@@ -126,6 +127,6 @@
             *counts.entry(id.clone()).or_insert(0) += 1;
         }
     }
-    let most = counts.values().max().expect("some count");
-    assert!(*most < 100, "{most} where 40 are the mean");
+    let most = counts.values().max().expect("some nodes count");
+    assert!(*most < 100, "{most}, the mean is 40");
 }
