--- a/lib/src/fleet/balance.rs
+++ b/lib/src/fleet/balance.rs
@@ -13,23 +13,23 @@
 /// The prefill capacity of a runner under load, in prompt tokens per second (the rate in the
 /// reference sheets including step times, at the speed of the slower runners, with the idle gaps
 /// that keep waits short).
-const READ_RATE: f64 = 50_000.0;
+const PREFILL_RATE: f64 = 50_000.0;
 /// The number of concurrent streams that one decode runner carries with pauses well within what
 /// routes allow: with 48 streams a step takes about 8 ms.
-const STREAMS: f64 = 48.0;
+const STREAMS_PER_RUNNER: f64 = 48.0;
 /// The fraction of a decode runner's memory that streams may take on average.
-const MEMORY_PART: f64 = 0.6;
+const MEMORY_FRACTION: f64 = 0.6;
 /// The minimum fraction of decode runners whatever the demand, so that others can continue the
 /// streams of one that is lost.
-const LEAST_DECODE: f64 = 0.25;
+const MIN_DECODE_FRACTION: f64 = 0.25;
 /// The minimum number of decode runners.
-const FEWEST_DECODE: usize = 2;
+const MIN_DECODE: usize = 2;
 /// The maximum fraction of the runners that may change stage at the same time, and the number that
 /// may do so in any case.
-const AWAY: (f64, usize) = (0.2, 2);
+const MAX_SWITCHING: (f64, usize) = (0.2, 2);
 /// The averaging period of the demand. The mix swings within three seconds (reference sheets), and
 /// a change takes as long, so it must not follow every swing.
-const AVERAGED: Duration = Duration::from_secs(2);
+const AVERAGING_PERIOD: Duration = Duration::from_secs(2);
 /// The minimum time that a runner stays in a stage.
 pub const DWELL: Duration = Duration::from_secs(15);
 /// The time after a change in which none is made in the opposite direction. A fleet that has lost
@@ -45,7 +45,7 @@
 pub struct Demand {
     since: Option<Instant>,
     /// Prompt tokens since then.
-    asked: u64,
+    tokens: u64,
     /// Active streams.
     streams: u32,
     /// The memory that the streams take, in tokens.
@@ -59,7 +59,7 @@
 impl Demand {
     /// Records a request with `fresh` prompt tokens to prefill.
     pub fn note(&mut self, fresh: u64) {
-        self.asked += fresh;
+        self.tokens += fresh;
     }
 
     /// Records the start of a stream that takes `tokens` of memory.
@@ -81,19 +81,19 @@
         if passed.is_zero() {
             return;
         }
-        let seen = self.asked as f64 / passed.as_secs_f64();
-        let gain = 1.0 - (-passed.as_secs_f64() / AVERAGED.as_secs_f64()).exp();
+        let seen = self.tokens as f64 / passed.as_secs_f64();
+        let gain = 1.0 - (-passed.as_secs_f64() / AVERAGING_PERIOD.as_secs_f64()).exp();
         self.rate += (seen - self.rate) * gain;
         self.mean_streams += (f64::from(self.streams) - self.mean_streams) * gain;
         self.mean_held += (self.held as f64 - self.mean_held) * gain;
-        self.asked = 0;
+        self.tokens = 0;
         self.since = Some(now);
     }
 
     /// The number of runners that the demand would keep fully busy if each of `nodes` nodes sees
     /// the same share of it.
     pub fn busy(&self, nodes: usize) -> f64 {
-        (self.rate / READ_RATE + self.mean_streams / STREAMS) * nodes as f64
+        (self.rate / PREFILL_RATE + self.mean_streams / STREAMS_PER_RUNNER) * nodes as f64
     }
 
     /// Prompt tokens per second.
@@ -129,29 +129,29 @@
 /// Decides on a change. `nodes` is the number of nodes that see the same share of the demand,
 /// `memory` the memory of one runner in tokens.
 pub fn decide(division: Division, demand: &Demand, nodes: usize, memory: u64) -> Option<Change> {
-    let away = division.to_prefill + division.to_decode;
-    let all = division.prefill + division.decode + away;
-    if all <= FEWEST_DECODE || demand.rate <= 0.0 {
+    let switching = division.to_prefill + division.to_decode;
+    let all = division.prefill + division.decode + switching;
+    if all <= MIN_DECODE || demand.rate <= 0.0 {
         return None;
     }
-    let may_be_away = ((all as f64 * AWAY.0) as usize).max(AWAY.1);
-    let free = may_be_away.saturating_sub(away);
+    let max_switching = ((all as f64 * MAX_SWITCHING.0) as usize).max(MAX_SWITCHING.1);
+    let free = max_switching.saturating_sub(switching);
     let nodes = nodes as f64;
-    let by_streams = demand.mean_streams * nodes / STREAMS;
-    let by_memory = demand.mean_held * nodes / (memory as f64 * MEMORY_PART).max(1.0);
-    let carrying = (by_streams.max(by_memory).ceil() as usize).max(FEWEST_DECODE);
+    let by_streams = demand.mean_streams * nodes / STREAMS_PER_RUNNER;
+    let by_memory = demand.mean_held * nodes / (memory as f64 * MEMORY_FRACTION).max(1.0);
+    let needed_decode = (by_streams.max(by_memory).ceil() as usize).max(MIN_DECODE);
     let decode = division.decode + division.to_decode;
-    if carrying > decode && division.prefill > 1 {
+    if needed_decode > decode && division.prefill > 1 {
         // Without decode runners no request can be served, so the last change does not matter.
-        let urgent = decode < FEWEST_DECODE;
-        let missing = if urgent { FEWEST_DECODE - decode } else { 1 };
+        let urgent = decode < MIN_DECODE;
+        let missing = if urgent { MIN_DECODE - decode } else { 1 };
         let count = missing.min(division.prefill - 1);
         return Some(Change { to: Stage::Decode, count, urgent });
     }
-    let floor = (all as f64 * LEAST_DECODE).ceil() as usize;
-    let needed = (demand.rate * nodes / READ_RATE).ceil() as usize;
-    let wanted = needed.min(all.saturating_sub(carrying.max(floor)));
-    let spare = division.decode.saturating_sub(carrying.max(floor));
+    let floor = (all as f64 * MIN_DECODE_FRACTION).ceil() as usize;
+    let needed_prefill = (demand.rate * nodes / PREFILL_RATE).ceil() as usize;
+    let wanted = needed_prefill.min(all.saturating_sub(needed_decode.max(floor)));
+    let spare = division.decode.saturating_sub(needed_decode.max(floor));
     let have = division.prefill + division.to_prefill;
     let count = wanted.saturating_sub(have).min(free).min(spare);
     (count > 0).then_some(Change { to: Stage::Prefill, count, urgent: false })
--- a/lib/src/fleet/budget.rs
+++ b/lib/src/fleet/budget.rs
@@ -27,11 +27,11 @@
 
 /// The fraction of the bounds that is used. The rest covers requests that the users count in
 /// another window than the node does, and calls that arrive after the node has given up on them.
-const SPENT_PART: f64 = 0.7;
+const USABLE_FRACTION: f64 = 0.7;
 
 /// The number of start times, spread over a window, at which the budget is checked. What is spent
 /// between two of them is an eighth of a window's budget, less than the reserve.
-const WINDOWS: u32 = 8;
+const CHECKED_WINDOWS: u32 = 8;
 
 /// One service's budget at one node.
 #[derive(Clone, Debug)]
@@ -50,17 +50,19 @@
 
     /// Records a request.
     pub fn note_request(&mut self, now: Instant) {
-        self.forget(now);
+        self.prune(now);
         self.requests.push_back(now);
     }
 
     /// Takes one extra arrival. Returns false if the budget is exhausted. `nodes` is the number of
     /// nodes that share the allowance, including nodes that may be partitioned.
     pub fn take(&mut self, now: Instant, nodes: usize) -> bool {
-        self.forget(now);
-        let grown = now.saturating_duration_since(self.began) >= self.bounds.window;
-        let allowance = if grown { self.bounds.allowance / nodes.max(1) as f64 } else { 0.0 };
-        let mut ages = (1..=WINDOWS).map(|part| self.bounds.window * part / WINDOWS);
+        self.prune(now);
+        let window_passed = now.saturating_duration_since(self.began) >= self.bounds.window;
+        let allowance =
+            if window_passed { self.bounds.allowance / nodes.max(1) as f64 } else { 0.0 };
+        let mut ages =
+            (1..=CHECKED_WINDOWS).map(|part| self.bounds.window * part / CHECKED_WINDOWS);
         let granted = ages.all(|age| self.fits(now, age, allowance));
         if granted {
             self.extras.push_back(now);
@@ -80,11 +82,11 @@
         let half_before = between(age + half, age.checked_sub(half));
         let before = between(age + window, Some(age));
         let earned = same.max(half_before).max(before) as f64 * self.bounds.ratio;
-        ((earned + allowance) * SPENT_PART) as usize > spent
+        ((earned + allowance) * USABLE_FRACTION) as usize > spent
     }
 
     /// Drops entries that are too old for any open window.
-    fn forget(&mut self, now: Instant) {
+    fn prune(&mut self, now: Instant) {
         drop_older(&mut self.requests, now, self.bounds.window * 2);
         drop_older(&mut self.extras, now, self.bounds.window);
     }
--- a/lib/src/fleet/cache.rs
+++ b/lib/src/fleet/cache.rs
@@ -69,7 +69,7 @@
     /// The key of the last part that other requests may share, by which requests with the same long
     /// prompt are placed together. The first part is not specific enough: a few first parts are
     /// shared by whole categories of requests.
-    pub fn meeting(&self) -> ChainKey {
+    pub fn affinity_key(&self) -> ChainKey {
         let shared = self.0.iter().rev().nth(1).or(self.0.first());
         shared.map(|part| part.key).unwrap_or_default()
     }
@@ -92,7 +92,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct CachedPart {
     tokens: u64,
     used: Instant,
     progress: Progress,
@@ -100,14 +100,14 @@
 
 /// How long a part counts as cached while its prefill is not known to be complete. The caller of a
 /// stream waits two seconds for the first event, so a prefill that takes longer has been cancelled.
-const BEGUN_LIFE: Duration = Duration::from_millis(2_500);
+const PENDING_TTL: Duration = Duration::from_millis(2_500);
 
 /// The assumed memory of a runner until the configuration is known, in tokens.
-const FIRST_MEMORY: u64 = 500_000;
+const DEFAULT_MEMORY: u64 = 500_000;
 
 impl Default for Cache {
     fn default() -> Self {
-        Self { memory: FIRST_MEMORY, kept: HashMap::new(), tokens: 0 }
+        Self { memory: DEFAULT_MEMORY, parts: HashMap::new(), tokens: 0 }
     }
 }
 
@@ -115,28 +115,29 @@
 #[derive(Clone, Debug)]
 pub struct Cache {
     memory: u64,
-    kept: HashMap<ChainKey, Kept>,
+    parts: HashMap<ChainKey, CachedPart>,
     tokens: u64,
 }
 
 impl Cache {
     /// The number of tokens at the start of `chain` that need no prefill on this runner.
     pub fn cached(&self, chain: &Chain, now: Instant) -> u64 {
-        self.start(chain, |kept| {
-            kept.progress == Progress::Read || now.saturating_duration_since(kept.used) < BEGUN_LIFE
+        self.prefix_tokens(chain, |part| {
+            part.progress == Progress::Read
+                || now.saturating_duration_since(part.used) < PENDING_TTL
         })
     }
 
     /// The number of tokens at the start of `chain` that are prefilled and can be fetched by
     /// another runner.
     pub fn fetchable(&self, chain: &Chain) -> u64 {
-        self.start(chain, |kept| kept.progress == Progress::Read)
+        self.prefix_tokens(chain, |part| part.progress == Progress::Read)
     }
 
-    fn start(&self, chain: &Chain, counts: impl Fn(&Kept) -> bool) -> u64 {
+    fn prefix_tokens(&self, chain: &Chain, counts: impl Fn(&CachedPart) -> bool) -> u64 {
         let known = |part: &&Part| {
-            let kept = self.kept.get(&part.key).or_else(|| self.kept.get(&part.alone));
-            kept.is_some_and(|kept| kept.tokens >= part.tokens && counts(kept))
+            let cached = self.parts.get(&part.key).or_else(|| self.parts.get(&part.alone));
+            cached.is_some_and(|cached| cached.tokens >= part.tokens && counts(cached))
         };
         chain.0.iter().take_while(known).map(|part| part.tokens).sum()
     }
@@ -163,15 +164,15 @@
 
     fn insert(&mut self, part: &Part, progress: Progress, now: Instant) {
         if part.alone != part.key
-            && let Some(named) = self.kept.remove(&part.alone)
+            && let Some(standalone) = self.parts.remove(&part.alone)
         {
-            self.tokens -= named.tokens;
+            self.tokens -= standalone.tokens;
         }
-        let before = self.kept.get(&part.key);
-        let progress = before.map_or(progress, |kept| kept.progress.max(progress));
-        let kept = Kept { tokens: part.tokens, used: now, progress };
-        let before = self.kept.insert(part.key, kept);
-        self.tokens = self.tokens + part.tokens - before.map_or(0, |kept| kept.tokens);
+        let before = self.parts.get(&part.key);
+        let progress = before.map_or(progress, |part| part.progress.max(progress));
+        let cached = CachedPart { tokens: part.tokens, used: now, progress };
+        let before = self.parts.insert(part.key, cached);
+        self.tokens = self.tokens + part.tokens - before.map_or(0, |part| part.tokens);
     }
 
     /// Evicts the least recently used parts. Frees a tenth of the memory beyond what is needed, so
@@ -182,21 +183,21 @@
             return;
         }
         let mut by_use: Vec<(Instant, ChainKey)> =
-            self.kept.iter().map(|(key, kept)| (kept.used, *key)).collect();
+            self.parts.iter().map(|(key, part)| (part.used, *key)).collect();
         by_use.sort_unstable();
         for (_, key) in by_use {
             if self.tokens <= memory - memory / 10 {
                 return;
             }
-            if let Some(kept) = self.kept.remove(&key) {
-                self.tokens -= kept.tokens;
+            if let Some(part) = self.parts.remove(&key) {
+                self.tokens -= part.tokens;
             }
         }
     }
 
     /// Removes all parts, for a runner that has restarted.
     pub fn clear(&mut self) {
-        self.kept.clear();
+        self.parts.clear();
         self.tokens = 0;
     }
 
--- a/lib/src/fleet/deadline.rs
+++ b/lib/src/fleet/deadline.rs
@@ -17,30 +17,30 @@
 const BINS: usize = 640;
 /// The number of requests below which all are taken for first attempts: fewer do not show where
 /// first attempts end.
-const FEWEST: f64 = 48.0;
+const MIN_SAMPLES: f64 = 48.0;
 /// The number of requests after which earlier ones have half the weight: about one second of
 /// requests on a busy route of one node, so that a few seconds with many refusals are not mistaken
 /// for first attempts.
-const HALF_AFTER: f64 = 512.0;
+const HALF_LIFE: f64 = 512.0;
 /// The fraction of the peak density below which a bin does not belong to first attempts. Half of
 /// all requests would have to be retries, spread over a third of their time, to reach it.
-const LEAST_DENSITY: f64 = 0.3;
+const MIN_DENSITY: f64 = 0.3;
 /// The number of adjacent bins that are averaged, so that random gaps are ignored.
-const SMOOTHED: usize = 2;
+const SMOOTHED_BINS: usize = 2;
 
 /// The distribution of the deadlines of one route.
 #[derive(Clone, Debug)]
 pub struct Deadlines {
     counts: Vec<f32>,
     total: f64,
-    first: Option<First>,
+    first: Option<FirstAttempts>,
     /// Requests since `first` was last computed.
-    unseen: u32,
+    since_refresh: u32,
 }
 
 /// The deadlines of first attempts.
 #[derive(Clone, Copy, Debug)]
-struct First {
+struct FirstAttempts {
     /// The shortest one.
     least: Duration,
     /// The mean.
@@ -48,11 +48,11 @@
 }
 
 /// The number of requests after which the deadlines of first attempts are computed again.
-const REFRESHED: u32 = 32;
+const REFRESH_INTERVAL: u32 = 32;
 
 impl Default for Deadlines {
     fn default() -> Self {
-        Self { counts: vec![0.0; BINS], total: 0.0, first: None, unseen: 0 }
+        Self { counts: vec![0.0; BINS], total: 0.0, first: None, since_refresh: 0 }
     }
 }
 
@@ -71,13 +71,13 @@
     pub fn note(&mut self, deadline: Duration) -> Duration {
         self.counts[bin(deadline)] += 1.0;
         self.total += 1.0;
-        self.unseen += 1;
-        if self.total >= HALF_AFTER * 2.0 {
+        self.since_refresh += 1;
+        if self.total >= HALF_LIFE * 2.0 {
             self.counts.iter_mut().for_each(|count| *count /= 2.0);
             self.total /= 2.0;
         }
-        if self.unseen >= REFRESHED && self.total >= FEWEST {
-            self.unseen = 0;
+        if self.since_refresh >= REFRESH_INTERVAL && self.total >= MIN_SAMPLES {
+            self.since_refresh = 0;
             self.first = self.find_first();
         }
         match self.first {
@@ -88,15 +88,15 @@
 
     /// The mean count of the bins at `at` and just below it.
     fn density(&self, at: usize) -> f64 {
-        let from = (at + 1).saturating_sub(SMOOTHED);
+        let from = (at + 1).saturating_sub(SMOOTHED_BINS);
         let sum: f32 = self.counts[from..=at].iter().sum();
-        f64::from(sum) / SMOOTHED as f64
+        f64::from(sum) / SMOOTHED_BINS as f64
     }
 
     /// Searches downwards from the peak for the first nearly empty bin.
-    fn find_first(&self) -> Option<First> {
+    fn find_first(&self) -> Option<FirstAttempts> {
         let peak = (0..BINS).max_by(|a, b| self.density(*a).total_cmp(&self.density(*b)))?;
-        let least = self.density(peak) * LEAST_DENSITY;
+        let least = self.density(peak) * MIN_DENSITY;
         let end = (0..peak).rev().find(|at| self.density(*at) < least)? + 1;
         let (mut sum, mut count) = (0.0, 0.0);
         for at in end..BINS {
@@ -106,6 +106,6 @@
         }
         // A bin that is half empty may still begin with deadlines of first attempts.
         let least = lower_end(end.saturating_sub(1));
-        (count > 0.0).then(|| First { least, mean: Duration::from_secs_f64(sum / count) })
+        (count > 0.0).then(|| FirstAttempts { least, mean: Duration::from_secs_f64(sum / count) })
     }
 }
--- a/lib/src/fleet/digest.rs
+++ b/lib/src/fleet/digest.rs
@@ -8,10 +8,10 @@
 
 /// How long another node's digest must differ before the nodes compare, and the minimum time
 /// between two comparisons. News reaches all nodes within a tenth of it.
-const DIFFERENCE: Duration = Duration::from_secs(1);
+const MIN_DIFFERENCE: Duration = Duration::from_secs(1);
 /// The maximum number of differing nodes that are tracked: many more than send heartbeats to one
 /// node.
-const MOST: usize = 64;
+const MAX_TRACKED: usize = 64;
 
 /// The nodes whose digests differ from this node's, and since when. Each node is timed separately,
 /// as a node that has missed an update is the only one to differ.
@@ -29,10 +29,10 @@
             self.since.remove(node);
             return false;
         }
-        if self.since.len() >= MOST && !self.since.contains_key(node) {
+        if self.since.len() >= MAX_TRACKED && !self.since.contains_key(node) {
             self.since.clear();
         }
-        let lasts = |at: Instant| now.saturating_duration_since(at) >= DIFFERENCE;
+        let lasts = |at: Instant| now.saturating_duration_since(at) >= MIN_DIFFERENCE;
         let since = *self.since.entry(node.clone()).or_insert(now);
         let due = lasts(since) && self.compared.is_none_or(lasts);
         if due {
--- a/lib/src/fleet/engine.rs
+++ b/lib/src/fleet/engine.rs
@@ -39,7 +39,7 @@
 }
 
 /// The shortest step of an engine, in seconds (reference sheets: 3.41 ms).
-const STEP: f64 = 0.003_41;
+const MIN_STEP: f64 = 0.003_41;
 /// The time that each running request adds to a step, in seconds (fitted to the pauses under light
 /// load).
 const STEP_PER_REQUEST: f64 = 0.000_1;
@@ -49,14 +49,14 @@
 const CHUNK: f64 = 1_024.0;
 /// The time that attention over a long context adds, in seconds per million token pairs (fitted to
 /// the times to first token under light load).
-const MILLION_PAIRS: f64 = 0.000_22;
+const ATTENTION_PER_MILLION_PAIRS: f64 = 0.000_22;
 /// How much slower a decode runner prefills (platform protocol: half the speed).
 const DECODE_SLOWDOWN: f64 = 2.0;
 /// The size of a prefill chunk on a decode runner, in tokens (platform protocol: a quarter).
 const DECODE_CHUNK: f64 = CHUNK / 4.0;
 /// The fixed latency from the arrival of a prompt to its first token, in seconds (the response time
 /// of an idle engine to the shortest prompts, less the round trip).
-const START: f64 = 0.036;
+const STARTUP_LATENCY: f64 = 0.036;
 /// The time to set up a transfer between runners, in seconds (the time to the first event of an
 /// idle engine after a prompt prefilled elsewhere, less the transfer).
 const TRANSFER_SETUP: f64 = 0.010;
@@ -65,9 +65,9 @@
 pub fn prefill_time(stage: Stage, fresh: u64, cached: u64, running: u32) -> f64 {
     let (fresh, cached) = (fresh as f64, cached as f64);
     let pairs = fresh * (cached + fresh / 2.0) / 1e6;
-    let attention = pairs * MILLION_PAIRS;
+    let attention = pairs * ATTENTION_PER_MILLION_PAIRS;
     match stage {
-        Stage::Prefill => fresh / PREFILL_RATE + attention + (fresh / CHUNK).ceil() * STEP,
+        Stage::Prefill => fresh / PREFILL_RATE + attention + (fresh / CHUNK).ceil() * MIN_STEP,
         Stage::Decode => {
             let steps = (fresh / DECODE_CHUNK).ceil() * step_time(running);
             (fresh / PREFILL_RATE + attention) * DECODE_SLOWDOWN + steps
@@ -77,12 +77,12 @@
 
 /// The duration of one step with `running` requests, in seconds.
 pub fn step_time(running: u32) -> f64 {
-    STEP + f64::from(running) * STEP_PER_REQUEST
+    MIN_STEP + f64::from(running) * STEP_PER_REQUEST
 }
 
 /// The fixed delay before the first token of a prompt, in seconds.
-pub fn start_time() -> f64 {
-    START
+pub fn startup_latency() -> f64 {
+    STARTUP_LATENCY
 }
 
 impl Engine {
@@ -117,7 +117,7 @@
 pub struct Pace(f64);
 
 /// The gain of the pace for a prompt whose prefill is long: half of a lasting change is learned
-/// after seven answers. The gain of a shorter prefill is reduced in proportion to [`LONG_READING`],
+/// after seven answers. The gain of a shorter prefill is reduced in proportion to [`FULL_GAIN_PREFILL`],
 /// as most of its error stems from the wait and the startup latency. With the same gain for all, a
 /// runner that had stalled once counted as slow and its neighbours were overloaded (a worth of 0.42
 /// instead of 0.58 on a fleet of 20 runners that lost a third of them); with a low gain for all,
@@ -125,12 +125,12 @@
 const PACE_GAIN: f64 = 0.1;
 /// The prefill time from which an answer has the full gain, in seconds: several times the startup
 /// latency and a usual wait.
-const LONG_READING: f64 = 0.4;
+const FULL_GAIN_PREFILL: f64 = 0.4;
 /// The range of the pace.
 const PACE_RANGE: (f64, f64) = (0.3, 8.0);
 /// The shortest prediction from which the pace is learned, in seconds; shorter ones are dominated
 /// by noise.
-const SHORTEST_LESSON: f64 = 0.01;
+const MIN_PREDICTION: f64 = 0.01;
 
 impl Default for Pace {
     fn default() -> Self {
@@ -145,13 +145,13 @@
     }
 
     /// Learns from work that took `seen` seconds where `predicted` were expected, of which
-    /// `reading` were for its prefill.
-    pub fn learn(&mut self, predicted: f64, reading: f64, seen: f64) {
-        if predicted < SHORTEST_LESSON || seen <= 0.0 {
+    /// `prefill` were for its prefill.
+    pub fn learn(&mut self, predicted: f64, prefill: f64, seen: f64) {
+        if predicted < MIN_PREDICTION || seen <= 0.0 {
             return;
         }
         let ratio = (seen / predicted).clamp(0.2, 5.0);
-        let gain = PACE_GAIN * (reading / LONG_READING).clamp(0.0, 1.0);
+        let gain = PACE_GAIN * (prefill / FULL_GAIN_PREFILL).clamp(0.0, 1.0);
         self.0 = (self.0 * ratio.powf(gain)).clamp(PACE_RANGE.0, PACE_RANGE.1);
     }
 }
--- a/lib/src/fleet/event.rs
+++ b/lib/src/fleet/event.rs
@@ -23,7 +23,7 @@
 }
 
 /// The maximum size of an event, in bytes; a stream that exceeds it is treated as broken.
-pub const MOST_EVENT: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 impl Splitter {
     /// Appends bytes.
--- a/lib/src/fleet/fanout.rs
+++ b/lib/src/fleet/fanout.rs
@@ -11,10 +11,10 @@
 
 /// The minimum number of concurrent copies: with a single one, a receiver that has become
 /// unreachable would block all others.
-const FEWEST: usize = 2;
+const MIN_CONCURRENT: usize = 2;
 /// The bytes that a node sends concurrently: what 10 Mbit/s, the slowest link in the reference
 /// sheets, carry in 50 ms. Small copies need not wait for each other.
-const AT_ONCE: usize = 64 << 10;
+const CONCURRENT_BYTES: usize = 64 << 10;
 
 /// The response to a waiting requester.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -28,13 +28,13 @@
 /// The nodes that request a copy from one node; `W` represents a waiting one.
 #[derive(Debug)]
 pub struct Fanout<W> {
-    given: usize,
+    sending: usize,
     waiting: VecDeque<W>,
 }
 
 impl<W> Default for Fanout<W> {
     fn default() -> Self {
-        Self { given: 0, waiting: VecDeque::new() }
+        Self { sending: 0, waiting: VecDeque::new() }
     }
 }
 
@@ -42,9 +42,9 @@
     /// Handles a request for a copy of `bytes` bytes. Returns whether it is sent now; its end must
     /// then be reported with [`Fanout::end`]. Otherwise the requester waits.
     pub fn ask(&mut self, waiter: impl FnOnce() -> W, bytes: usize) -> bool {
-        let now = self.given < most_at_once(bytes);
+        let now = self.sending < max_concurrent(bytes);
         if now {
-            self.given += 1;
+            self.sending += 1;
         } else {
             self.waiting.push_back(waiter());
         }
@@ -54,10 +54,10 @@
     /// Records that a copy has ended, with the receiver if it was complete, and returns the
     /// responses to requesters that no longer need to wait. `bytes` is the size of the next copies.
     pub fn end(&mut self, receiver: Option<SocketAddr>, bytes: usize) -> Vec<(W, Turn)> {
-        self.given = self.given.saturating_sub(1);
+        self.sending = self.sending.saturating_sub(1);
         let mut turns = Vec::new();
-        let free = most_at_once(bytes).saturating_sub(self.given).min(self.waiting.len());
-        self.given += free;
+        let free = max_concurrent(bytes).saturating_sub(self.sending).min(self.waiting.len());
+        self.sending += free;
         turns.extend(self.waiting.drain(..free).map(|waiter| (waiter, Turn::Given)));
         if let Some(receiver) = receiver {
             let stay = self.waiting.len() / 2;
@@ -78,6 +78,6 @@
     }
 }
 
-fn most_at_once(bytes: usize) -> usize {
-    (AT_ONCE / bytes.max(1)).max(FEWEST)
+fn max_concurrent(bytes: usize) -> usize {
+    (CONCURRENT_BYTES / bytes.max(1)).max(MIN_CONCURRENT)
 }
--- a/lib/src/fleet/gate.rs
+++ b/lib/src/fleet/gate.rs
@@ -75,25 +75,25 @@
 
 /// The fraction of the objective that the predicted time to the first answer may take. The rest
 /// covers the prediction error.
-const ON_TIME: f64 = 0.9;
+const ON_TIME_FRACTION: f64 = 0.9;
 /// The fraction of the caller's remaining time that late work may take until its first answer.
-const STILL_OF_USE: f64 = 0.85;
+const USEFUL_FRACTION: f64 = 0.85;
 /// The fraction of that time that late work may wait before its prefill starts: on the first
 /// attempt, and on a retry.
-const LATE_WAIT: (f64, f64) = (0.2, 0.45);
+const LATE_WAIT_FRACTIONS: (f64, f64) = (0.2, 0.45);
 /// How the bound on the wait depends on the size of the work relative to the mean of its route: a
 /// constant and a slope. The largest tenth, from about twice the mean, is refused half as often as
 /// with a bound that ignores the size.
-const LONG_WAIT: (f64, f64) = (0.5, 0.45);
+const SIZE_FACTOR: (f64, f64) = (0.5, 0.45);
 /// The range of that factor.
-const LONG_RANGE: (f64, f64) = (0.6, 1.6);
+const SIZE_FACTOR_RANGE: (f64, f64) = (0.6, 1.6);
 /// A caller waits without receiving anything for the longest of three times (all from the platform
 /// protocol): this time,
-const PATIENCE: Duration = Duration::from_secs(2);
+const MAX_SILENCE: Duration = Duration::from_secs(2);
 /// this many objectives,
-const PATIENCE_OBJECTIVES: u32 = 4;
+const MAX_SILENCE_OBJECTIVES: u32 = 4;
 /// and this many of the pauses between events that the route allows.
-const PATIENCE_PAUSES: u32 = 8;
+const MAX_SILENCE_PAUSES: u32 = 8;
 
 impl Terms {
     /// The terms of a request on `route` whose caller gives up in `left`, after `wait`. Whether an
@@ -101,7 +101,9 @@
     pub fn new(route: &Route, left: Duration, wait: Wait, size: f64) -> Self {
         let left = left.min(route.timeout);
         let patience = if route.kind.is_stream() {
-            PATIENCE.max(route.objective * PATIENCE_OBJECTIVES).max(route.pause * PATIENCE_PAUSES)
+            MAX_SILENCE
+                .max(route.objective * MAX_SILENCE_OBJECTIVES)
+                .max(route.pause * MAX_SILENCE_PAUSES)
         } else {
             left
         };
@@ -117,7 +119,7 @@
 
     /// Whether work is on time if its first answer is predicted in `first` seconds.
     pub fn on_time(&self, first: f64) -> bool {
-        self.objective.is_some_and(|o| first <= o.as_secs_f64() * ON_TIME)
+        self.objective.is_some_and(|o| first <= o.as_secs_f64() * ON_TIME_FRACTION)
     }
 
     /// Whether late work is still useful if its first answer is predicted in `first` seconds, of
@@ -128,10 +130,11 @@
     /// long one would be refused. Retries are admitted before first attempts: a second refusal
     /// leaves the caller without an answer, a first one does not.
     pub fn of_use(&self, first: f64, wait: f64) -> bool {
-        let bearable = self.left.min(self.patience).as_secs_f64();
-        let part = if self.returned { LATE_WAIT.1 } else { LATE_WAIT.0 };
-        let for_size = (LONG_WAIT.0 + LONG_WAIT.1 * self.size).clamp(LONG_RANGE.0, LONG_RANGE.1);
-        first <= bearable * STILL_OF_USE && wait <= bearable * part * for_size
+        let remaining = self.left.min(self.patience).as_secs_f64();
+        let part = if self.returned { LATE_WAIT_FRACTIONS.1 } else { LATE_WAIT_FRACTIONS.0 };
+        let size_factor = (SIZE_FACTOR.0 + SIZE_FACTOR.1 * self.size)
+            .clamp(SIZE_FACTOR_RANGE.0, SIZE_FACTOR_RANGE.1);
+        first <= remaining * USEFUL_FRACTION && wait <= remaining * part * size_factor
     }
 
     /// When a refused caller should retry: when the current backlog will be done, with jitter so
@@ -139,7 +142,7 @@
     /// still follow the advice.
     pub fn come_back<R: Rng>(&self, first: f64, rng: &mut R) -> Duration {
         let goal = self.objective.unwrap_or(self.left / 4).as_secs_f64() / 2.0;
-        let until = (first - goal).max(SHORTEST_RETURN) * rng.random_range(0.8..1.4);
+        let until = (first - goal).max(MIN_RETRY_DELAY) * rng.random_range(0.8..1.4);
         let most = self.left.as_secs_f64() / 3.0;
         Duration::from_secs_f64(until.min(most).max(0.001))
     }
@@ -149,7 +152,7 @@
     /// When a caller should retry that is refused because no runner accepts a request for `wait`:
     /// after that, with jitter as in [`Terms::come_back`].
     pub fn come_back_after<R: Rng>(&self, wait: Duration, rng: &mut R) -> Duration {
-        let until = wait.as_secs_f64().max(SHORTEST_RETURN) * rng.random_range(1.0..1.4);
+        let until = wait.as_secs_f64().max(MIN_RETRY_DELAY) * rng.random_range(1.0..1.4);
         let most = self.left.as_secs_f64() / 3.0;
         Duration::from_secs_f64(until.min(most).max(0.001))
     }
@@ -157,7 +160,7 @@
 
 /// The shortest retry delay for a refused caller, in seconds: a few engine steps, so that the
 /// situation can have changed.
-const SHORTEST_RETURN: f64 = 0.1;
+const MIN_RETRY_DELAY: f64 = 0.1;
 
 /// The urgency of a class as sent to a runner, from 0 (first) to 9. The gaps leave room for work
 /// that continues after a failure.
--- a/lib/src/fleet/health.rs
+++ b/lib/src/fleet/health.rs
@@ -22,22 +22,22 @@
 /// The number of consecutive failures after which a runner is probed with one request at a time. A
 /// single one can be a lost answer and two a coincidence; a runner that generally fails a seventh
 /// of its requests fails three in a row once in 340.
-const FAILURES_TO_TRIAL: u32 = 3;
+const FAILURES_TO_PROBE: u32 = 3;
 /// The pause before the first probe of a runner, and the longest one. The first is about the
 /// restart time of a crashed runner; the longest keeps the lost capacity of a recovered runner
 /// small.
-const TRIAL_PAUSE: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(3));
+const PROBE_PAUSE: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(3));
 /// The time that a probe may take before the next one.
-const TRIAL_LIMIT: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The gain of the failure rate: half of a lasting change is learned after 8 answers.
-const SHARE_GAIN: f64 = 0.083;
+const FAILURE_RATE_GAIN: f64 = 0.083;
 
 /// The failure history of one runner.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    in_a_row: u32,
-    share: f64,
-    trial_at: Option<Instant>,
+    consecutive_failures: u32,
+    failure_rate: f64,
+    probe_at: Option<Instant>,
     pause: Duration,
     gone: bool,
     last_life: Option<Instant>,
@@ -48,24 +48,24 @@
     pub fn note(&mut self, outcome: Outcome, now: Instant) {
         match outcome {
             Outcome::Answered => {
-                self.in_a_row = 0;
-                self.trial_at = None;
+                self.consecutive_failures = 0;
+                self.probe_at = None;
                 self.pause = Duration::ZERO;
-                self.share -= self.share * SHARE_GAIN;
+                self.failure_rate -= self.failure_rate * FAILURE_RATE_GAIN;
                 self.last_life = Some(now);
             }
             // A failure that the runner reports shows that it is alive: it lowers the runner's
             // share of work, and only silence or malformed answers lead to probing.
             Outcome::Failed => {
-                self.share += (1.0 - self.share) * SHARE_GAIN;
+                self.failure_rate += (1.0 - self.failure_rate) * FAILURE_RATE_GAIN;
                 self.last_life = Some(now);
             }
             Outcome::Broken => {
-                self.share += (1.0 - self.share) * SHARE_GAIN;
-                self.in_a_row += 1;
-                if self.in_a_row >= FAILURES_TO_TRIAL {
-                    self.pause = (self.pause * 2).clamp(TRIAL_PAUSE.0, TRIAL_PAUSE.1);
-                    self.trial_at = Some(now + self.pause);
+                self.failure_rate += (1.0 - self.failure_rate) * FAILURE_RATE_GAIN;
+                self.consecutive_failures += 1;
+                if self.consecutive_failures >= FAILURES_TO_PROBE {
+                    self.pause = (self.pause * 2).clamp(PROBE_PAUSE.0, PROBE_PAUSE.1);
+                    self.probe_at = Some(now + self.pause);
                 }
             }
             Outcome::Gone => self.gone = true,
@@ -84,7 +84,7 @@
 
     /// Whether the runner may get new work.
     pub fn takes_work(&self, now: Instant) -> bool {
-        !self.gone && self.trial_at.is_none_or(|at| now >= at)
+        !self.gone && self.probe_at.is_none_or(|at| now >= at)
     }
 
     /// Whether the runner has left or was replaced by another one.
@@ -95,13 +95,13 @@
     /// Records that work is sent. While a runner is probed, nothing more is sent until the outcome
     /// is known or the probe times out.
     pub fn note_sent(&mut self, now: Instant) {
-        if self.trial_at.is_some() {
-            self.trial_at = Some(now + TRIAL_LIMIT);
+        if self.probe_at.is_some() {
+            self.probe_at = Some(now + PROBE_TIMEOUT);
         }
     }
 
     /// The rate of failures in recent work, from 0 to 1.
     pub fn failing(&self) -> f64 {
-        self.share
+        self.failure_rate
     }
 }
--- a/lib/src/fleet/limit.rs
+++ b/lib/src/fleet/limit.rs
@@ -21,15 +21,15 @@
 
 /// The minimum rate, in requests per second. A runner that announces less still gets an occasional
 /// request, as only its answers show that the limit is over.
-const LEAST: f64 = 0.25;
+const MIN_RATE: f64 = 0.25;
 /// The maximum rate, in requests per second; more than any runner serves.
-const MOST: f64 = 1e6;
+const MAX_RATE: f64 = 1e6;
 
 impl Rate {
     /// Creates a rate, clamped to the supported range. Returns `None` if `per_second` is negative
     /// or not a number.
     pub fn new(per_second: f64) -> Option<Self> {
-        (per_second >= 0.0).then(|| Self(per_second.clamp(LEAST, MOST)))
+        (per_second >= 0.0).then(|| Self(per_second.clamp(MIN_RATE, MAX_RATE)))
     }
 
     /// The rate in requests per second.
@@ -67,7 +67,7 @@
 }
 
 /// The capacity of a bucket: a number of tokens, plus a number of seconds at its rate.
-const BURST: (f64, f64) = (1.0, 0.25);
+const BUCKET_CAPACITY: (f64, f64) = (1.0, 0.25);
 
 impl Bucket {
     /// Creates an empty bucket: a node that starts to grant permits does not know what the previous
@@ -79,7 +79,7 @@
     /// Takes a token if there is one.
     fn take(&mut self, rate: f64, now: Instant) -> bool {
         let filled = now.saturating_duration_since(self.at).as_secs_f64() * rate;
-        self.tokens = (self.tokens + filled).min(BURST.0 + BURST.1 * rate);
+        self.tokens = (self.tokens + filled).min(BUCKET_CAPACITY.0 + BUCKET_CAPACITY.1 * rate);
         self.at = now;
         let takes = self.tokens >= 1.0;
         if takes {
@@ -143,9 +143,9 @@
 
 /// How long a token stays reserved. A window in which the users count requests can contain this
 /// much more of the rate.
-const RESERVED: Duration = Duration::from_secs(1);
+const RESERVATION_TTL: Duration = Duration::from_secs(1);
 /// The longest time after which a node that was denied a permit asks again.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
 impl Limit {
     /// The rate; `None` if there is no limit.
@@ -181,19 +181,21 @@
     /// lower rate applies.
     pub fn note_answer(
         &mut self,
-        named: Option<Rate>,
+        announced: Option<Rate>,
         sent: Instant,
         now: Instant,
     ) -> Option<Change> {
         let Some(last) = self.notice else {
-            named?;
-            return self.set(Notice { rate: named, at: now });
+            announced?;
+            return self.set(Notice { rate: announced, at: now });
         };
         let follows = sent >= last.at;
-        let rate = match (named, last.rate) {
-            (Some(named), Some(was)) if !follows => Some(if named < was { named } else { was }),
+        let rate = match (announced, last.rate) {
+            (Some(announced), Some(was)) if !follows => {
+                Some(if announced < was { announced } else { was })
+            }
             (None, Some(_)) if !follows => return None,
-            _ => named,
+            _ => announced,
         };
         self.set(Notice { rate, at: now })
     }
@@ -228,7 +230,7 @@
     /// once its prompt has been prefilled elsewhere.
     pub fn reserve(&mut self, part: f64, now: Instant) {
         if self.rate().is_some() && self.take_token(part, now) {
-            self.reserved.push_back(now + RESERVED);
+            self.reserved.push_back(now + RESERVATION_TTL);
         }
     }
 
@@ -267,17 +269,17 @@
         }
         let rate = rate.per_second() * part;
         let wait = self.opens_in(now);
-        let behind = Duration::try_from_secs_f64(self.waiting / rate).unwrap_or(LONGEST_WAIT);
-        self.waiting = (self.waiting + 1.0).min(rate * LONGEST_WAIT.as_secs_f64());
-        Err((wait + behind).min(LONGEST_WAIT.max(wait)))
+        let behind = Duration::try_from_secs_f64(self.waiting / rate).unwrap_or(MAX_WAIT);
+        self.waiting = (self.waiting + 1.0).min(rate * MAX_WAIT.as_secs_f64());
+        Err((wait + behind).min(MAX_WAIT.max(wait)))
     }
 
     /// Records that no permit is available for `wait`.
     pub fn note_denied(&mut self, wait: Duration, now: Instant) {
-        let until = now + wait.min(LONGEST_DENIAL);
+        let until = now + wait.min(MAX_DENIAL);
         self.closed_until = Some(self.closed_until.map_or(until, |closed| closed.max(until)));
     }
 }
 
 /// The longest time for which another node's denial applies, derived from the minimum rate.
-const LONGEST_DENIAL: Duration = Duration::from_secs(8);
+const MAX_DENIAL: Duration = Duration::from_secs(8);
--- a/lib/src/fleet/load.rs
+++ b/lib/src/fleet/load.rs
@@ -56,23 +56,23 @@
     }
 
     /// Outstanding requests that are served before new work of `class`.
-    pub fn before(&self, class: Class) -> u32 {
+    pub fn requests_ahead(&self, class: Class) -> u32 {
         self.requests[..=class.index()].iter().sum()
     }
 
     /// Prompt tokens that are prefilled before new work of `class`.
-    pub fn ahead(&self, class: Class) -> u64 {
+    pub fn tokens_ahead(&self, class: Class) -> u64 {
         self.backlog[..=class.index()].iter().sum()
     }
 
     /// Prompts that are prefilled before new work of `class`.
-    pub fn prompts(&self, class: Class) -> u32 {
+    pub fn prompts_ahead(&self, class: Class) -> u32 {
         self.unread[..=class.index()].iter().sum()
     }
 
     /// The expected prompt tokens of less urgent work that are prefilled before new work of
     /// `class`: a runner finishes the prompt it has started, and on average half of it remains.
-    pub fn begun(&self, class: Class) -> u64 {
+    pub fn residual_prefill(&self, class: Class) -> u64 {
         let behind = class.index() + 1;
         let prompts: u32 = self.unread[behind..].iter().sum();
         let tokens: u64 = self.backlog[behind..].iter().sum();
@@ -99,16 +99,16 @@
 struct Report {
     node: NodeId,
     load: Load,
-    heard: Instant,
+    received_at: Instant,
 }
 
 /// How long a report is valid. A node that has stopped reporting is dead or partitioned; its work
 /// has ended by then or is no longer known.
-pub const REPORT_LIFE: Duration = Duration::from_millis(1_500);
+pub const REPORT_TTL: Duration = Duration::from_millis(1_500);
 
 /// The average fraction of the current prompt that a runner has prefilled. Progress within a prompt
 /// is not reported.
-const PART_READ: f64 = 0.5;
+const PREFILLED_FRACTION: f64 = 0.5;
 
 /// The outstanding work of all other nodes at one runner.
 #[derive(Clone, Debug, Default)]
@@ -121,7 +121,7 @@
     pub fn take(&mut self, node: &NodeId, load: Load, now: Instant) {
         self.reports.retain(|r| r.node != *node);
         if !load.is_empty() {
-            self.reports.push(Report { node: node.clone(), load, heard: now });
+            self.reports.push(Report { node: node.clone(), load, received_at: now });
         }
     }
 
@@ -130,9 +130,9 @@
         match self.reports.iter_mut().find(|report| report.node == *node) {
             Some(report) => {
                 report.load.add(&load);
-                report.heard = now;
+                report.received_at = now;
             }
-            None => self.reports.push(Report { node: node.clone(), load, heard: now }),
+            None => self.reports.push(Report { node: node.clone(), load, received_at: now }),
         }
     }
 
@@ -143,15 +143,15 @@
         let mut sum = Load::default();
         let mut oldest = Duration::ZERO;
         for report in &self.reports {
-            let age = now.saturating_duration_since(report.heard);
-            if age <= REPORT_LIFE {
+            let age = now.saturating_duration_since(report.received_at);
+            if age <= REPORT_TTL {
                 sum.add(&report.load);
                 oldest = oldest.max(age);
             }
         }
         let tokens: u64 = sum.backlog.iter().sum();
         let prompts: u32 = sum.unread.iter().sum();
-        let at_most = tokens as f64 / f64::from(prompts.max(1)) * PART_READ;
+        let at_most = tokens as f64 / f64::from(prompts.max(1)) * PREFILLED_FRACTION;
         let since = oldest.as_secs_f64() * rate;
         let mut read = since.min(at_most) as u64;
         for backlog in &mut sum.backlog {
--- a/lib/src/fleet/outbox.rs
+++ b/lib/src/fleet/outbox.rs
@@ -9,13 +9,13 @@
 /// The maximum number of changes in one heartbeat.
 pub const MOST_TOLD: usize = 16;
 /// The maximum number of changes that a heartbeat without new ones repeats.
-const MOST_RETOLD: usize = 4;
+const MAX_REPEATED: usize = 4;
 
 #[derive(Clone, Copy, Debug)]
 struct Change {
     since: Instant,
     /// When it was last sent; `None` if it has not been sent.
-    told: Option<Instant>,
+    sent: Option<Instant>,
 }
 
 /// The changes to send, by the tag of the runner.
@@ -27,22 +27,22 @@
 impl Outbox {
     /// Adds a change to the next heartbeat, and to later ones.
     pub fn push(&mut self, runner: Tag, now: Instant) {
-        self.changes.insert(runner, Change { since: now, told: None });
+        self.changes.insert(runner, Change { since: now, sent: None });
     }
 
     /// Takes the changes for the next heartbeat, with their age. With `again`, includes changes
     /// that were sent before. They are marked as sent.
     pub fn take(&mut self, again: bool, now: Instant) -> Vec<(Tag, Duration)> {
         let mut due: Vec<(Option<Instant>, Tag)> =
-            self.changes.iter().map(|(tag, change)| (change.told, *tag)).collect();
+            self.changes.iter().map(|(tag, change)| (change.sent, *tag)).collect();
         // Changes that have not been sent come first, then those that were sent longest ago.
-        due.sort_unstable_by_key(|(told, tag)| (*told, tag.0));
-        let new = due.iter().filter(|(told, _)| told.is_none()).count();
-        due.truncate(if again { new.max(MOST_RETOLD) } else { new }.min(MOST_TOLD));
+        due.sort_unstable_by_key(|(sent, tag)| (*sent, tag.0));
+        let new = due.iter().filter(|(sent, _)| sent.is_none()).count();
+        due.truncate(if again { new.max(MAX_REPEATED) } else { new }.min(MOST_TOLD));
         let mut taken = Vec::with_capacity(due.len());
         for (_, tag) in due {
             if let Some(change) = self.changes.get_mut(&tag) {
-                change.told = Some(now);
+                change.sent = Some(now);
                 taken.push((tag, now.saturating_duration_since(change.since)));
             }
         }
@@ -56,6 +56,6 @@
 
     /// Whether there is a change that has not been sent.
     pub fn has_new(&self) -> bool {
-        self.changes.values().any(|change| change.told.is_none())
+        self.changes.values().any(|change| change.sent.is_none())
     }
 }
--- a/lib/src/fleet/patience.rs
+++ b/lib/src/fleet/patience.rs
@@ -10,15 +10,15 @@
 
 /// How much longer than predicted the prefill of work that can be on time may take: a factor, and a
 /// time added to it. Nine in ten prefills end within it.
-const READING_SLACK: (f64, Duration) = (3.0, Duration::from_millis(400));
+const PREFILL_SLACK: (f64, Duration) = (3.0, Duration::from_millis(400));
 /// The shortest silence after which a stream is moved. Shorter ones are common when a runner
 /// prefills a long prompt between two tokens.
-const SILENCE: Duration = Duration::from_millis(1_000);
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The silence after which a stream is moved, as a multiple of the pause that the route allows, if
 /// that is longer.
-const SILENT_PAUSES: f64 = 2.5;
+const STALL_PAUSES: f64 = 2.5;
 /// The upper bound on predictions that extend a timeout, in seconds.
-const LONGEST_PREDICTION: f64 = 10.0;
+const MAX_PREDICTION: f64 = 10.0;
 
 /// The timeout for the prefill of a prompt that is predicted to take `predicted` seconds, with
 /// `left` remaining of the request's time.
@@ -30,17 +30,17 @@
     if class == Class::LATE {
         return left;
     }
-    let slack = Duration::from_secs_f64(bounded(predicted) * READING_SLACK.0) + READING_SLACK.1;
+    let slack = Duration::from_secs_f64(bounded(predicted) * PREFILL_SLACK.0) + PREFILL_SLACK.1;
     left.min(slack)
 }
 
 /// The timeout between events of a stream whose route allows `pause` between events, if the next
 /// event is predicted in `predicted` seconds.
 pub fn silence(pause: Duration, predicted: f64) -> Duration {
-    let pauses = pause.mul_f64(SILENT_PAUSES);
-    SILENCE.max(pauses) + Duration::from_secs_f64(bounded(predicted))
+    let pauses = pause.mul_f64(STALL_PAUSES);
+    MIN_STALL_TIMEOUT.max(pauses) + Duration::from_secs_f64(bounded(predicted))
 }
 
 fn bounded(predicted: f64) -> f64 {
-    predicted.clamp(0.0, LONGEST_PREDICTION)
+    predicted.clamp(0.0, MAX_PREDICTION)
 }
--- a/lib/src/fleet/place.rs
+++ b/lib/src/fleet/place.rs
@@ -13,7 +13,7 @@
 use smallvec::SmallVec;
 use strum::{Display, IntoStaticStr};
 
-use super::engine::{Engine, Stage, Work, prefill_time, start_time};
+use super::engine::{Engine, Stage, Work, prefill_time, startup_latency};
 use super::load::{Class, Load};
 use super::pool::Pool;
 use super::register::Register;
@@ -80,25 +80,25 @@
 /// The weight of the prefill time in the cost of a placement, for the delay that the work causes
 /// for other requests. With 2 instead of 1, one fifth fewer tokens are prefilled again, and 0.03
 /// more worth is earned on the second of the two reference sites.
-const DELAY_OF_OTHERS: f64 = 2.0;
+const QUEUEING_WEIGHT: f64 = 2.0;
 /// The cost of a runner at a failure rate of 1, in seconds: a failure counts as one lost second.
 const FAILURE_COST: f64 = 1.0;
 /// The number of runners that a shared prompt has affinity to, in order of preference. The second
 /// one takes the overflow of the first and is likely to have the prompt cached too.
-const HOMES: usize = 2;
+const AFFINITY_RUNNERS: usize = 2;
 /// The cost reduction for the most preferred runner of a prompt: a constant in seconds, plus a
 /// fraction of the time to prefill the shared part that no runner has cached. It makes all nodes
 /// start a new prompt on the same runner, even before they have heard of each other's decisions.
-const HOME_ADVANTAGE: (f64, f64) = (0.04, 0.5);
+const AFFINITY_BONUS: (f64, f64) = (0.04, 0.5);
 /// The range of the random cost, in seconds, by which nodes with the same view break ties
 /// differently.
-const DITHER: f64 = 0.004;
+const TIE_BREAK_JITTER: f64 = 0.004;
 /// The smallest number of tokens worth fetching from another runner: what can be prefilled in the
 /// time it takes to set up a transfer.
-const LEAST_FETCH: u64 = 1_024;
+const MIN_FETCH_TOKENS: u64 = 1_024;
 /// The cost of a runner in another data centre, in seconds: the round trip and the price of the
 /// traffic.
-const DISTANCE: f64 = 0.004;
+const CROSS_DATA_CENTRE_COST: f64 = 0.004;
 /// The size of the prefill chunks that a runner interleaves with decode steps, in tokens.
 const INTERLEAVED_TOKENS: u64 = 256;
 
@@ -108,43 +108,47 @@
 }
 
 fn candidates<'a>(register: &'a Register, question: &Question<'a>) -> Vec<Candidate<'a>> {
-    let left = |r: &&Runner| !question.skip.contains(&r.entry.id);
+    let not_skipped = |r: &&Runner| !question.skip.contains(&r.entry.id);
     let now = question.now;
     let usable = |r: &&Runner| {
         let has_reserved = question.goes_on && r.limit.has_reserved(now);
         r.accepts(now) || has_reserved && r.takes_work(now) && r.back_off.is_over(now)
     };
-    let all = || register.of(question.service).filter(left);
+    let all = || register.of(question.service).filter(not_skipped);
     let with_load = |runner: &'a Runner| Candidate { runner, load: runner.load(question.now) };
     let in_pool = |r: &&Runner| question.pool.is_none_or(|pool| r.pool == pool);
-    let mut good: Vec<Candidate<'a>> =
+    let mut eligible: Vec<Candidate<'a>> =
         all().filter(in_pool).filter(usable).map(with_load).collect();
-    if good.is_empty() {
-        good = all().filter(usable).map(with_load).collect();
+    if eligible.is_empty() {
+        eligible = all().filter(usable).map(with_load).collect();
     }
-    if good.is_empty() {
+    if eligible.is_empty() {
         // A runner that is being probed after failures is better than a refusal.
         let open = |r: &&Runner| r.is_last_resort() && r.closed(question.now).is_none();
         return all().filter(open).map(with_load).collect();
     }
-    good
+    eligible
 }
 
 impl Candidate<'_> {
     fn cost(&self, question: &Question<'_>, draw: f64) -> f64 {
-        let distance = if self.runner.entry.data_centre == *question.home { 0.0 } else { DISTANCE };
-        self.runner.health.failing() * FAILURE_COST + distance + draw * DITHER
+        let distance = if self.runner.entry.data_centre == *question.home {
+            0.0
+        } else {
+            CROSS_DATA_CENTRE_COST
+        };
+        self.runner.health.failing() * FAILURE_COST + distance + draw * TIE_BREAK_JITTER
     }
 
     /// Whether the queue is short enough for more work of `class`.
-    fn is_open(&self, class: Class, engine: &Engine) -> bool {
-        let most = if class == Class::LATE { FULL.0 } else { FULL.1 };
+    fn has_queue_room(&self, class: Class, engine: &Engine) -> bool {
+        let most = if class == Class::LATE { QUEUE_LIMITS.0 } else { QUEUE_LIMITS.1 };
         f64::from(self.load.total()) < most * f64::from(engine.slots)
     }
 
     /// Whether no prompt is waiting or being prefilled there.
     fn is_idle(&self) -> bool {
-        self.load.ahead(Class::LATE) == 0
+        self.load.tokens_ahead(Class::LATE) == 0
     }
 
     /// The time from a prefilled prompt to the first event, in seconds: one step, plus one prefill
@@ -160,7 +164,7 @@
 }
 
 /// The estimated prefill of a prompt on one candidate.
-struct Reading<'a, 'b> {
+struct PrefillEstimate<'a, 'b> {
     at: &'b Candidate<'a>,
     /// Time until the prompt has been prefilled, in seconds.
     read: f64,
@@ -172,7 +176,7 @@
     rank: f64,
 }
 
-impl Reading<'_, '_> {
+impl PrefillEstimate<'_, '_> {
     fn placement(&self, plan: Plan, first: f64) -> Placement {
         let Self { read, wait, fresh, .. } = *self;
         Placement { plan, first, read, wait, fresh, fetch: self.fetch.cloned() }
@@ -181,56 +185,57 @@
 
 /// The runner that has the longest prefix of a prompt cached, and the length of that prefix in
 /// tokens.
-struct Keeper<'b> {
+struct CacheHolder<'b> {
     runner: &'b Runner,
     tokens: u64,
 }
 
 /// Finds the runner of the service with the longest cached prefix, including runners that are
 /// closed to new requests for now.
-fn keeper<'b>(
+fn find_cache_holder<'b>(
     register: &'b Register,
     question: &Question<'b>,
     work: &Work,
     now: Instant,
-) -> Option<Keeper<'b>> {
+) -> Option<CacheHolder<'b>> {
     let in_pool = |r: &&Runner| question.pool.is_none_or(|pool| r.pool == pool);
     let sound = register.of(question.service).filter(in_pool).filter(|r| r.takes_work(now));
-    let kept = sound.map(|runner| Keeper { runner, tokens: runner.cache.fetchable(&work.chain) });
-    kept.filter(|keeper| keeper.tokens > 0).max_by_key(|keeper| keeper.tokens)
+    let kept =
+        sound.map(|runner| CacheHolder { runner, tokens: runner.cache.fetchable(&work.chain) });
+    kept.filter(|holder| holder.tokens > 0).max_by_key(|holder| holder.tokens)
 }
 
 /// The inputs of a prefill estimate that are the same for all candidates.
-struct Search<'b> {
+struct PrefillInputs<'b> {
     work: &'b Work,
     engine: &'b Engine,
-    keeper: Option<Keeper<'b>>,
+    cache_holder: Option<CacheHolder<'b>>,
 }
 
-fn reading<'a, 'b>(
+fn estimate_prefill<'a, 'b>(
     at: &'b Candidate<'a>,
     question: &Question<'_>,
-    search: &'b Search<'b>,
+    inputs: &'b PrefillInputs<'b>,
     draw: f64,
-) -> Reading<'a, 'b> {
-    let work = search.work;
+) -> PrefillEstimate<'a, 'b> {
+    let work = inputs.work;
     let mut cached = at.runner.cache.cached(&work.chain, question.now).min(work.prompt);
     let (mut fetch, mut fetching) = (None, 0.0);
-    if let Some(keeper) = &search.keeper
-        && keeper.runner.entry.id != at.runner.entry.id
-        && keeper.tokens >= cached + LEAST_FETCH
+    if let Some(holder) = &inputs.cache_holder
+        && holder.runner.entry.id != at.runner.entry.id
+        && holder.tokens >= cached + MIN_FETCH_TOKENS
     {
-        let near = keeper.runner.entry.data_centre == at.runner.entry.data_centre;
-        fetching = search.engine.transfer_time(keeper.tokens - cached, near);
-        cached = keeper.tokens.min(work.prompt);
-        fetch = Some(&keeper.runner.entry.id);
+        let near = holder.runner.entry.data_centre == at.runner.entry.data_centre;
+        fetching = inputs.engine.transfer_time(holder.tokens - cached, near);
+        cached = holder.tokens.min(work.prompt);
+        fetch = Some(&holder.runner.entry.id);
     }
     let fresh = work.prompt - cached;
-    let time = at.runner.reading(&at.load, fresh, cached) + fetching;
+    let time = at.runner.prefill_time(&at.load, fresh, cached) + fetching;
     let wait = at.runner.wait(&at.load, question.class);
-    let read = wait + time + start_time();
-    let rank = read + time * DELAY_OF_OTHERS + at.cost(question, draw);
-    Reading { at, read, wait, fresh, fetch, rank }
+    let read = wait + time + startup_latency();
+    let rank = read + time * QUEUEING_WEIGHT + at.cost(question, draw);
+    PrefillEstimate { at, read, wait, fresh, fetch, rank }
 }
 
 /// The candidates of a service by role.
@@ -239,7 +244,7 @@
 /// meanwhile, including a KV cache from another runner, waits for its first token. One long prompt
 /// thus delays every stream that starts on its runner. Therefore some decode runners do no prefill,
 /// and late work, most of which is long, is prefilled by a subset of the other runners only.
-struct Lanes<'a, 'b> {
+struct Roles<'a, 'b> {
     /// Decode runners, all of which can continue from a prompt prefilled elsewhere.
     decode: Vec<&'b Candidate<'a>>,
     /// The decode runners that also prefill.
@@ -257,12 +262,12 @@
 const DECODE_ONLY: (f64, f64) = (0.4, 0.2);
 /// The fraction of the prefill capacity that late work may use. In bursts, one third of the
 /// requested tokens cannot be prefilled in time.
-const LATE_SHARE: f64 = 0.35;
+const LATE_PREFILL_SHARE: f64 = 0.35;
 /// How much longer late work waits for the runners reserved for it before it goes to an idle one of
 /// the others, in seconds. There it may delay work that could be on time, on average by half of its
 /// prefill. Excluding late work altogether, on a fleet whose other runners were idle for two thirds
 /// of the time, made the runners for late work five times as busy as the rest.
-const SPILL: f64 = 0.2;
+const SPILLOVER_WAIT: f64 = 0.2;
 /// The fraction of the other prefill runners that late work leaves idle, for work that can be on
 /// time.
 const IDLE_RESERVE: f64 = 0.5;
@@ -271,24 +276,24 @@
 /// whatever arrives when its queue is full, urgent or not, and each rejected call uses up retry
 /// budget. Late work that waited for a second filled the queues in which urgent work would have
 /// waited for one step.
-const FULL: (f64, f64) = (2.0, 3.0);
+const QUEUE_LIMITS: (f64, f64) = (2.0, 3.0);
 /// The prefill speed of a decode runner relative to a prefill runner: half the speed in chunks of a
 /// quarter of the size.
-const WHOLE_SPEED: f64 = 0.4;
+const DECODE_PREFILL_SPEED: f64 = 0.4;
 
-fn lanes<'a, 'b>(
+fn assign_roles<'a, 'b>(
     all: &'b [Candidate<'a>],
     question: &Question<'_>,
     engine: &Engine,
     work: &Work,
-) -> Lanes<'a, 'b> {
+) -> Roles<'a, 'b> {
     // The order is the same on all nodes that see the same runners, whatever their number.
     let service = place(0, question.service.as_str().as_bytes());
     let of_stage = |stage| {
-        let mut some: Vec<&Candidate<'_>> =
+        let mut matching: Vec<&Candidate<'_>> =
             all.iter().filter(|c| c.runner.entry.stage == Some(stage)).collect();
-        some.sort_by_key(|c| rendezvous(service, c.runner.entry.id.as_str().as_bytes()));
-        some
+        matching.sort_by_key(|c| rendezvous(service, c.runner.entry.id.as_str().as_bytes()));
+        matching
     };
     let (mut prefill, mut whole) = (of_stage(Stage::Prefill), of_stage(Stage::Decode));
     let mut decode = whole.clone();
@@ -298,48 +303,52 @@
         let count = (of_decode.max(of_all) as usize).min(whole.len());
         whole.truncate(whole.len() - count);
     }
-    let reads_whole = whole.len() as f64 * WHOLE_SPEED;
-    let for_late = (prefill.len() as f64 + reads_whole) * LATE_SHARE - reads_whole;
+    let reads_whole = whole.len() as f64 * DECODE_PREFILL_SPEED;
+    let for_late = (prefill.len() as f64 + reads_whole) * LATE_PREFILL_SHARE - reads_whole;
     let count = (for_late.max(0.0).round() as usize).min(prefill.len().saturating_sub(1));
     let late = prefill.split_off(prefill.len() - count);
     let room = |c: &&Candidate<'_>| c.runner.has_room(&c.load, engine, work.footprint());
-    prefer(&mut decode, room);
+    retain_if_any(&mut decode, room);
     if whole.is_empty() && late.is_empty() {
         whole.clone_from(&decode);
     }
-    let open = |c: &&Candidate<'_>| c.is_open(question.class, engine);
-    prefer(&mut decode, open);
-    prefer(&mut whole, open);
-    Lanes { decode, whole, prefill, late }
+    let open = |c: &&Candidate<'_>| c.has_queue_room(question.class, engine);
+    retain_if_any(&mut decode, open);
+    retain_if_any(&mut whole, open);
+    Roles { decode, whole, prefill, late }
 }
 
-impl Lanes<'_, '_> {
+impl Roles<'_, '_> {
     /// Removes the decode runners whose queues are too long for work of `class`.
-    fn close(&mut self, class: Class, engine: &Engine) {
-        let open = |c: &&Candidate<'_>| c.is_open(class, engine);
+    fn drop_full_queues(&mut self, class: Class, engine: &Engine) {
+        let open = |c: &&Candidate<'_>| c.has_queue_room(class, engine);
         self.decode.retain(open);
         self.whole.retain(open);
     }
 }
 
 /// Keeps only the candidates that match, unless none does.
-fn prefer<'a, 'b>(
-    some: &mut Vec<&'b Candidate<'a>>,
-    suit: impl FnMut(&&'b Candidate<'a>) -> bool + Copy,
+fn retain_if_any<'a, 'b>(
+    candidates: &mut Vec<&'b Candidate<'a>>,
+    matches: impl FnMut(&&'b Candidate<'a>) -> bool + Copy,
 ) {
-    if some.iter().any(suit) {
-        some.retain(suit);
+    if candidates.iter().any(matches) {
+        candidates.retain(matches);
     }
 }
 
 /// The prefill runners for work of a class, each with an additional cost in seconds.
-fn readers<'a, 'b>(lanes: &Lanes<'a, 'b>, class: Class) -> Vec<(&'b Candidate<'a>, f64)> {
-    let own = lanes.late.iter().map(|c| (*c, 0.0));
+fn prefill_candidates<'a, 'b>(
+    roles: &Roles<'a, 'b>,
+    class: Class,
+) -> Vec<(&'b Candidate<'a>, f64)> {
+    let own = roles.late.iter().map(|c| (*c, 0.0));
     if class != Class::LATE {
-        return lanes.prefill.iter().map(|c| (*c, 0.0)).chain(own).collect();
+        return roles.prefill.iter().map(|c| (*c, 0.0)).chain(own).collect();
     }
-    let idle: Vec<_> = lanes.prefill.iter().filter(|c| c.is_idle()).map(|c| (*c, SPILL)).collect();
-    let reserve = lanes.prefill.len() as f64 * IDLE_RESERVE;
+    let idle: Vec<_> =
+        roles.prefill.iter().filter(|c| c.is_idle()).map(|c| (*c, SPILLOVER_WAIT)).collect();
+    let reserve = roles.prefill.len() as f64 * IDLE_RESERVE;
     if idle.len() as f64 > reserve { own.chain(idle).collect() } else { own.collect() }
 }
 
@@ -352,36 +361,41 @@
     rng: &mut R,
 ) -> Option<Placement> {
     let all = candidates(register, question);
-    let mut lanes = lanes(&all, question, engine, work);
+    let mut roles = assign_roles(&all, question, engine, work);
     if question.class == Class::LATE {
-        lanes.close(Class::LATE, engine);
+        roles.drop_full_queues(Class::LATE, engine);
     }
-    let readers = readers(&lanes, question.class);
-    let homes = homes(readers.iter().map(|(candidate, _)| *candidate), work);
-    let search = Search { work, engine, keeper: keeper(register, question, work, question.now) };
-    let reader = readers
+    let prefill_candidates = prefill_candidates(&roles, question.class);
+    let affinity_runners =
+        affinity_runners(prefill_candidates.iter().map(|(candidate, _)| *candidate), work);
+    let inputs = PrefillInputs {
+        work,
+        engine,
+        cache_holder: find_cache_holder(register, question, work, question.now),
+    };
+    let best_prefill = prefill_candidates
         .iter()
         .map(|(c, cost)| {
-            let mut reading = reading(c, question, &search, rng.random());
-            reading.rank += cost - home_advantage(&homes, &reading, &search);
-            reading
+            let mut estimate = estimate_prefill(c, question, &inputs, rng.random());
+            estimate.rank += cost - affinity_bonus(&affinity_runners, &estimate, &inputs);
+            estimate
         })
         .min_by(|a, b| a.rank.total_cmp(&b.rank));
-    let split =
-        reader.and_then(|reader| split(&reader, &lanes.decode, question, engine, work, rng));
-    let whole = lanes
+    let split = best_prefill
+        .and_then(|prefill| split(&prefill, &roles.decode, question, engine, work, rng));
+    let whole = roles
         .whole
         .iter()
         .map(|c| {
-            let reading = reading(c, question, &search, rng.random());
+            let estimate = estimate_prefill(c, question, &inputs, rng.random());
             let first =
-                c.first_event() + c.runner.wait_for_place(&c.load, question.class, engine.slots);
-            (reading.rank + first, reading.read + first, reading)
+                c.first_event() + c.runner.wait_for_slot(&c.load, question.class, engine.slots);
+            (estimate.rank + first, estimate.read + first, estimate)
         })
         .min_by(|a, b| a.0.total_cmp(&b.0));
-    let whole = whole.map(|(rank, first, reading)| {
-        let plan = Plan::Whole { runner: reading.at.runner.entry.id.clone() };
-        (rank, reading.placement(plan, first))
+    let whole = whole.map(|(rank, first, estimate)| {
+        let plan = Plan::Whole { runner: estimate.at.runner.entry.id.clone() };
+        (rank, estimate.placement(plan, first))
     });
     match (split, whole) {
         (Some(split), Some(whole)) => Some(if split.0 <= whole.0 { split.1 } else { whole.1 }),
@@ -390,22 +404,23 @@
 }
 
 fn split<R: Rng>(
-    reader: &Reading<'_, '_>,
+    prefill: &PrefillEstimate<'_, '_>,
     decode: &[&Candidate<'_>],
     question: &Question<'_>,
     engine: &Engine,
     work: &Work,
     rng: &mut R,
 ) -> Option<(f64, Placement)> {
-    let from = &reader.at.runner.entry;
-    let (rank, first, maker) = maker(&from.data_centre, decode, question, engine, work, rng)?;
-    let plan = Plan::Split { prefill: from.id.clone(), decode: maker.clone() };
-    Some((reader.rank + rank, reader.placement(plan, reader.read + first)))
+    let from = &prefill.at.runner.entry;
+    let (rank, first, decode_runner) =
+        soonest_decode_runner(&from.data_centre, decode, question, engine, work, rng)?;
+    let plan = Plan::Split { prefill: from.id.clone(), decode: decode_runner.clone() };
+    Some((prefill.rank + rank, prefill.placement(plan, prefill.read + first)))
 }
 
 /// Returns the runner that can continue soonest from a prompt prefilled in data centre `from`, with
 /// its cost and the time to the first event.
-fn maker<'a, R: Rng>(
+fn soonest_decode_runner<'a, R: Rng>(
     from: &DataCentre,
     decode: &[&Candidate<'a>],
     question: &Question<'_>,
@@ -416,59 +431,64 @@
     let ranked = decode.iter().map(|c| {
         let near = c.runner.entry.data_centre == *from;
         let wait = c.runner.wait(&c.load, question.class)
-            + c.runner.wait_for_place(&c.load, question.class, engine.slots);
+            + c.runner.wait_for_slot(&c.load, question.class, engine.slots);
         let first = wait + c.first_event() + engine.transfer_time(work.prompt, near);
         (first + c.cost(question, rng.random()), first, &c.runner.entry.id)
     });
     ranked.min_by(|a, b| a.0.total_cmp(&b.0))
 }
 
-/// Chooses the runner that continues from a prompt prefilled by `reader`. Prefill takes up to
+/// Chooses the runner that continues from a prompt prefilled by `prefill_runner`. Prefill takes up to
 /// several seconds, in which the runner planned for decoding may have started to drain.
 pub fn decode<R: Rng>(
     register: &Register,
     question: &Question<'_>,
     engine: &Engine,
     work: &Work,
-    reader: &RunnerId,
+    prefill_runner: &RunnerId,
     rng: &mut R,
 ) -> Option<RunnerId> {
     let all = candidates(register, question);
-    let lanes = lanes(&all, question, engine, work);
-    let from = &register.get(reader)?.entry.data_centre;
-    let makers = if lanes.decode.is_empty() { &lanes.whole } else { &lanes.decode };
-    maker(from, makers, question, engine, work, rng).map(|(.., id)| id.clone())
+    let roles = assign_roles(&all, question, engine, work);
+    let from = &register.get(prefill_runner)?.entry.data_centre;
+    let decode_runners = if roles.decode.is_empty() { &roles.whole } else { &roles.decode };
+    soonest_decode_runner(from, decode_runners, question, engine, work, rng)
+        .map(|(.., id)| id.clone())
 }
 
 /// The runners that a shared prompt has affinity to, most preferred first. All nodes that see the
 /// same runners get the same result.
-fn homes<'a>(
+fn affinity_runners<'a>(
     runners: impl Iterator<Item = &'a Candidate<'a>>,
     work: &Work,
-) -> SmallVec<[&'a RunnerId; HOMES]> {
-    let meeting = work.chain.meeting().0;
-    let mut homes: SmallVec<[(u64, &RunnerId); HOMES + 1]> = SmallVec::new();
+) -> SmallVec<[&'a RunnerId; AFFINITY_RUNNERS]> {
+    let key = work.chain.affinity_key().0;
+    let mut affinity_runners: SmallVec<[(u64, &RunnerId); AFFINITY_RUNNERS + 1]> = SmallVec::new();
     for candidate in runners {
         let id = &candidate.runner.entry.id;
-        let weight = rendezvous(meeting, id.as_str().as_bytes());
-        let at = homes.partition_point(|(other, _)| *other > weight);
-        if at < HOMES {
-            homes.insert(at, (weight, id));
-            homes.truncate(HOMES);
+        let weight = rendezvous(key, id.as_str().as_bytes());
+        let at = affinity_runners.partition_point(|(other, _)| *other > weight);
+        if at < AFFINITY_RUNNERS {
+            affinity_runners.insert(at, (weight, id));
+            affinity_runners.truncate(AFFINITY_RUNNERS);
         }
     }
-    homes.into_iter().map(|(_, id)| id).collect()
+    affinity_runners.into_iter().map(|(_, id)| id).collect()
 }
 
 /// The cost reduction of a candidate that the prompt has affinity to, in seconds.
-fn home_advantage(homes: &[&RunnerId], reading: &Reading<'_, '_>, search: &Search<'_>) -> f64 {
-    let id = &reading.at.runner.entry.id;
-    let Some(at) = homes.iter().position(|home| *home == id) else { return 0.0 };
-    let kept = search.keeper.as_ref().map_or(0, |keeper| keeper.tokens);
-    let missing = search.work.chain.shared().saturating_sub(kept);
+fn affinity_bonus(
+    affinity_runners: &[&RunnerId],
+    estimate: &PrefillEstimate<'_, '_>,
+    inputs: &PrefillInputs<'_>,
+) -> f64 {
+    let id = &estimate.at.runner.entry.id;
+    let Some(at) = affinity_runners.iter().position(|r| *r == id) else { return 0.0 };
+    let kept = inputs.cache_holder.as_ref().map_or(0, |holder| holder.tokens);
+    let missing = inputs.work.chain.shared().saturating_sub(kept);
     let time = prefill_time(Stage::Prefill, missing, kept, 0);
-    let whole = HOME_ADVANTAGE.0 + HOME_ADVANTAGE.1 * time;
-    whole * (1.0 - at as f64 / HOMES as f64)
+    let whole = AFFINITY_BONUS.0 + AFFINITY_BONUS.1 * time;
+    whole * (1.0 - at as f64 / AFFINITY_RUNNERS as f64)
 }
 
 /// The runner chosen for a plain request.
--- a/lib/src/fleet/pool.rs
+++ b/lib/src/fleet/pool.rs
@@ -17,7 +17,7 @@
 /// The maximum number of runners in a pool. Placement examines each of them, and one node receives
 /// reports of all their work. Smaller pools would have too few runners of each stage to compensate
 /// for a failure.
-pub const MOST_RUNNERS: usize = 24;
+pub const MAX_RUNNERS: usize = 24;
 
 /// A pool of a service, by its number.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -26,15 +26,15 @@
 /// The number of pools for a service with `runners` runners. It is a power of two, so that a change
 /// of the number splits each pool in two or merges it with its neighbour.
 pub fn count(runners: usize) -> u16 {
-    let pools = runners.div_ceil(MOST_RUNNERS).max(1).next_power_of_two();
+    let pools = runners.div_ceil(MAX_RUNNERS).max(1).next_power_of_two();
     u16::try_from(pools).unwrap_or(1 << 15)
 }
 
 impl Pool {
     /// The pool of a prompt, out of `pools`, by its affinity key.
-    pub fn of_prompt(meeting: ChainKey, pools: u16) -> Self {
+    pub fn of_prompt(affinity_key: ChainKey, pools: u16) -> Self {
         // Uses the high bits of the key, so that doubling the number of pools splits each in two.
-        Self(((u128::from(meeting.0) * u128::from(pools)) >> 64) as u16)
+        Self(((u128::from(affinity_key.0) * u128::from(pools)) >> 64) as u16)
     }
 
     /// A hash of the pool, from which its scheduler is chosen.
--- a/lib/src/fleet/quarantine/answered.rs
+++ b/lib/src/fleet/quarantine/answered.rs
@@ -6,7 +6,7 @@
 use crate::fleet::fingerprint::Fingerprint;
 
 /// The maximum number of answered requests that are remembered.
-const MOST_ANSWERED: usize = 4_096;
+const MAX_ANSWERED: usize = 4_096;
 
 /// When requests were last answered completely.
 #[derive(Clone, Debug, Default)]
@@ -21,7 +21,7 @@
             return;
         }
         self.order.push_back(request);
-        if self.order.len() > MOST_ANSWERED
+        if self.order.len() > MAX_ANSWERED
             && let Some(oldest) = self.order.pop_front()
         {
             self.at.remove(&oldest);
--- a/lib/src/fleet/quarantine/entry.rs
+++ b/lib/src/fleet/quarantine/entry.rs
@@ -11,7 +11,7 @@
 
 /// How long a proposal without a decision keeps a request from running. After that, the nodes that
 /// counted are gone, or have stalled and have no newer information.
-const UNDECIDED: Duration = Duration::from_secs(2);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The state of an entry. Of two states with the same serial the later one applies.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, IntoStaticStr, Ord, PartialEq, PartialOrd)]
@@ -48,26 +48,29 @@
 
 impl Entry {
     /// Whether it keeps the request from running.
-    pub(super) fn stands(&self, now: Instant) -> bool {
+    pub(super) fn is_active(&self, now: Instant) -> bool {
         match self.stage {
-            Stage::Proposed => now < self.since + UNDECIDED,
+            Stage::Proposed => now < self.since + PROPOSAL_TIMEOUT,
             Stage::Confirmed => true,
             Stage::Withdrawn | Stage::Cleared => false,
         }
     }
 
     /// How strong the evidence against the request is, for comparison with other entries.
-    pub(super) fn weight(&self) -> (usize, u32) {
+    pub(super) fn evidence(&self) -> (usize, u32) {
         (self.ends.len(), self.begun)
     }
 
     /// The number of its ends that are not ends of `others`.
-    pub(super) fn beside<'a>(&self, others: &(impl Iterator<Item = &'a Entry> + Clone)) -> usize {
+    pub(super) fn unexplained_ends<'a>(
+        &self,
+        others: &(impl Iterator<Item = &'a Entry> + Clone),
+    ) -> usize {
         let is_left = |life: &&Tag| !others.clone().any(|other| other.ends.contains(life));
         self.ends.iter().filter(is_left).count()
     }
 
-    pub(super) fn outweighs(&self, other: &Entry) -> bool {
+    pub(super) fn supersedes(&self, other: &Entry) -> bool {
         (self.serial, self.stage) > (other.serial, other.stage)
     }
 }
--- a/lib/src/fleet/quarantine/mod.rs
+++ b/lib/src/fleet/quarantine/mod.rs
@@ -26,30 +26,30 @@
 
 /// How long a proposal waits for its decision: an update reaches 550 nodes in a tenth of a second,
 /// and objections take the same time back.
-pub const DELIBERATION: Duration = Duration::from_millis(300);
+pub const DECISION_DELAY: Duration = Duration::from_millis(300);
 /// The maximum number of concurrent proposals without a common cause. When runners end by their own
 /// fault, there are many.
-const MOST_AT_ONCE: usize = 4;
+const MAX_CONCURRENT: usize = 4;
 /// The maximum number of proposals that a node makes while others are undecided.
-const MOST_PROPOSED: usize = 16;
+const MAX_PROPOSED: usize = 16;
 /// The number of ends that confirm a proposal even if another request was at all of them too.
-const BEYOND_CHANCE: usize = 5;
+const CERTAIN_ENDS: usize = 5;
 /// How long a request is refused after the last change, and how long other entries are kept.
-const LIFE: Duration = Duration::from_secs(86_400);
+const RETENTION: Duration = Duration::from_secs(86_400);
 /// How long before its expiry an entry is excluded from the digest, as nodes remove it at slightly
 /// different times.
 const DIGEST_MARGIN: Duration = Duration::from_secs(60);
 /// The pauses after which a refused request is tried again, one for each trial. A trial may end one
 /// more runner; a good request is refused no longer than until the trial.
-const TRIALS: [Duration; 3] =
+const TRIAL_PAUSES: [Duration; 3] =
     [Duration::from_secs(30), Duration::from_secs(600), Duration::from_secs(1_800)];
 /// The maximum number of entries.
-const MOST: usize = 1_024;
+const MAX_ENTRIES: usize = 1_024;
 /// The maximum number of entries in one message, at up to 110 bytes each.
 pub const MOST_TOLD: usize = 8;
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct Tracked {
     entry: Entry,
     /// The number of trials since it was confirmed.
     trials: usize,
@@ -74,8 +74,8 @@
 /// The quarantine entries known to one node.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    kept: HashMap<Fingerprint, Kept>,
-    news: VecDeque<Fingerprint>,
+    entries: HashMap<Fingerprint, Tracked>,
+    updates: VecDeque<Fingerprint>,
     answered: Answered,
     /// The nodes whose digests differ from this node's.
     differences: Differences,
@@ -84,7 +84,7 @@
 impl Quarantine {
     /// What to do with a request.
     pub fn standing(&self, request: &Fingerprint, now: Instant) -> Standing {
-        match self.get(request).filter(|entry| entry.stands(now)) {
+        match self.get(request).filter(|entry| entry.is_active(now)) {
             None => Standing::Free,
             Some(entry) if entry.stage == Stage::Confirmed => Standing::Refused,
             Some(_) => Standing::Undecided,
@@ -93,7 +93,7 @@
 
     /// The entry of a request.
     pub fn get(&self, request: &Fingerprint) -> Option<&Entry> {
-        self.kept.get(request).map(|kept| &kept.entry)
+        self.entries.get(request).map(|tracked| &tracked.entry)
     }
 
     /// Proposes a request by the ends under it. Returns `None` if there are too few ends, if the
@@ -106,8 +106,8 @@
         now: Instant,
     ) -> Option<Entry> {
         let known = self.get(&request);
-        let stands = known.is_some_and(|entry| entry.stands(now));
-        if suspect.ends().len() < ENDS || stands || self.proposed(now).count() >= MOST_PROPOSED {
+        let is_active = known.is_some_and(|entry| entry.is_active(now));
+        if suspect.ends().len() < ENDS || is_active || self.proposed(now).count() >= MAX_PROPOSED {
             return None;
         }
         let entry = Entry {
@@ -123,8 +123,8 @@
     }
 
     fn proposed(&self, now: Instant) -> impl Iterator<Item = &Entry> + Clone {
-        let entries = self.kept.values().map(|kept| &kept.entry);
-        entries.filter(move |entry| entry.stage == Stage::Proposed && entry.stands(now))
+        let entries = self.entries.values().map(|tracked| &tracked.entry);
+        entries.filter(move |entry| entry.stage == Stage::Proposed && entry.is_active(now))
     }
 
     /// Whether any proposal is undecided.
@@ -134,7 +134,7 @@
 
     /// The proposals that are due for a decision.
     pub fn due(&self, now: Instant) -> Vec<Fingerprint> {
-        let due = self.proposed(now).filter(|entry| now >= entry.since + DELIBERATION);
+        let due = self.proposed(now).filter(|entry| now >= entry.since + DECISION_DELAY);
         due.map(|entry| entry.request).collect()
     }
 
@@ -143,20 +143,20 @@
         let entry = self.proposed(now).find(|entry| entry.request == *request)?;
         let stands_out = self.stands_out(entry, now);
         let at_once = self.proposed(now).filter(|other| self.stands_out(other, now)).count();
-        let confirmed = stands_out && at_once <= MOST_AT_ONCE;
+        let confirmed = stands_out && at_once <= MAX_CONCURRENT;
         Some(if confirmed { Stage::Confirmed } else { Stage::Withdrawn })
     }
 
     /// Whether enough ends of a proposal remain after removing those that another request accounts
     /// for as well or better.
     fn stands_out(&self, entry: &Entry, now: Instant) -> bool {
-        let certain = entry.ends.len() >= BEYOND_CHANCE;
-        let others = self.kept.values().map(|kept| &kept.entry).filter(|other| {
-            let better = other.weight() > entry.weight();
-            let as_well = other.weight() == entry.weight() && !certain;
-            other.stands(now) && other.request != entry.request && (better || as_well)
+        let certain = entry.ends.len() >= CERTAIN_ENDS;
+        let others = self.entries.values().map(|tracked| &tracked.entry).filter(|other| {
+            let better = other.evidence() > entry.evidence();
+            let as_well = other.evidence() == entry.evidence() && !certain;
+            other.is_active(now) && other.request != entry.request && (better || as_well)
         });
-        entry.beside(&others) >= ENDS
+        entry.unexplained_ends(&others) >= ENDS
     }
 
     /// Moves a request to a state that was decided here. Returns `None` if it is in that state
@@ -168,78 +168,80 @@
 
     /// Applies an entry. Returns whether it is new, in which case it is passed on.
     pub fn take(&mut self, entry: Entry, now: Instant) -> bool {
-        if now.saturating_duration_since(entry.since) >= LIFE {
+        if now.saturating_duration_since(entry.since) >= RETENTION {
             return false;
         }
         let request = entry.request;
-        match self.kept.get_mut(&request) {
-            Some(kept) if !entry.outweighs(&kept.entry) => return false,
-            Some(kept) => {
+        match self.entries.get_mut(&request) {
+            Some(tracked) if !entry.supersedes(&tracked.entry) => return false,
+            Some(tracked) => {
                 let confirmed = entry.stage == Stage::Confirmed;
                 if confirmed {
-                    (kept.trials, kept.tried, kept.tried_before) = (0, entry.since, entry.since);
+                    (tracked.trials, tracked.tried, tracked.tried_before) =
+                        (0, entry.since, entry.since);
                 }
-                kept.entry = entry;
+                tracked.entry = entry;
             }
             None => {
-                if self.kept.len() >= MOST {
+                if self.entries.len() >= MAX_ENTRIES {
                     self.make_room();
                 }
                 let (tried, tried_before) = (entry.since, entry.since);
-                let kept = Kept { entry, trials: 0, tried, tried_before, refused: 0 };
-                self.kept.insert(request, kept);
+                let tracked = Tracked { entry, trials: 0, tried, tried_before, refused: 0 };
+                self.entries.insert(request, tracked);
             }
         }
-        self.news.retain(|other| *other != request);
-        self.news.push_back(request);
+        self.updates.retain(|other| *other != request);
+        self.updates.push_back(request);
         true
     }
 
     /// Confirmed entries are removed last.
     fn make_room(&mut self) {
-        let order = |kept: &Kept| (kept.entry.stage == Stage::Confirmed, kept.entry.since);
-        let least = self.kept.iter().min_by_key(|(_, kept)| order(kept));
+        let order =
+            |tracked: &Tracked| (tracked.entry.stage == Stage::Confirmed, tracked.entry.since);
+        let least = self.entries.iter().min_by_key(|(_, tracked)| order(tracked));
         let least = least.map(|(request, _)| *request);
-        least.map(|request| self.kept.remove(&request));
+        least.map(|request| self.entries.remove(&request));
     }
 
     /// Takes the entries for the next message.
     pub fn take_news(&mut self) -> Vec<Entry> {
-        let some = self.news.len().min(MOST_TOLD);
-        let some: Vec<Fingerprint> = self.news.drain(..some).collect();
+        let some = self.updates.len().min(MOST_TOLD);
+        let some: Vec<Fingerprint> = self.updates.drain(..some).collect();
         some.iter().filter_map(|request| self.get(request).cloned()).collect()
     }
 
     /// Whether there is an entry that has not been sent in any message.
     pub fn has_news(&self) -> bool {
-        !self.news.is_empty()
+        !self.updates.is_empty()
     }
 
     /// All entries.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
-        self.kept.values().map(|kept| &kept.entry)
+        self.entries.values().map(|tracked| &tracked.entry)
     }
 
     /// How often this node has refused a request.
     pub fn refused(&self, request: &Fingerprint) -> u64 {
-        self.kept.get(request).map_or(0, |kept| kept.refused)
+        self.entries.get(request).map_or(0, |tracked| tracked.refused)
     }
 
     /// Counts a refusal.
     pub fn note_refused(&mut self, request: &Fingerprint) {
-        if let Some(kept) = self.kept.get_mut(request) {
-            kept.refused += 1;
+        if let Some(tracked) = self.entries.get_mut(request) {
+            tracked.refused += 1;
         }
     }
 
     /// Whether a refused request is to be tried now. Records the trial if so.
     pub fn begin_trial(&mut self, request: &Fingerprint, now: Instant) -> bool {
-        let Some(kept) = self.kept.get_mut(request) else { return false };
-        let pause = TRIALS.get(kept.trials);
-        let due = pause.is_some_and(|pause| now >= kept.tried + *pause);
-        if due && kept.entry.stage == Stage::Confirmed {
-            kept.trials += 1;
-            kept.tried_before = std::mem::replace(&mut kept.tried, now);
+        let Some(tracked) = self.entries.get_mut(request) else { return false };
+        let pause = TRIAL_PAUSES.get(tracked.trials);
+        let due = pause.is_some_and(|pause| now >= tracked.tried + *pause);
+        if due && tracked.entry.stage == Stage::Confirmed {
+            tracked.trials += 1;
+            tracked.tried_before = std::mem::replace(&mut tracked.tried, now);
             return true;
         }
         false
@@ -248,11 +250,11 @@
     /// Records that a request that was to be tried has not run, so that the next one is tried
     /// instead.
     pub fn return_trial(&mut self, request: &Fingerprint) {
-        if let Some(kept) = self.kept.get_mut(request)
-            && let Some(before) = kept.trials.checked_sub(1)
+        if let Some(tracked) = self.entries.get_mut(request)
+            && let Some(before) = tracked.trials.checked_sub(1)
         {
-            kept.trials = before;
-            kept.tried = kept.tried_before;
+            tracked.trials = before;
+            tracked.tried = tracked.tried_before;
         }
     }
 
@@ -270,17 +272,18 @@
 
     /// Removes expired entries and returns their requests.
     pub fn expire(&mut self, now: Instant) -> Vec<Fingerprint> {
-        let over = |kept: &Kept| now.saturating_duration_since(kept.entry.since) >= LIFE;
+        let over =
+            |tracked: &Tracked| now.saturating_duration_since(tracked.entry.since) >= RETENTION;
         let gone: Vec<Fingerprint> =
-            self.kept.iter().filter(|(_, kept)| over(kept)).map(|(r, _)| *r).collect();
-        self.kept.retain(|_, kept| !over(kept));
+            self.entries.iter().filter(|(_, tracked)| over(tracked)).map(|(r, _)| *r).collect();
+        self.entries.retain(|_, tracked| !over(tracked));
         gone
     }
 
     /// A digest of all entries; zero if there are none.
     pub fn digest(&self, now: Instant) -> u64 {
         let young =
-            |entry: &&Entry| now.saturating_duration_since(entry.since) + DIGEST_MARGIN < LIFE;
+            |entry: &&Entry| now.saturating_duration_since(entry.since) + DIGEST_MARGIN < RETENTION;
         let one = |entry: &Entry| {
             let seed = u64::from(entry.serial) << 8 | entry.stage as u64;
             place(seed, entry.request.as_bytes())
--- a/lib/src/fleet/register.rs
+++ b/lib/src/fleet/register.rs
@@ -48,7 +48,7 @@
 
 /// The maximum number of departed runners that are remembered, to recognize them in a store that
 /// was restored from a copy.
-const MOST_LEFT: usize = 512;
+const MAX_DEPARTED: usize = 512;
 
 /// The known runners.
 #[derive(Clone, Debug, Default)]
@@ -57,13 +57,13 @@
     tags: HashMap<Tag, RunnerId>,
     doubted: HashMap<RunnerId, Instant>,
     /// The last entries of departed runners, oldest first.
-    left: VecDeque<Entry>,
+    departed: VecDeque<Entry>,
     /// The number of registrations so far.
-    stays: u64,
+    registrations: u64,
     /// The number of pools of each service.
     pools: HashMap<ServiceId, u16>,
     /// Whether runners have joined, left or changed their stage since the pools were last assigned.
-    is_undivided: bool,
+    pools_outdated: bool,
 }
 
 impl Register {
@@ -71,7 +71,7 @@
     /// no effect.
     pub fn apply(&mut self, entry: Entry) -> Change {
         let Some(runner) = self.runners.get_mut(&entry.id) else {
-            if self.left.iter().any(|left| entry.is_shown_again(left)) {
+            if self.departed.iter().any(|departed| entry.is_replay_of(departed)) {
                 return Change::Former;
             }
             self.insert(entry);
@@ -83,7 +83,7 @@
         if entry.at <= runner.entry.at {
             return Change::None;
         }
-        if entry.is_shown_again(&runner.entry) {
+        if entry.is_replay_of(&runner.entry) {
             let was_doubted = self.doubted.remove(&entry.id).is_some();
             runner.entry.at = entry.at;
             return if was_doubted { Change::Updated } else { Change::None };
@@ -103,15 +103,15 @@
             return Change::Reborn;
         }
         let leaves = runner.entry.state == State::Ready && entry.state == State::Draining;
-        let turned = runner.entry.stage != entry.stage;
+        let stage_changed = runner.entry.stage != entry.stage;
         runner.entry = entry;
-        if turned {
+        if stage_changed {
             // What was learned about it in its former stage does not apply to the new one.
             runner.pace = Pace::default();
             runner.health = Record::default();
             runner.cache.clear();
             runner.reserved = None;
-            self.is_undivided = true;
+            self.pools_outdated = true;
         }
         if leaves { Change::Leaving } else { Change::Updated }
     }
@@ -129,10 +129,10 @@
     }
 
     fn insert(&mut self, entry: Entry) {
-        self.stays += 1;
-        self.is_undivided = true;
+        self.registrations += 1;
+        self.pools_outdated = true;
         self.tags.insert(entry.tag(), entry.id.clone());
-        self.runners.insert(entry.id.clone(), Runner::new(entry, self.stays));
+        self.runners.insert(entry.id.clone(), Runner::new(entry, self.registrations));
     }
 
     /// Handles the removal of an entry. If `doubt` is set, because the store was unavailable, the
@@ -145,9 +145,9 @@
             self.doubted.entry(id.clone()).or_insert(until);
             return Change::Doubted;
         }
-        self.left.push_back(runner.entry.clone());
-        if self.left.len() > MOST_LEFT {
-            self.left.pop_front();
+        self.departed.push_back(runner.entry.clone());
+        if self.departed.len() > MAX_DEPARTED {
+            self.departed.pop_front();
         }
         self.drop_runner(id);
         Change::Removed
@@ -156,7 +156,7 @@
     fn drop_runner(&mut self, id: &RunnerId) {
         self.doubted.remove(id);
         if let Some(runner) = self.runners.remove(id) {
-            self.is_undivided = true;
+            self.pools_outdated = true;
             self.tags.remove(&runner.entry.tag());
         }
     }
@@ -202,7 +202,7 @@
 
     /// Assigns the runners to pools again, if they have changed.
     pub fn divide(&mut self) {
-        if std::mem::take(&mut self.is_undivided) {
+        if std::mem::take(&mut self.pools_outdated) {
             self.pools = pool::divide(&mut self.runners);
         }
     }
@@ -214,7 +214,7 @@
 
     /// The pool of a service to which work belongs.
     pub fn pool_of(&self, service: &ServiceId, work: &Work) -> Pool {
-        Pool::of_prompt(work.chain.meeting(), self.pools(service))
+        Pool::of_prompt(work.chain.affinity_key(), self.pools(service))
     }
 
     /// The runner with a tag.
--- a/lib/src/fleet/roster.rs
+++ b/lib/src/fleet/roster.rs
@@ -33,16 +33,16 @@
 pub const SILENCE: Duration = Duration::from_millis(600);
 /// The number of probes and their interval before a node is reported as silent. A stall of a tenth
 /// of a second, or a lost datagram, must not cause a report.
-const QUESTIONS: u8 = 2;
-const QUESTION_PAUSE: Duration = Duration::from_millis(150);
+const PROBES: u8 = 2;
+const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 /// The maximum number of records in one heartbeat, at up to 84 bytes each.
 pub const MOST_RECORDS: usize = 14;
 /// The minimum time between computations of the watchers of this node and of the nodes it watches:
 /// each examines every pair of nodes.
-const WATCH_PERIOD: Duration = Duration::from_secs(1);
+const WATCHERS_PERIOD: Duration = Duration::from_secs(1);
 /// The time between ticks from which this process counts as stalled, so that its own silence
 /// explains why it heard nobody.
-const HELD_UP: Duration = Duration::from_millis(400);
+const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
 /// Whether a node accepts callers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -101,7 +101,7 @@
 }
 
 impl Record {
-    fn weight(&self) -> (Incarnation, u32, bool) {
+    fn precedence(&self) -> (Incarnation, u32, bool) {
         (self.contact.incarnation, self.serial, self.silent)
     }
 
@@ -128,8 +128,8 @@
     /// Since when this node is one of its watchers; `None` if it is not.
     watched: Option<Instant>,
     /// The number of unanswered probes, and the time of the last one.
-    questions: u8,
-    asked: Option<Instant>,
+    probes: u8,
+    probed_at: Option<Instant>,
 }
 
 /// The other nodes, and this node's own record.
@@ -139,12 +139,12 @@
     members: HashMap<NodeId, Member>,
     /// Records to pass on, each in one heartbeat: a node receives an update from eight others, so
     /// it rarely misses one.
-    news: VecDeque<Record>,
+    updates: VecDeque<Record>,
     watchers: SmallVec<[SocketAddr; WATCHERS]>,
     /// When the watchers were computed, and whether nodes have joined or left since.
     watched_at: Option<Instant>,
     changed: bool,
-    ticked: Option<Instant>,
+    last_tick: Option<Instant>,
     /// When this node last heard any other.
     heard: Option<Instant>,
     /// The nodes whose lists differ from this node's.
@@ -158,11 +158,11 @@
         Self {
             me: Record { contact: me, standing, served: true, serial: 1, silent: false },
             members: HashMap::new(),
-            news: VecDeque::new(),
+            updates: VecDeque::new(),
             watchers: SmallVec::new(),
             watched_at: None,
             changed: true,
-            ticked: None,
+            last_tick: None,
             heard: None,
             differences: Differences::default(),
         }
@@ -180,7 +180,7 @@
         }
         (self.me.standing, self.me.served) = (standing, served);
         self.me.serial += 1;
-        self.spread(self.me.clone());
+        self.enqueue(self.me.clone());
         true
     }
 
@@ -199,8 +199,8 @@
     fn insert(&mut self, record: Record, now: Instant) {
         let status =
             Status { standing: record.standing, served: record.served, ..Status::default() };
-        let (heard, watched, asked) = (None, None, None);
-        let member = Member { record, status, heard, since: now, watched, questions: 0, asked };
+        let (heard, watched, probed_at) = (None, None, None);
+        let member = Member { record, status, heard, since: now, watched, probes: 0, probed_at };
         self.members.insert(member.record.contact.id.clone(), member);
         self.changed = true;
     }
@@ -209,7 +209,7 @@
     /// on.
     pub fn take_record(&mut self, record: &Record, now: Instant) -> bool {
         if record.contact.id == self.me.contact.id {
-            return self.object(record);
+            return self.refute(record);
         }
         let Some(member) = self.members.get_mut(&record.contact.id) else {
             // A node that is first heard of as silent is not added.
@@ -217,10 +217,10 @@
                 return false;
             }
             self.insert(record.clone(), now);
-            self.spread(record.clone());
+            self.enqueue(record.clone());
             return true;
         };
-        if record.weight() <= member.record.weight() {
+        if record.precedence() <= member.record.precedence() {
             return false;
         }
         let was = &member.record;
@@ -232,25 +232,25 @@
         member.status.standing = record.standing;
         member.status.served = record.served;
         member.record = record.clone();
-        (member.since, member.questions, member.asked) = (now, 0, None);
-        self.spread(record.clone());
+        (member.since, member.probes, member.probed_at) = (now, 0, None);
+        self.enqueue(record.clone());
         true
     }
 
     /// Refutes a record that reports this incarnation of this node as silent.
-    fn object(&mut self, record: &Record) -> bool {
+    fn refute(&mut self, record: &Record) -> bool {
         let mine = record.contact.incarnation == self.me.contact.incarnation;
         if !mine || !record.silent || record.serial < self.me.serial {
             return false;
         }
         self.me.serial = record.serial + 1;
-        self.spread(self.me.clone());
+        self.enqueue(self.me.clone());
         true
     }
 
-    fn spread(&mut self, record: Record) {
-        self.news.retain(|other| other.contact.id != record.contact.id);
-        self.news.push_back(record);
+    fn enqueue(&mut self, record: Record) {
+        self.updates.retain(|other| other.contact.id != record.contact.id);
+        self.updates.push_back(record);
     }
 
     /// Applies a heartbeat: the sender's record and status. Returns whether the record is new.
@@ -261,7 +261,7 @@
             && member.record.contact.incarnation == record.contact.incarnation
         {
             member.heard = Some(now);
-            (member.questions, member.asked) = (0, None);
+            (member.probes, member.probed_at) = (0, None);
             member.status.version = member.status.version.max(status.version);
             member.status.register = member.status.register.max(status.register);
         }
@@ -273,18 +273,18 @@
     /// each other would never reconnect.
     pub fn is_mistaken(&self, record: &Record) -> Option<&Record> {
         let known = &self.members.get(&record.contact.id)?.record;
-        (known.silent && known.weight() > record.weight()).then_some(known)
+        (known.silent && known.precedence() > record.precedence()).then_some(known)
     }
 
     /// Takes the records for the next heartbeat.
     pub fn take_news(&mut self) -> Vec<Record> {
-        let some = self.news.len().min(MOST_RECORDS);
-        self.news.drain(..some).collect()
+        let some = self.updates.len().min(MOST_RECORDS);
+        self.updates.drain(..some).collect()
     }
 
     /// Whether there are records that have not been sent in any heartbeat.
     pub fn has_news(&self) -> bool {
-        !self.news.is_empty()
+        !self.updates.is_empty()
     }
 
     /// A sample of the present nodes, for a node that knows no other.
@@ -320,32 +320,32 @@
     /// Checks the watched nodes. Returns the addresses to probe; nodes that have not answered their
     /// probes are reported as silent.
     pub fn tick(&mut self, now: Instant) -> Vec<SocketAddr> {
-        let held_up = self.ticked.is_some_and(|at| now > at + HELD_UP);
-        self.ticked = Some(now);
-        let due = self.watched_at.is_none_or(|at| now >= at + WATCH_PERIOD);
+        let stalled = self.last_tick.is_some_and(|at| now > at + STALL_THRESHOLD);
+        self.last_tick = Some(now);
+        let due = self.watched_at.is_none_or(|at| now >= at + WATCHERS_PERIOD);
         if self.changed && (due || self.members.len() <= WATCHERS) {
             self.choose_watchers(now);
         }
         // A node that hears nobody is partitioned or was stalled, and cannot judge others.
-        let deaf = self.heard.is_none_or(|at| now > at + SILENCE);
-        if held_up || deaf {
+        let isolated = self.heard.is_none_or(|at| now > at + SILENCE);
+        if stalled || isolated {
             for member in self.members.values_mut() {
                 member.watched = member.watched.map(|_| now);
-                (member.questions, member.asked) = (0, None);
+                (member.probes, member.probed_at) = (0, None);
             }
         }
-        let (mut ask, mut silent) = (Vec::new(), Vec::new());
+        let (mut to_probe, mut silent) = (Vec::new(), Vec::new());
         for member in self.members.values_mut() {
             let Some(watched) = member.watched.filter(|_| !member.record.silent) else { continue };
             let heard = member.heard.map_or(watched, |at| at.max(watched)).max(member.since);
-            let quiet = now > heard + SILENCE;
-            if !quiet || member.asked.is_some_and(|at| now < at + QUESTION_PAUSE) {
+            let overdue = now > heard + SILENCE;
+            if !overdue || member.probed_at.is_some_and(|at| now < at + PROBE_INTERVAL) {
                 continue;
             }
-            if member.questions < QUESTIONS {
-                member.questions += 1;
-                member.asked = Some(now);
-                ask.push(member.record.contact.peer);
+            if member.probes < PROBES {
+                member.probes += 1;
+                member.probed_at = Some(now);
+                to_probe.push(member.record.contact.peer);
             } else {
                 silent.push(Record { silent: true, ..member.record.clone() });
             }
@@ -353,7 +353,7 @@
         for record in silent {
             self.take_record(&record, now);
         }
-        ask
+        to_probe
     }
 
     /// Computes the watchers of this node and the nodes it watches.
--- a/lib/src/fleet/runner.rs
+++ b/lib/src/fleet/runner.rs
@@ -7,7 +7,7 @@
 
 use super::back_off::BackOff;
 use super::cache::Cache;
-use super::engine::{Engine, Pace, Stage, prefill_time, start_time, step_time};
+use super::engine::{Engine, Pace, Stage, prefill_time, startup_latency, step_time};
 use super::health::Record;
 use super::limit::Limit;
 use super::load::{Class, Load, Others};
@@ -77,7 +77,7 @@
     /// Whether this entry, read from a store that was restored from a copy, tells nothing that the
     /// same incarnation had not written before `known`. A runner that leaves does not return in the
     /// same incarnation.
-    pub fn is_shown_again(&self, known: &Entry) -> bool {
+    pub fn is_replay_of(&self, known: &Entry) -> bool {
         let same_life = self.id == known.id && self.born == known.born;
         let leaves = self.state == State::Draining && known.state == State::Ready;
         let returns = self.state == State::Ready && known.state == State::Draining;
@@ -153,12 +153,12 @@
 
 /// The assumed time of a plain answer until some have been seen, in seconds (reference sheets: 15
 /// ms of work).
-const FIRST_ANSWER_TIME: f64 = 0.015;
+const INITIAL_ANSWER_TIME: f64 = 0.015;
 /// The assumed time of a stream until some have ended, in seconds: the startup latency and a dozen
 /// steps.
-const FIRST_STREAM_TIME: f64 = 0.1;
+const INITIAL_STREAM_TIME: f64 = 0.1;
 /// The gain of the moving averages of answer and stream times.
-const ANSWER_GAIN: f64 = 0.1;
+const TIME_GAIN: f64 = 0.1;
 /// The prompt size from whose prefill time the prefill rate is derived, in tokens.
 const RATE_SAMPLE: u64 = 8_192;
 
@@ -175,8 +175,8 @@
             others: Others::default(),
             cache: Cache::default(),
             pace: Pace::default(),
-            answer_time: FIRST_ANSWER_TIME,
-            stream_time: FIRST_STREAM_TIME,
+            answer_time: INITIAL_ANSWER_TIME,
+            stream_time: INITIAL_STREAM_TIME,
             reserved: None,
             limit: Limit::default(),
             back_off: BackOff::default(),
@@ -253,13 +253,13 @@
     /// at least one step, however short it is: twenty lookups of 300 tokens take as long as one
     /// prompt with twice their tokens.
     pub fn wait(&self, load: &Load, class: Class) -> f64 {
-        let tokens = load.ahead(class) + load.begun(class);
-        let steps = f64::from(load.prompts(class)) * step_time(0) * self.pace.factor();
+        let tokens = load.tokens_ahead(class) + load.residual_prefill(class);
+        let steps = f64::from(load.prompts_ahead(class)) * step_time(0) * self.pace.factor();
         tokens as f64 / self.prefill_rate() + steps
     }
 
     /// The prefill time of `fresh` tokens after `cached` ones, in seconds.
-    pub fn reading(&self, load: &Load, fresh: u64, cached: u64) -> f64 {
+    pub fn prefill_time(&self, load: &Load, fresh: u64, cached: u64) -> f64 {
         let Some(stage) = self.entry.stage else { return 0.0 };
         prefill_time(stage, fresh, cached, load.total()) * self.pace.factor()
     }
@@ -276,19 +276,19 @@
 
     /// How long new work of `class` waits for one of the `slots` of the batch, in seconds. It
     /// overtakes less urgent work that is waiting, but not less urgent work that is running.
-    pub fn wait_for_place(&self, load: &Load, class: Class, slots: u32) -> f64 {
-        let ahead = (load.before(class) + 1).saturating_sub(slots);
+    pub fn wait_for_slot(&self, load: &Load, class: Class, slots: u32) -> f64 {
+        let ahead = (load.requests_ahead(class) + 1).saturating_sub(slots);
         let ahead = ahead.max(u32::from(load.total() >= slots));
         f64::from(ahead) * self.stream_time / f64::from(slots.max(1))
     }
 
     /// Learns from a stream that took `seconds` from its first event to its last.
     pub fn learn_stream(&mut self, seconds: f64) {
-        self.stream_time += (seconds + start_time() - self.stream_time) * ANSWER_GAIN;
+        self.stream_time += (seconds + startup_latency() - self.stream_time) * TIME_GAIN;
     }
 
     /// Learns from a plain answer that took `seconds`.
     pub fn learn_answer(&mut self, seconds: f64) {
-        self.answer_time += (seconds - self.answer_time) * ANSWER_GAIN;
+        self.answer_time += (seconds - self.answer_time) * TIME_GAIN;
     }
 }
--- a/lib/src/fleet/scheduler.rs
+++ b/lib/src/fleet/scheduler.rs
@@ -15,7 +15,7 @@
 use smallvec::SmallVec;
 
 use super::cache::Progress;
-use super::engine::{Engine, Work, start_time};
+use super::engine::{Engine, Work, startup_latency};
 use super::gate::Terms;
 use super::health::Outcome;
 use super::load::Class;
@@ -226,7 +226,7 @@
     /// The lesson from a first event, or a whole prompt, that was predicted to take `predicted`
     /// seconds and took `seen` seconds.
     pub fn lesson(&self, predicted: f64, seen: f64) -> Lesson {
-        let reading = (self.read - self.wait - start_time()).max(0.0);
+        let reading = (self.read - self.wait - startup_latency()).max(0.0);
         Lesson::Reading { predicted, reading, seen }
     }
 }
--- a/lib/src/fleet/suspect.rs
+++ b/lib/src/fleet/suspect.rs
@@ -28,13 +28,13 @@
 /// The number of additional events by which a request must progress to be cleared. A request that
 /// ends its runner a certain time after its start, rather than at a certain token, varies by an
 /// event or so.
-const FURTHER: u64 = 3;
+const MIN_PROGRESS: u64 = 3;
 /// How long ends are remembered after the last one.
-const MEMORY: Duration = Duration::from_secs(600);
+const RETENTION: Duration = Duration::from_secs(600);
 /// How long the only end of a request is remembered when there is no room.
-const SHORT_MEMORY: Duration = Duration::from_secs(10);
+const SHORT_RETENTION: Duration = Duration::from_secs(10);
 /// The maximum number of suspect requests.
-const MOST: usize = 4_096;
+const MAX_SUSPECTS: usize = 4_096;
 /// The maximum number of ends remembered for one request.
 pub const MOST_ENDS: usize = 8;
 
@@ -89,11 +89,11 @@
             return;
         }
         let furthest = self.ends.iter().map(|known| known.reach.events).max().unwrap_or(0);
-        if end.reach.events + FURTHER <= furthest {
+        if end.reach.events + MIN_PROGRESS <= furthest {
             // It has progressed past this point elsewhere.
             return;
         }
-        self.ends.retain(|known| known.reach.events + FURTHER > end.reach.events);
+        self.ends.retain(|known| known.reach.events + MIN_PROGRESS > end.reach.events);
         if self.ends.is_empty() {
             self.first = now;
         }
@@ -111,7 +111,7 @@
     /// Records that a runner has ended under a request. Returns the number of ends that count
     /// against it.
     pub fn note(&mut self, request: Fingerprint, end: End, now: Instant) -> usize {
-        if self.0.len() >= MOST && !self.0.contains_key(&request) {
+        if self.0.len() >= MAX_SUSPECTS && !self.0.contains_key(&request) {
             self.make_room(now);
         }
         let suspect = self.0.entry(request).or_insert_with(|| Suspect::new(now));
@@ -123,8 +123,8 @@
     /// runners end must not displace them.
     fn make_room(&mut self, now: Instant) {
         let age = |suspect: &Suspect| now.saturating_duration_since(suspect.last);
-        self.0.retain(|_, s| s.ends.len() > 1 || age(s) < SHORT_MEMORY);
-        if self.0.len() >= MOST {
+        self.0.retain(|_, s| s.ends.len() > 1 || age(s) < SHORT_RETENTION);
+        if self.0.len() >= MAX_SUSPECTS {
             let least = self.0.iter().min_by_key(|(_, s)| (s.ends.len(), s.last));
             let least = least.map(|(request, _)| *request);
             least.map(|request| self.0.remove(&request));
@@ -153,7 +153,7 @@
 
     /// Removes entries that are too old.
     pub fn expire(&mut self, now: Instant) {
-        self.0.retain(|_, suspect| now.saturating_duration_since(suspect.last) < MEMORY);
+        self.0.retain(|_, suspect| now.saturating_duration_since(suspect.last) < RETENTION);
     }
 
     /// The number of suspect requests.
@@ -174,8 +174,8 @@
     nodes: impl Iterator<Item = &'a NodeId>,
 ) -> SmallVec<[&'a NodeId; COUNTING]> {
     let key = place(0, request.as_bytes());
-    let mut weighed: Vec<(u64, &NodeId)> =
+    let mut ranked: Vec<(u64, &NodeId)> =
         nodes.map(|id| (rendezvous(key, id.as_str().as_bytes()), id)).collect();
-    weighed.sort_unstable_by(|a, b| b.cmp(a));
-    weighed.into_iter().take(COUNTING).map(|(_, id)| id).collect()
+    ranked.sort_unstable_by(|a, b| b.cmp(a));
+    ranked.into_iter().take(COUNTING).map(|(_, id)| id).collect()
 }
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -339,8 +339,8 @@
     let share = Share { class: Class::of_rank(1), fresh: 500, footprint: 900 };
     let stay = register.begin(&id("p0"), share, now).expect("known");
     let load = register.get(&id("p0")).expect("known").own;
-    assert_eq!((load.total(), load.tokens, load.ahead(Class::LATE)), (1, 900, 500));
-    assert_eq!(load.ahead(Class::of_rank(0)), 0);
+    assert_eq!((load.total(), load.tokens, load.tokens_ahead(Class::LATE)), (1, 900, 500));
+    assert_eq!(load.tokens_ahead(Class::of_rank(0)), 0);
     register.note_read(&stay, share);
     register.end(&stay, share);
     assert_eq!(register.get(&id("p0")).expect("known").own, Load::default());
@@ -742,18 +742,18 @@
 /// Urgent requests were refused or queued as late although a runner would have started them at
 /// once: late requests waiting for a batch slot were counted as if they came first.
 #[test]
-fn wait_for_place_less_urgent_overtaken() {
+fn wait_for_slot_less_urgent_overtaken() {
     let now = Instant::now();
     let mut register = engines(0, 1);
     let late = Share { class: Class::LATE, fresh: 0, footprint: 1 };
     (0..40).for_each(|_| drop(register.begin(&id("d0"), late, now)));
     let runner = register.get(&id("d0")).expect("known");
     let load = runner.load(now);
-    let urgent = runner.wait_for_place(&load, Class::of_rank(0), 16);
+    let urgent = runner.wait_for_slot(&load, Class::of_rank(0), 16);
     assert!(urgent > 0.0 && urgent <= runner.stream_time / 16.0);
-    let behind = runner.wait_for_place(&load, Class::LATE, 16);
+    let behind = runner.wait_for_slot(&load, Class::LATE, 16);
     assert!(behind >= runner.stream_time * 25.0 / 16.0);
-    assert_eq!(runner.wait_for_place(&load, Class::LATE, 64), 0.0);
+    assert_eq!(runner.wait_for_slot(&load, Class::LATE, 64), 0.0);
 }
 
 #[test]
--- a/lib/tests/quarantine.rs
+++ b/lib/tests/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
-use sardinepick_lib::fleet::quarantine::{DELIBERATION, Entry, Quarantine, Stage, Standing};
+use sardinepick_lib::fleet::quarantine::{DECISION_DELAY, Entry, Quarantine, Stage, Standing};
 use sardinepick_lib::fleet::runner::Tag;
 use sardinepick_lib::fleet::suspect::{End, Reach, Suspects};
 use sardinepick_lib::hash::place;
@@ -56,8 +56,8 @@
     assert_eq!(node.quarantine.standing(&request(1), now), Standing::Free);
     assert!(node.ended(1, &[3], true, now).is_some());
     assert_eq!(node.quarantine.standing(&request(1), now), Standing::Undecided);
-    assert!(node.quarantine.due(now + DELIBERATION - MS).is_empty());
-    let then = now + DELIBERATION;
+    assert!(node.quarantine.due(now + DECISION_DELAY - MS).is_empty());
+    let then = now + DECISION_DELAY;
     assert_eq!(node.quarantine.due(then), [request(1)]);
     assert_eq!(node.decided(1, then), Some(Stage::Confirmed));
     node.quarantine.set(&request(1), Stage::Confirmed, then);
--- a/lib/tests/scheduler.rs
+++ b/lib/tests/scheduler.rs
@@ -11,7 +11,7 @@
 use sardinepick_lib::fleet::health::Outcome;
 use sardinepick_lib::fleet::load::{Class, Load};
 use sardinepick_lib::fleet::place::Plan;
-use sardinepick_lib::fleet::pool::{self, MOST_RUNNERS, Pool};
+use sardinepick_lib::fleet::pool::{self, MAX_RUNNERS, Pool};
 use sardinepick_lib::fleet::register::Register;
 use sardinepick_lib::fleet::runner::{Entry, State, Tag};
 use sardinepick_lib::fleet::scheduler::{self, Ask, Decision, Firmness, Lesson, Step};
@@ -113,7 +113,7 @@
         let register = fleet(0..runners);
         let count = register.pools(&service());
         assert_eq!(count, pool::count(runners));
-        assert!(runners.div_ceil(usize::from(count)) <= MOST_RUNNERS, "{runners} runners");
+        assert!(runners.div_ceil(usize::from(count)) <= MAX_RUNNERS, "{runners} runners");
         for wanted in [Stage::Prefill, Stage::Decode] {
             let of_stage = register.runners().filter(|r| r.entry.stage == Some(wanted));
             let mut sizes: HashMap<Pool, usize> = (0..count).map(|n| (Pool(n), 0)).collect();
