--- a/lib/src/fleet/load.rs
+++ b/lib/src/fleet/load.rs
@@ -112,11 +112,11 @@
 
 /// The outstanding work of all other nodes at one runner.
 #[derive(Clone, Debug, Default)]
-pub struct Others {
+pub struct RemoteLoads {
     reports: SmallVec<[Report; 8]>,
 }
 
-impl Others {
+impl RemoteLoads {
     /// Replaces the last report of a node.
     pub fn take(&mut self, node: &NodeId, load: Load, now: Instant) {
         self.reports.retain(|r| r.node != *node);
--- a/lib/src/fleet/runner.rs
+++ b/lib/src/fleet/runner.rs
@@ -10,7 +10,7 @@
 use super::engine::{Engine, Pace, Stage, prefill_time, startup_latency, step_time};
 use super::health::Record;
 use super::limit::Limit;
-use super::load::{Class, Load, Others};
+use super::load::{Class, Load, RemoteLoads};
 use super::pool::Pool;
 use crate::hash::place;
 use crate::history::Point;
@@ -114,7 +114,7 @@
     /// The outstanding work of this node.
     pub own: Load,
     /// The outstanding work of other nodes.
-    pub others: Others,
+    pub others: RemoteLoads,
     /// The prompt prefixes that it probably has cached.
     pub cache: Cache,
     /// How its speed differs from the engine model.
@@ -172,7 +172,7 @@
             pool: Pool::default(),
             health: Record::default(),
             own: Load::default(),
-            others: Others::default(),
+            others: RemoteLoads::default(),
             cache: Cache::default(),
             pace: Pace::default(),
             answer_time: INITIAL_ANSWER_TIME,
--- a/lib/tests/budget_model.rs
+++ b/lib/tests/budget_model.rs
@@ -75,8 +75,8 @@
     fn take(&mut self, now: Instant) -> bool {
         self.requests.retain(|at| now - *at <= BOUNDS.window);
         self.extras.retain(|at| now - *at <= BOUNDS.window);
-        let grown = now - self.began >= BOUNDS.window;
-        let allowance = if grown { BOUNDS.allowance / NODES as f64 } else { 0.0 };
+        let window_passed = now - self.began >= BOUNDS.window;
+        let allowance = if window_passed { BOUNDS.allowance / NODES as f64 } else { 0.0 };
         let most = (self.requests.len() as f64 * BOUNDS.ratio + allowance) * 0.7;
         let granted = most as usize > self.extras.len();
         if granted {
@@ -121,7 +121,7 @@
         start + TICK * u32::try_from(self.requests.len()).expect("short")
     }
 
-    fn happen(&mut self, event: Event, start: Instant) {
+    fn apply(&mut self, event: Event, start: Instant) {
         let now = self.now(start);
         let (requests, extras) = (self.requests.last_mut(), self.extras.last_mut());
         let (Some(requests), Some(extras)) = (requests, extras) else { return };
@@ -179,7 +179,7 @@
         for event in ALL {
             for pause in PAUSES {
                 let (mut next, mut path) = (world.clone(), path.clone());
-                next.happen(event, start);
+                next.apply(event, start);
                 next.pass(pause);
                 path.push((event, pause));
                 open.push((next, path));
--- a/lib/tests/fanout.rs
+++ b/lib/tests/fanout.rs
@@ -24,22 +24,22 @@
 struct Fleet {
     fanouts: Vec<Fanout<usize>>,
     /// Halves of a copy that remain to be sent, by sender and receiver.
-    under_way: BTreeMap<(usize, usize), u32>,
+    in_progress: BTreeMap<(usize, usize), u32>,
     has: BTreeSet<usize>,
     /// Nodes whose copies never complete; they are aborted after four steps.
-    deaf: BTreeSet<usize>,
+    unreachable: BTreeSet<usize>,
 }
 
 /// The number of steps after which a copy without progress is aborted.
-const GIVEN_UP: u32 = 4;
+const ABORT_STEPS: u32 = 4;
 
 impl Fleet {
     fn new(nodes: usize, holders: usize) -> Self {
         Self {
             fanouts: (0..nodes).map(|_| Fanout::default()).collect(),
-            under_way: BTreeMap::new(),
+            in_progress: BTreeMap::new(),
             has: (0..holders).collect(),
-            deaf: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
         }
     }
 
@@ -49,23 +49,23 @@
         }
     }
 
-    fn begin(&mut self, giver: usize, receiver: usize) {
-        let steps = if self.deaf.contains(&receiver) { GIVEN_UP } else { 2 };
-        self.under_way.insert((giver, receiver), steps);
+    fn begin(&mut self, sender: usize, receiver: usize) {
+        let steps = if self.unreachable.contains(&receiver) { ABORT_STEPS } else { 2 };
+        self.in_progress.insert((sender, receiver), steps);
     }
 
     /// Advances time by half a copy on each link.
     fn step(&mut self) {
-        let givers: BTreeSet<usize> = self.under_way.keys().map(|(giver, _)| *giver).collect();
+        let senders: BTreeSet<usize> = self.in_progress.keys().map(|(sender, _)| *sender).collect();
         let mut ended = Vec::new();
-        for giver in givers {
-            let mine: Vec<_> = self.under_way.keys().filter(|k| k.0 == giver).copied().collect();
+        for sender in senders {
+            let mine: Vec<_> = self.in_progress.keys().filter(|k| k.0 == sender).copied().collect();
             // Copies that share the link take turns: the one with less to send completes first.
-            let least = mine.iter().min_by_key(|k| self.under_way[k]).copied();
+            let least = mine.iter().min_by_key(|k| self.in_progress[k]).copied();
             for key in mine {
-                let deaf = self.deaf.contains(&key.1);
-                let left = self.under_way.get_mut(&key).expect("the key was just listed");
-                if deaf || Some(key) == least {
+                let unreachable = self.unreachable.contains(&key.1);
+                let left = self.in_progress.get_mut(&key).expect("the key was just listed");
+                if unreachable || Some(key) == least {
                     *left -= 1;
                 }
                 if *left == 0 {
@@ -73,16 +73,16 @@
                 }
             }
         }
-        for (giver, receiver) in ended {
-            self.under_way.remove(&(giver, receiver));
-            let whole = !self.deaf.contains(&receiver);
+        for (sender, receiver) in ended {
+            self.in_progress.remove(&(sender, receiver));
+            let whole = !self.unreachable.contains(&receiver);
             if whole {
                 self.has.insert(receiver);
             }
-            let turns = self.fanouts[giver].end(whole.then(|| address(receiver)), LARGE);
+            let turns = self.fanouts[sender].end(whole.then(|| address(receiver)), LARGE);
             for (asker, turn) in turns {
                 match turn {
-                    Turn::Given => self.begin(giver, asker),
+                    Turn::Given => self.begin(sender, asker),
                     Turn::Elsewhere(at) => self.ask(asker, node(at)),
                 }
             }
@@ -92,7 +92,7 @@
     /// Runs until no copy is in progress and returns the time, in copies.
     fn run(&mut self) -> u32 {
         let mut steps: u32 = 0;
-        while !self.under_way.is_empty() {
+        while !self.in_progress.is_empty() {
             self.step();
             steps += 1;
             assert!(steps < 10_000, "copies never complete");
@@ -117,12 +117,12 @@
 }
 
 #[test]
-fn end_deaf_receivers_others_served() {
+fn end_unreachable_receivers_others_served() {
     let mut fleet = Fleet::new(87, 3);
-    fleet.deaf = (3..30).step_by(5).collect();
+    fleet.unreachable = (3..30).step_by(5).collect();
     (3..87).for_each(|asker| fleet.ask(asker, asker % 3));
     fleet.run();
-    assert_eq!(fleet.has.len(), 87 - fleet.deaf.len());
+    assert_eq!(fleet.has.len(), 87 - fleet.unreachable.len());
 }
 
 #[test]
@@ -135,19 +135,19 @@
     /// Each requester is sent a copy or redirected, exactly once, whatever the order in which
     /// copies end, and no more than two copies are sent concurrently.
     #[test]
-    fn end_any_order_each_told_once(
+    fn end_any_order_one_response_each(
         steps in proptest::collection::vec((any::<bool>(), any::<bool>()), 1..120),
     ) {
         let mut fanout: Fanout<usize> = Fanout::default();
-        let (mut asked, mut told) = (0, BTreeSet::new());
+        let (mut asked, mut responded) = (0, BTreeSet::new());
         let mut given = VecDeque::new();
         let end = |fanout: &mut Fanout<usize>,
                        given: &mut VecDeque<usize>,
-                       told: &mut BTreeSet<usize>,
+                       responded: &mut BTreeSet<usize>,
                        whole: bool| {
             let Some(receiver) = given.pop_front() else { return };
             for (asker, turn) in fanout.end(whole.then(|| address(receiver)), LARGE) {
-                assert!(told.insert(asker), "{asker} got two responses");
+                assert!(responded.insert(asker), "{asker} got two responses");
                 if turn == Turn::Given {
                     given.push_back(asker);
                 }
@@ -157,17 +157,17 @@
         for (asks, whole) in steps {
             if asks {
                 if fanout.ask(|| asked, LARGE) {
-                    told.insert(asked);
+                    responded.insert(asked);
                     given.push_back(asked);
                 }
                 asked += 1;
             } else {
-                end(&mut fanout, &mut given, &mut told, whole);
+                end(&mut fanout, &mut given, &mut responded, whole);
             }
         }
         while !given.is_empty() {
-            end(&mut fanout, &mut given, &mut told, true);
+            end(&mut fanout, &mut given, &mut responded, true);
         }
-        prop_assert_eq!((told.len(), fanout.waiting()), (asked, 0));
+        prop_assert_eq!((responded.len(), fanout.waiting()), (asked, 0));
     }
 }
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -14,7 +14,7 @@
 use sardinepick_lib::fleet::event::Splitter;
 use sardinepick_lib::fleet::gate::{Sizes, Terms, Wait, urgency};
 use sardinepick_lib::fleet::health::{Outcome, Record};
-use sardinepick_lib::fleet::load::{CLASSES, Class, Load, Others};
+use sardinepick_lib::fleet::load::{CLASSES, Class, Load, RemoteLoads};
 use sardinepick_lib::fleet::outage::{DOUBT, Outage, pause};
 use sardinepick_lib::fleet::patience;
 use sardinepick_lib::fleet::place::{self, Placement, Plan, Question};
@@ -186,7 +186,7 @@
 
 /// A part that a runner has reported by its own id counts in any chain, and only once.
 #[test]
-fn cache_part_named_alone_counts() {
+fn cache_standalone_part_counts() {
     let now = Instant::now();
     let mut cache = Cache::default();
     cache.note_part(Part::kept("m", "a", 1_000), Progress::Read, now);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn cache_full_least_recent_forgotten() {
+fn cache_full_least_recent_evicted() {
     let start = Instant::now();
     let mut cache = Cache::default();
     cache.set_memory(10_000);
@@ -347,9 +347,9 @@
 }
 
 #[test]
-fn others_prompt_being_read_half_counts() {
+fn remote_loads_prompt_in_prefill_half_counts() {
     let start = Instant::now();
-    let mut others = Others::default();
+    let mut others = RemoteLoads::default();
     let mut backlog = [0; CLASSES];
     backlog[0] = 10_000;
     let load = Load { requests: [2, 0, 0, 0], backlog, unread: [1, 0, 0, 0], tokens: 1 };
@@ -439,7 +439,7 @@
 }
 
 #[test]
-fn terms_returning_caller_objective_over() {
+fn terms_retry_objective_over() {
     let route = route("a.example", "/");
     let first = Terms::new(&route, S * 5, Wait::default(), 1.0);
     assert!(first.on_time(0.4) && !first.on_time(0.5) && !first.returned);
@@ -465,18 +465,18 @@
 
 /// Retries are still distinguished from first attempts when a third of all requests are retries.
 #[test]
-fn deadlines_who_comes_back_has_waited() {
+fn deadlines_retry_has_waited() {
     let mut deadlines = Deadlines::default();
     let mut rng = StdRng::seed_from_u64(6);
     for n in 0..2_000 {
         let first = rng.random_range(2_550..3_000);
-        let back = n % 3 == 0;
-        let waited = if back { rng.random_range(300..1_300) } else { 0 };
+        let retry = n % 3 == 0;
+        let waited = if retry { rng.random_range(300..1_300) } else { 0 };
         let seen = deadlines.note(Duration::from_millis(first - waited));
         if n < 400 {
             continue;
         }
-        if !back {
+        if !retry {
             assert!(seen.is_zero(), "a first attempt of {first} ms has waited {seen:?}");
         } else if waited > 600 {
             let error = seen.as_millis().abs_diff(u128::from(waited));
@@ -505,7 +505,7 @@
 }
 
 #[test]
-fn come_back_within_time_left() {
+fn retry_delay_within_time_left() {
     let terms = Terms::new(&route("a.example", "/"), S * 3, Wait { before: S * 2, here: MS }, 1.0);
     let mut rng = StdRng::seed_from_u64(3);
     for first in [0.0, 0.3, 2.0, 50.0] {
@@ -531,7 +531,7 @@
 }
 
 #[test]
-fn generation_idle_split_at_kept_prefix() {
+fn generation_idle_split_at_cached_prefix() {
     let now = Instant::now();
     let mut register = engines(3, 3);
     let work = work("manual", 13_000, 3_000);
@@ -543,7 +543,7 @@
 
 /// All nodes start an uncached chain on the same runner, whatever their random draws.
 #[test]
-fn generation_new_chain_one_home() {
+fn generation_new_chain_same_runner() {
     let register = engines(5, 3);
     let work = work("new", 13_000, 3_000);
     let (service, home) = (service(), home());
@@ -621,7 +621,7 @@
 }
 
 #[test]
-fn generation_all_on_trial_still_served() {
+fn generation_all_probed_still_served() {
     let now = Instant::now();
     let mut register = engines(1, 1);
     for name in ["p0", "d0"] {
@@ -799,7 +799,7 @@
 }
 
 #[test]
-fn decide_more_reading_asked_prefill() {
+fn decide_prefill_demand_to_prefill() {
     let demand = demand(60_000, 5, 10_000);
     let change = balance::decide(division(4, 5), &demand, 6, ENGINE.memory);
     assert_eq!(change, Some(Change { to: Stage::Prefill, count: 2, urgent: false }));
@@ -807,7 +807,7 @@
 }
 
 #[test]
-fn decide_nothing_asked_nothing() {
+fn decide_no_demand_no_change() {
     assert_eq!(balance::decide(division(4, 5), &demand(0, 0, 0), 6, ENGINE.memory), None);
     assert_eq!(balance::decide(division(1, 1), &demand(90_000, 1, 1), 6, ENGINE.memory), None);
 }
@@ -843,7 +843,7 @@
 }
 
 #[test]
-fn generation_kept_elsewhere_fetched() {
+fn generation_cached_elsewhere_fetched() {
     let now = Instant::now();
     let mut register = engines(3, 3);
     let work = work("manual", 13_000, 3_000);
@@ -858,7 +858,7 @@
 }
 
 #[test]
-fn generation_little_kept_elsewhere_read() {
+fn generation_little_cached_elsewhere_prefilled() {
     let now = Instant::now();
     let mut register = engines(2, 2);
     let work = work("short", 500, 100);
@@ -873,7 +873,7 @@
 /// prompt counted as cached only once its prefill was complete, so a second request that arrived
 /// meanwhile was prefilled elsewhere. It must wait where the first one is prefilled.
 #[test]
-fn generation_prompt_being_read_goes_there() {
+fn generation_prompt_in_prefill_same_runner() {
     let now = Instant::now();
     let mut register = engines(6, 4);
     let first = work("manual", 13_000, 3_000);
@@ -885,13 +885,13 @@
     runner.cache.note(&first.chain, Progress::Begun, now);
     let second = work("manual", 13_000, 2_000);
     let placed = choose(&register, Class::of_rank(2), &second, now + MS * 10).expect("a place");
-    let goes_there = matches!(&placed.plan, Plan::Split { prefill: p, .. } if *p == prefill);
-    assert!(goes_there && placed.fresh == 2_000 && placed.fetch.is_none(), "{placed:?}");
+    let same_runner = matches!(&placed.plan, Plan::Split { prefill: p, .. } if *p == prefill);
+    assert!(same_runner && placed.fresh == 2_000 && placed.fetch.is_none(), "{placed:?}");
 }
 
 /// A prompt whose prefill is in progress cannot be fetched: the fetch would find nothing.
 #[test]
-fn cache_begun_counts_there_not_fetched() {
+fn cache_started_part_not_fetchable() {
     let now = Instant::now();
     let (mut cache, work) = (Cache::default(), work("a", 1_000, 50));
     cache.note(&work.chain, Progress::Begun, now);
@@ -905,10 +905,10 @@
 /// Requests of one category share the start of their prompts. Their affinity is determined by the
 /// last shared part; by the first part, a whole category would be placed on the same runner.
 #[test]
-fn generation_kind_with_one_start_many_homes() {
+fn generation_common_start_many_runners() {
     let now = Instant::now();
     let register = engines(12, 4);
-    let homes: std::collections::HashSet<String> = (0..40)
+    let plans: std::collections::HashSet<String> = (0..40)
         .map(|n| {
             let (part, own) = (format!("thing{n}"), format!("own{n}"));
             let parts = [("start", 2_500), (part.as_str(), 3_800), (own.as_str(), 2_900)];
@@ -918,21 +918,21 @@
             placed.plan.to_string() + &format!("{:?}", placed.plan)
         })
         .collect();
-    assert!(homes.len() >= 8, "{homes:?}");
+    assert!(plans.len() >= 8, "{plans:?}");
 }
 
 /// The retry budget was exhausted in bursts: late prompts that waited behind later urgent ones
 /// exceeded a multiple of their prediction, which cannot include later arrivals, and were prefilled
 /// again elsewhere.
 #[test]
-fn reading_late_work_waits_its_time() {
+fn prefill_timeout_late_work_only_by_time_left() {
     assert_eq!(patience::reading(Class::LATE, 0.1, S * 2), S * 2);
     assert_eq!(patience::reading(Class::of_rank(0), 0.1, S * 2), MS * 700);
     assert_eq!(patience::reading(Class::of_rank(0), 0.1, MS * 300), MS * 300);
 }
 
 #[test]
-fn silence_long_pauses_longer() {
+fn stall_timeout_long_pauses_longer() {
     assert_eq!(patience::silence(MS * 100, 0.5), MS * 1_500);
     assert_eq!(patience::silence(S, 0.0), MS * 2_500);
     assert_eq!(patience::silence(S, f64::MAX), MS * 12_500);
@@ -942,7 +942,7 @@
 /// burst of prompts that could not be on time, all waited for the few runners reserved for late
 /// work. Late work uses these first, then idle ones of the others, half of which stay free.
 #[test]
-fn generation_late_runners_busy_idle_taken() {
+fn generation_late_runners_busy_idle_used() {
     let now = Instant::now();
     let mut register = engines(9, 3);
     let mut readers = Vec::new();
@@ -968,7 +968,7 @@
 /// their own, which evicted the shared prompt, but reported only shared parts, so the runner's
 /// memory was assumed to fill at a third of the actual rate.
 #[test]
-fn take_reading_own_parts_push_shared_out() {
+fn take_reading_own_parts_evict_shared() {
     let now = Instant::now();
     let mut register = engines(1, 1);
     let runner = register.get_mut(&id("p0")).expect("known");
--- a/lib/tests/life_model.rs
+++ b/lib/tests/life_model.rs
@@ -37,9 +37,9 @@
     /// The oldest work of a node ends, with its prompt prefilled.
     End(usize),
     /// The first node reports its loads and the parts prefilled for it.
-    Tell,
+    SendReport,
     /// The second node receives the oldest outstanding report.
-    Hear,
+    ReceiveReport,
 }
 
 const EVENTS: [Event; 11] = [
@@ -52,8 +52,8 @@
     Event::Begin(1),
     Event::End(0),
     Event::End(1),
-    Event::Tell,
-    Event::Hear,
+    Event::SendReport,
+    Event::ReceiveReport,
 ];
 
 /// Work in progress, with the incarnation that its node knew when it started.
@@ -79,12 +79,12 @@
     nodes: [Register; NODES],
     work: [Vec<Work>; NODES],
     readings: Vec<Reading>,
-    told: Vec<Report>,
+    sent: Vec<Report>,
     heard: Vec<Born>,
     /// The incarnations that have prefilled the prompt.
     read: HashSet<Born>,
     /// Whether entries contain the start time of the runner.
-    lives: bool,
+    with_births: bool,
 }
 
 fn id() -> RunnerId {
@@ -96,7 +96,7 @@
 }
 
 impl World {
-    fn new(lives: bool) -> Self {
+    fn new(with_births: bool) -> Self {
         let mut world = Self {
             now: Instant::now(),
             born: Born(1),
@@ -104,10 +104,10 @@
             nodes: [Register::default(), Register::default()],
             work: [Vec::new(), Vec::new()],
             readings: Vec::new(),
-            told: Vec::new(),
+            sent: Vec::new(),
             heard: Vec::new(),
             read: HashSet::new(),
-            lives,
+            with_births,
         };
         world.write(Born(1));
         for at in 0..NODES {
@@ -123,7 +123,7 @@
             ([127, 0, 0, 1], u16::try_from(born.0).expect("there are few incarnations")).into();
         self.written.push(Entry {
             id: id(),
-            born: self.lives.then_some(born),
+            born: self.with_births.then_some(born),
             service: "s".parse().expect("an id"),
             address,
             data_centre: "d".parse().expect("an id"),
@@ -142,7 +142,7 @@
     }
 
     /// The incarnation of the runner that a node knows.
-    fn believed(&self, at: usize) -> Option<Born> {
+    fn known_incarnation(&self, at: usize) -> Option<Born> {
         let runner = self.nodes[at].get(&id())?;
         Some(Born(u64::from(runner.entry.address.port())))
     }
@@ -169,25 +169,25 @@
                 }
             }
             Event::Begin(at) => {
-                let born = self.believed(at);
+                let born = self.known_incarnation(at);
                 let stay = self.nodes[at].begin(&id(), SHARE, self.now);
                 if let (Some(born), Some(stay)) = (born, stay) {
                     self.work[at].push(Work { stay, born });
                 }
             }
             Event::End(at) => self.end(at),
-            Event::Tell => {
+            Event::SendReport => {
                 let report = Report {
                     // A node reports each incarnation in which it has worked, also after its end.
                     loads: self.written.iter().map(|entry| self.own_in(entry.tag())).collect(),
                     readings: std::mem::take(&mut self.readings),
                     truth: self.work[0].iter().map(|work| work.born).collect(),
                 };
-                self.told.push(report);
+                self.sent.push(report);
             }
-            Event::Hear => {
-                if !self.told.is_empty() {
-                    let report = self.told.remove(0);
+            Event::ReceiveReport => {
+                if !self.sent.is_empty() {
+                    let report = self.sent.remove(0);
                     let node: NodeId = "edge-1".parse().expect("an id");
                     self.nodes[1].take_report(&node, &report.loads, self.now);
                     for reading in report.readings {
@@ -221,18 +221,18 @@
     fn check(&self) -> Result<(), String> {
         for at in 0..NODES {
             let Some(runner) = self.nodes[at].get(&id()) else { continue };
-            let believed = self.believed(at).expect("the runner is known");
-            let mine = self.work[at].iter().filter(|work| work.born == believed).count();
+            let known_incarnation = self.known_incarnation(at).expect("the runner is known");
+            let mine = self.work[at].iter().filter(|work| work.born == known_incarnation).count();
             if runner.own.total() as usize != mine {
                 return Err(format!("node {at} counts {} for {mine}", runner.own.total()));
             }
-            if runner.cache.tokens() > 0 && !self.read.contains(&believed) {
+            if runner.cache.tokens() > 0 && !self.read.contains(&known_incarnation) {
                 return Err(format!(
-                    "node {at} considers cached what {believed} has not prefilled"
+                    "node {at} considers cached what {known_incarnation} has not prefilled"
                 ));
             }
             let of_others = runner.load(self.now).total() - runner.own.total();
-            let most = self.heard.iter().filter(|born| **born == believed).count();
+            let most = self.heard.iter().filter(|born| **born == known_incarnation).count();
             if of_others as usize > most {
                 return Err(format!("node {at} counts {of_others} for {most} of the other node"));
             }
@@ -242,7 +242,7 @@
 
     /// Explores all orders of events from this state. Returns the first violation, and counts the
     /// states.
-    fn explore(&self, depth: usize, way: &mut Vec<Event>, count: &mut u64) -> Result<(), String> {
+    fn explore(&self, depth: usize, path: &mut Vec<Event>, count: &mut u64) -> Result<(), String> {
         *count += 1;
         if depth == 0 {
             return Ok(());
@@ -250,24 +250,24 @@
         for event in EVENTS {
             let mut next = self.clone();
             next.step(event);
-            way.push(event);
-            next.check().map_err(|error| format!("{error}, after {way:?}"))?;
-            next.explore(depth - 1, way, count)?;
-            way.pop();
+            path.push(event);
+            next.check().map_err(|error| format!("{error}, after {path:?}"))?;
+            next.explore(depth - 1, path, count)?;
+            path.pop();
         }
         Ok(())
     }
 }
 
 #[test]
-fn lives_any_order_never_crossed() {
+fn incarnations_any_order_never_mixed() {
     // From a state with work in progress, and from there again with an outstanding report and a new
     // incarnation.
     let mut count = 0;
     let mut world = World::new(true);
     world.step(Event::Begin(0));
     assert_eq!(world.explore(DEPTH, &mut Vec::new(), &mut count), Ok(()));
-    world.step(Event::Tell);
+    world.step(Event::SendReport);
     world.step(Event::Restart);
     assert_eq!(world.explore(DEPTH, &mut Vec::new(), &mut count), Ok(()));
     assert!(count > 300_000, "{count} states");
@@ -275,7 +275,7 @@
 
 /// Broken variant: entries without start times, as if ids identified incarnations.
 #[test]
-fn lives_by_id_alone_caught() {
+fn incarnations_by_id_alone_caught() {
     let mut world = World::new(false);
     world.step(Event::Begin(0));
     let found = world.explore(4, &mut Vec::new(), &mut 0);
--- a/lib/tests/limit.rs
+++ b/lib/tests/limit.rs
@@ -33,7 +33,7 @@
 /// Guards against a runner that gets no request any more, and so can never announce the end of its
 /// limit.
 #[test]
-fn rate_nought_some_requests() {
+fn rate_zero_some_requests() {
     assert!(rate("0").per_second() > 0.0);
     assert!(rate("99999999999999999999").per_second().is_finite());
 }
@@ -136,7 +136,7 @@
 
 /// Guards against prefilling a prompt for a decode runner that then accepts no request.
 #[test]
-fn reserve_token_kept_for_who_placed() {
+fn reserve_token_kept_for_placed_request() {
     let now = Instant::now();
     let mut limit = limited("2", now);
     limit.reserve(1.0, now);
@@ -192,13 +192,13 @@
 /// queries that grow with the number of nodes: 550 nodes each want one request per second of a
 /// runner that accepts two.
 #[test]
-fn grant_many_nodes_rate_used_few_questions() {
+fn grant_many_nodes_rate_used_few_queries() {
     const NODES: usize = 550;
     const SECONDS: u64 = 30;
     let now = Instant::now();
     let mut grantor = limited("2", now);
     let mut nodes = vec![limited("2", now); NODES];
-    let (mut granted, mut questions) = (Vec::new(), 0);
+    let (mut granted, mut queries) = (Vec::new(), 0);
     let mut rng = StdRng::seed_from_u64(1);
     for at in 0..SECONDS * 1_000 {
         let time = now + Duration::from_millis(at);
@@ -206,7 +206,7 @@
             if !rng.random_bool(0.001) || !node.is_open(time) {
                 continue;
             }
-            questions += 1;
+            queries += 1;
             match grantor.grant(1.0, time) {
                 Ok(()) => granted.push(number),
                 Err(wait) => node.note_denied(wait, time),
@@ -215,7 +215,7 @@
     }
     let most = (SECONDS as f64 * 2.0 + 2.0) as usize;
     assert!((most / 2..=most).contains(&granted.len()), "{} permits", granted.len());
-    let each = questions as f64 / SECONDS as f64 / NODES as f64;
+    let each = queries as f64 / SECONDS as f64 / NODES as f64;
     assert!(each < 0.8, "{each} queries per second and node");
     let users: std::collections::BTreeSet<_> = granted.iter().collect();
     assert!(users.len() > granted.len() / 2, "{} nodes use the rate", users.len());
--- a/lib/tests/quarantine.rs
+++ b/lib/tests/quarantine.rs
@@ -90,7 +90,7 @@
 /// Two requests were at the same three ends, so nothing distinguishes them. Neither is refused, and
 /// the next end, at which only one was, decides.
 #[test]
-fn decide_even_next_end_tells() {
+fn decide_tie_next_end_decides() {
     let (mut node, now) = (Node::default(), Instant::now());
     for n in [1, 2] {
         node.ended(n, &[1, 2, 3], true, now);
@@ -109,7 +109,7 @@
 
 /// Two requests that end runners and are always sent together are not released for ever.
 #[test]
-fn decide_even_beyond_chance_confirmed() {
+fn decide_tie_many_ends_confirmed() {
     let (mut node, now) = (Node::default(), Instant::now());
     for n in [1, 2] {
         node.ended(n, &[1, 2, 3, 4, 5], true, now);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn take_thousands_keeps_what_is_refused() {
+fn take_thousands_keeps_confirmed() {
     let (mut node, now) = (Node::default(), Instant::now());
     node.confirm(1, now);
     for n in 2..5_000 {
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn expire_a_day_later_forgotten() {
+fn expire_a_day_later_removed() {
     let (mut node, now) = (Node::default(), Instant::now());
     node.confirm(1, now);
     assert!(node.quarantine.expire(now + 86_399 * SECOND).is_empty());
@@ -274,7 +274,7 @@
     nodes: Vec<Quarantine>,
     watchers: Vec<Vec<usize>>,
     /// Messages with entries, and comparisons of all entries.
-    told: u32,
+    sent: u32,
     compared: u32,
 }
 
@@ -293,7 +293,7 @@
             others
         };
         let watchers = (0..count).map(watchers).collect();
-        Self { began, nodes, watchers, told: 0, compared: 0 }
+        Self { began, nodes, watchers, sent: 0, compared: 0 }
     }
 
     /// The number of nodes that refuse the request.
@@ -314,7 +314,7 @@
                 if place(at.as_millis() as u64, &draw).is_multiple_of(10) {
                     continue;
                 }
-                self.told += u32::from(!entries.is_empty());
+                self.sent += u32::from(!entries.is_empty());
                 for entry in entries {
                     self.nodes[to].take(entry.clone(), now);
                 }
@@ -349,8 +349,8 @@
         }
         let refusing = fleet.refusing();
         assert!(refusing * 100 >= count * 99, "{refusing} of {count} after 200 ms");
-        let told = f64::from(fleet.told) / count as f64;
-        assert!(told <= 8.0, "{told} messages per node at {count} nodes");
+        let sent = f64::from(fleet.sent) / count as f64;
+        assert!(sent <= 8.0, "{sent} messages per node at {count} nodes");
         while at < 3 * SECOND {
             fleet.step(at);
             at += 10 * MS;
--- a/lib/tests/roster.rs
+++ b/lib/tests/roster.rs
@@ -50,7 +50,7 @@
     nodes: Vec<Option<Roster>>,
     at: HashMap<SocketAddr, usize>,
     next_beat: Vec<Instant>,
-    under_way: Vec<Beat>,
+    in_transit: Vec<Beat>,
     /// The number of messages sent by each node, and the number of records in them.
     sent: Vec<u64>,
     records: u64,
@@ -85,7 +85,7 @@
             at: (0..count).map(|at| (address(at), at)).collect(),
             nodes,
             next_beat,
-            under_way: Vec::new(),
+            in_transit: Vec::new(),
             sent: vec![0; count],
             records: 0,
             compared: 0,
@@ -114,7 +114,7 @@
 
     fn step(&mut self) {
         self.now += STEP;
-        for beat in std::mem::take(&mut self.under_way) {
+        for beat in std::mem::take(&mut self.in_transit) {
             self.deliver(&beat);
         }
         for at in 0..self.nodes.len() {
@@ -126,7 +126,7 @@
             if due {
                 self.next_beat[at] = self.now + PERIOD;
             }
-            let asked = node.tick(self.now);
+            let to_probe = node.tick(self.now);
             let records = node.take_news();
             self.records += records.len() as u64 * node.watchers().len() as u64;
             let (sender, digest) = (node.me().clone(), node.digest());
@@ -141,7 +141,7 @@
             let beats: Vec<Beat> = watchers
                 .iter()
                 .map(|to| beat(to, &records, false))
-                .chain(asked.iter().map(|to| beat(to, &[], true)))
+                .chain(to_probe.iter().map(|to| beat(to, &[], true)))
                 .collect();
             beats.into_iter().for_each(|beat| self.send(at, beat));
         }
@@ -151,7 +151,7 @@
         self.sent[from] += 1;
         let cut = self.cut.contains(&from) || self.cut.contains(&beat.to);
         if !cut && self.rng.random_range(0.0..1.0) >= self.loss {
-            self.under_way.push(beat);
+            self.in_transit.push(beat);
         }
     }
 
@@ -198,14 +198,14 @@
         }
     }
 
-    fn there(&self) -> impl Iterator<Item = &Roster> {
+    fn present(&self) -> impl Iterator<Item = &Roster> {
         self.nodes.iter().flatten()
     }
 
     /// The number of present nodes that consider node `at` present.
     fn knowing(&self, at: usize) -> usize {
         let id = contact(at, 1).id;
-        self.there().filter(|node| node.ids().any(|known| *known == id)).count()
+        self.present().filter(|node| node.ids().any(|known| *known == id)).count()
     }
 }
 
@@ -263,7 +263,7 @@
         fleet.nodes[1].as_mut().expect("the node is present").take_record(&me, now);
     }
     fleet.until(MS * 4_000, |fleet| (0..60).all(|at| fleet.knowing(at) >= 59));
-    let fronts = fleet.there().map(|node| node.fronts().len()).min();
+    let fronts = fleet.present().map(|node| node.fronts().len()).min();
     assert_eq!(fronts, Some(59));
 }
 
@@ -273,11 +273,11 @@
     let mut fleet = Fleet::new(300);
     fleet.run(MS * 500);
     fleet.nodes[7].as_mut().expect("the node is present").set_me(Standing::Leaving, true);
-    let leaving = |fleet: &Fleet| fleet.there().all(|node| node.fronts().len() <= 299);
+    let leaving = |fleet: &Fleet| fleet.present().all(|node| node.fronts().len() <= 299);
     let took = fleet.until(MS * 1_000, |fleet| {
         let id = contact(7, 1).id;
         let sent_there = |node: &Roster| node.fronts().iter().any(|front| front.id == id);
-        leaving(fleet) && fleet.there().filter(|node| sent_there(node)).count() == 0
+        leaving(fleet) && fleet.present().filter(|node| sent_there(node)).count() == 0
     });
     assert!(took <= MS * 100, "{took:?}");
     fleet.run(MS * 2_000);
@@ -287,7 +287,7 @@
 
 /// With packet loss, nodes came and went in the answers to callers.
 #[test]
-fn tick_packets_lost_nobody_told_of_as_silent() {
+fn tick_packets_lost_nobody_reported_silent() {
     let mut fleet = Fleet::new(60);
     fleet.loss = 0.05;
     for _ in 0..20 {
@@ -300,7 +300,7 @@
 /// After the end of a partition, nodes stayed apart: a third of the nodes was cut off and
 /// considered silent, and neither side sent heartbeats to the other any more.
 #[test]
-fn take_beat_cut_healed_all_there_again() {
+fn take_beat_partition_healed_all_present() {
     let mut fleet = Fleet::new(30);
     fleet.run(MS * 500);
     // Each node is cut off by itself and hears no other.
@@ -316,7 +316,7 @@
 
 /// After a stall of its own, a node reported all others as silent.
 #[test]
-fn tick_own_pause_nobody_told_of() {
+fn tick_own_stall_nobody_reported() {
     let mut fleet = Fleet::new(6);
     fleet.run(MS * 500);
     let node = fleet.nodes[0].as_mut().expect("the node is present");
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn take_record_taken_for_silent_contradicts() {
+fn take_record_reported_silent_refutes() {
     let now = Instant::now();
     let mut roster = Roster::new(contact(0, 1));
     let before = roster.me().serial;
@@ -355,7 +355,7 @@
 }
 
 #[test]
-fn introduce_not_there_until_heard() {
+fn introduce_not_present_until_heard() {
     let now = Instant::now();
     let mut roster = Roster::new(contact(0, 1));
     assert!(roster.introduce(contact(1, 1), now));
--- a/lib/tests/scheduler.rs
+++ b/lib/tests/scheduler.rs
@@ -97,7 +97,7 @@
 }
 
 /// The runner that prefills the prompt.
-fn reader(decision: &Decision) -> RunnerId {
+fn prefill_runner(decision: &Decision) -> RunnerId {
     match decision {
         Decision::Placed { placement, .. } => match &placement.plan {
             Plan::Whole { runner } => runner.clone(),
@@ -168,7 +168,7 @@
         .map(|(n, ask)| {
             let decision = decide(&known, ask, now, n as u64);
             scheduler::note(&mut known, &node(n), ask, &decision, &ENGINE, now);
-            reader(&decision)
+            prefill_runner(&decision)
         })
         .collect();
     // Each node decides by itself and does not know the others' decisions.
@@ -176,7 +176,7 @@
     let alone: Vec<RunnerId> = asks
         .iter()
         .enumerate()
-        .map(|(n, ask)| reader(&decide(&unknown, ask, now, n as u64)))
+        .map(|(n, ask)| prefill_runner(&decide(&unknown, ask, now, n as u64)))
         .collect();
     let readers = by_scheduler.iter().collect::<BTreeSet<_>>().len();
     let mean = requests as f64 / readers as f64;
@@ -188,14 +188,14 @@
 /// Several runners prefilled the same shared part: two nodes received requests with the same long
 /// prompt within its prefill time, and the second did not know that a runner had started it.
 #[test]
-fn note_prompt_begun_next_goes_there() {
+fn note_prompt_started_next_same_runner() {
     let now = Instant::now();
     let mut register = fleet(0..24);
     let (first, second) = (ask("manual", 13_000, 300), ask("manual", 13_000, 500));
     let decision = decide(&register, &first, now, 1);
     scheduler::note(&mut register, &node(1), &first, &decision, &ENGINE, now);
     let next = decide(&register, &second, now + MS * 20, 2);
-    assert_eq!(reader(&next), reader(&decision));
+    assert_eq!(prefill_runner(&next), prefill_runner(&decision));
     let Decision::Placed { placement, .. } = next else { panic!("not placed") };
     assert_eq!(placement.fresh, 500);
 }
@@ -208,7 +208,7 @@
     let mut register = fleet(0..3);
     let asked = ask("a", 1_000, 1_000);
     let decision = decide(&register, &asked, now, 1);
-    let id = reader(&decision);
+    let id = prefill_runner(&decision);
     let tag = Tag::of(&id, None);
     let total = |register: &Register| register.get(&id).expect("known").load(now).total();
     // The reply is lost: the node asks again, and the work is counted twice.
@@ -239,11 +239,11 @@
     for id in &of_pool {
         register.get_mut(id).expect("known").learn(Lesson::Outcome(Outcome::Gone), now);
     }
-    assert!(!of_pool.contains(&reader(&decide(&register, &asked, now, 1))));
+    assert!(!of_pool.contains(&prefill_runner(&decide(&register, &asked, now, 1))));
 }
 
 #[test]
-fn decide_hopeless_work_refused_at_once() {
+fn decide_too_late_work_refused_at_once() {
     let now = Instant::now();
     let mut register = fleet(0..3);
     let flood = ask("flood", 200_000, 200_000);
--- a/lib/tests/suspect.rs
+++ b/lib/tests/suspect.rs
@@ -31,7 +31,7 @@
 /// The runner crashes after a certain time rather than at a certain token, so the number of
 /// delivered events varies.
 #[test]
-fn note_about_as_far_each_counts() {
+fn note_similar_progress_each_counts() {
     assert_eq!(noted(&[(1, 1), (2, 0), (3, 2), (4, 1)]), 4);
 }
 
@@ -44,13 +44,13 @@
 /// A stream that continued elsewhere past the point at which it was interrupted was there by
 /// coincidence.
 #[test]
-fn note_further_than_before_clears() {
+fn note_more_progress_clears() {
     assert_eq!(noted(&[(1, 0), (2, 0), (3, 12)]), 1);
     assert_eq!(noted(&[(1, 10), (2, 20), (3, 30), (4, 40)]), 1);
 }
 
 #[test]
-fn note_less_far_than_before_says_nothing() {
+fn note_less_progress_ignored() {
     assert_eq!(noted(&[(1, 12), (2, 0), (3, 0), (4, 0)]), 1);
 }
 
@@ -63,7 +63,7 @@
 /// A caller that sends thousands of different requests at each end of a runner does not displace a
 /// request with several ends.
 #[test]
-fn note_thousands_keeps_what_matters() {
+fn note_thousands_keeps_repeated() {
     let (mut suspects, now) = (Suspects::default(), Instant::now());
     suspects.note(request(0), end(1, 0), now);
     suspects.note(request(0), end(2, 0), now);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn expire_long_ago_forgotten() {
+fn expire_old_removed() {
     let (mut suspects, now) = (Suspects::default(), Instant::now());
     suspects.note(request(1), end(1, 0), now);
     suspects.expire(now + Duration::from_secs(599));
