--- a/lib/src/fleet/gate.rs
+++ b/lib/src/fleet/admission.rs
@@ -46,7 +46,7 @@
     /// How long the caller waits without receiving anything.
     pub patience: Duration,
     /// Whether the caller is retrying after a refusal.
-    pub returned: bool,
+    pub is_retry: bool,
     /// The size of the work relative to the mean of its route.
     pub size: f64,
 }
@@ -112,7 +112,7 @@
             objective: route.objective.checked_sub(wait.total()).filter(|o| !o.is_zero()),
             left,
             patience,
-            returned: !wait.before.is_zero(),
+            is_retry: !wait.before.is_zero(),
             size,
         }
     }
@@ -129,9 +129,9 @@
     /// short ones. With a bound on the total alone, short prompts would take all capacity and every
     /// long one would be refused. Retries are admitted before first attempts: a second refusal
     /// leaves the caller without an answer, a first one does not.
-    pub fn of_use(&self, first: f64, wait: f64) -> bool {
+    pub fn is_useful(&self, first: f64, wait: f64) -> bool {
         let remaining = self.left.min(self.patience).as_secs_f64();
-        let part = if self.returned { LATE_WAIT_FRACTIONS.1 } else { LATE_WAIT_FRACTIONS.0 };
+        let part = if self.is_retry { LATE_WAIT_FRACTIONS.1 } else { LATE_WAIT_FRACTIONS.0 };
         let size_factor = (SIZE_FACTOR.0 + SIZE_FACTOR.1 * self.size)
             .clamp(SIZE_FACTOR_RANGE.0, SIZE_FACTOR_RANGE.1);
         first <= remaining * USEFUL_FRACTION && wait <= remaining * part * size_factor
@@ -140,7 +140,7 @@
     /// When a refused caller should retry: when the current backlog will be done, with jitter so
     /// that callers refused together do not return together, and early enough for the caller to
     /// still follow the advice.
-    pub fn come_back<R: Rng>(&self, first: f64, rng: &mut R) -> Duration {
+    pub fn retry_delay<R: Rng>(&self, first: f64, rng: &mut R) -> Duration {
         let goal = self.objective.unwrap_or(self.left / 4).as_secs_f64() / 2.0;
         let until = (first - goal).max(MIN_RETRY_DELAY) * rng.random_range(0.8..1.4);
         let most = self.left.as_secs_f64() / 3.0;
@@ -150,8 +150,8 @@
 
 impl Terms {
     /// When a caller should retry that is refused because no runner accepts a request for `wait`:
-    /// after that, with jitter as in [`Terms::come_back`].
-    pub fn come_back_after<R: Rng>(&self, wait: Duration, rng: &mut R) -> Duration {
+    /// after that, with jitter as in [`Terms::retry_delay`].
+    pub fn retry_delay_after<R: Rng>(&self, wait: Duration, rng: &mut R) -> Duration {
         let until = wait.as_secs_f64().max(MIN_RETRY_DELAY) * rng.random_range(1.0..1.4);
         let most = self.left.as_secs_f64() / 3.0;
         Duration::from_secs_f64(until.min(most).max(0.001))
@@ -170,7 +170,7 @@
 
 /// The mean size of work on one route.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sizes {
+pub struct MeanSize {
     mean: f64,
     seen: u64,
 }
@@ -178,7 +178,7 @@
 /// The minimum gain of the mean size.
 const SIZE_GAIN: f64 = 0.01;
 
-impl Sizes {
+impl MeanSize {
     /// Records the size of one request, in tokens, and returns it relative to the mean.
     pub fn note(&mut self, tokens: u64) -> f64 {
         self.seen += 1;
--- a/lib/src/fleet/back_off.rs
+++ b/lib/src/fleet/back_off.rs
@@ -5,15 +5,15 @@
 use crate::decimal::{self, DecimalError};
 
 /// The longest back-off. No single answer takes a runner out of use for longer.
-pub const LONGEST: Duration = Duration::from_secs(300);
+pub const MAX_BACK_OFF: Duration = Duration::from_secs(300);
 
 /// Parses a retry delay in seconds, with optional fractions.
 ///
 /// # Errors
 /// Fails if the text is not a number of seconds.
-pub fn read(text: &str) -> Result<Duration, DecimalError> {
+pub fn parse(text: &str) -> Result<Duration, DecimalError> {
     let seconds = decimal::read(text)?;
-    Ok(Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST).min(LONGEST))
+    Ok(Duration::try_from_secs_f64(seconds).unwrap_or(MAX_BACK_OFF).min(MAX_BACK_OFF))
 }
 
 /// The time until which a node sends nothing to an incarnation of a runner.
@@ -28,7 +28,7 @@
     /// node was not backing off before.
     pub fn note(&mut self, after: Duration, now: Instant) -> bool {
         let begins = self.is_over(now);
-        let until = now + after.min(LONGEST);
+        let until = now + after.min(MAX_BACK_OFF);
         self.until = Some(self.until.map_or(until, |other| other.max(until)));
         begins
     }
--- a/lib/src/fleet/balance.rs
+++ b/lib/src/fleet/balance.rs
@@ -34,7 +34,7 @@
 pub const DWELL: Duration = Duration::from_secs(15);
 /// The time after a change in which none is made in the opposite direction. A fleet that has lost
 /// runners is short of both stages in turn, and each change reduces its capacity further.
-pub const TURN_BACK: Duration = Duration::from_secs(10);
+pub const REVERSAL_DELAY: Duration = Duration::from_secs(10);
 
 /// The demand for a service, as seen by one node.
 ///
@@ -104,7 +104,7 @@
 
 /// The number of runners of a service by stage, without those that are leaving or failing.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Division {
+pub struct StageCounts {
     /// Prefill runners.
     pub prefill: usize,
     /// Decode runners.
@@ -128,7 +128,7 @@
 
 /// Decides on a change. `nodes` is the number of nodes that see the same share of the demand,
 /// `memory` the memory of one runner in tokens.
-pub fn decide(division: Division, demand: &Demand, nodes: usize, memory: u64) -> Option<Change> {
+pub fn decide(division: StageCounts, demand: &Demand, nodes: usize, memory: u64) -> Option<Change> {
     let switching = division.to_prefill + division.to_decode;
     let all = division.prefill + division.decode + switching;
     if all <= MIN_DECODE || demand.rate <= 0.0 {
--- a/lib/src/fleet/cache.rs
+++ b/lib/src/fleet/cache.rs
@@ -24,16 +24,16 @@
     /// A hash of this part and all parts before it.
     pub key: ChainKey,
     /// A hash of this part alone, by which runners name the parts they have cached.
-    pub alone: ChainKey,
+    pub standalone_key: ChainKey,
     /// The number of tokens in this part.
     pub tokens: u64,
 }
 
 impl Part {
     /// A part as a runner that has it cached names it, without the parts before it.
-    pub fn kept(model: &str, id: &str, tokens: u64) -> Self {
-        let alone = ChainKey::alone(model, id);
-        Self { key: alone, alone, tokens }
+    pub fn standalone(model: &str, id: &str, tokens: u64) -> Self {
+        let standalone_key = ChainKey::alone(model, id);
+        Self { key: standalone_key, standalone_key, tokens }
     }
 }
 
@@ -61,7 +61,7 @@
         let mut key = place(0, model.as_bytes());
         let parts = parts.map(|(id, tokens)| {
             key = place(key, id.as_bytes());
-            Part { key: ChainKey(key), alone: ChainKey::alone(model, id), tokens }
+            Part { key: ChainKey(key), standalone_key: ChainKey::alone(model, id), tokens }
         });
         Self(parts.collect())
     }
@@ -86,9 +86,9 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Progress {
     /// Prefill has been requested.
-    Begun,
+    Started,
     /// Prefill is complete.
-    Read,
+    Prefilled,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -123,7 +123,7 @@
     /// The number of tokens at the start of `chain` that need no prefill on this runner.
     pub fn cached(&self, chain: &Chain, now: Instant) -> u64 {
         self.prefix_tokens(chain, |part| {
-            part.progress == Progress::Read
+            part.progress == Progress::Prefilled
                 || now.saturating_duration_since(part.used) < PENDING_TTL
         })
     }
@@ -131,12 +131,12 @@
     /// The number of tokens at the start of `chain` that are prefilled and can be fetched by
     /// another runner.
     pub fn fetchable(&self, chain: &Chain) -> u64 {
-        self.prefix_tokens(chain, |part| part.progress == Progress::Read)
+        self.prefix_tokens(chain, |part| part.progress == Progress::Prefilled)
     }
 
     fn prefix_tokens(&self, chain: &Chain, counts: impl Fn(&CachedPart) -> bool) -> u64 {
         let known = |part: &&Part| {
-            let cached = self.parts.get(&part.key).or_else(|| self.parts.get(&part.alone));
+            let cached = self.parts.get(&part.key).or_else(|| self.parts.get(&part.standalone_key));
             cached.is_some_and(|cached| cached.tokens >= part.tokens && counts(cached))
         };
         chain.0.iter().take_while(known).map(|part| part.tokens).sum()
@@ -163,8 +163,8 @@
     }
 
     fn insert(&mut self, part: &Part, progress: Progress, now: Instant) {
-        if part.alone != part.key
-            && let Some(standalone) = self.parts.remove(&part.alone)
+        if part.standalone_key != part.key
+            && let Some(standalone) = self.parts.remove(&part.standalone_key)
         {
             self.tokens -= standalone.tokens;
         }
--- a/lib/src/fleet/fanout.rs
+++ b/lib/src/fleet/fanout.rs
@@ -18,11 +18,11 @@
 
 /// The response to a waiting requester.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Turn {
+pub enum Response {
     /// It is sent its copy now.
-    Given,
+    Send,
     /// It should ask this node, which has just received a copy.
-    Elsewhere(SocketAddr),
+    Redirect(SocketAddr),
 }
 
 /// The nodes that request a copy from one node; `W` represents a waiting one.
@@ -53,16 +53,16 @@
 
     /// Records that a copy has ended, with the receiver if it was complete, and returns the
     /// responses to requesters that no longer need to wait. `bytes` is the size of the next copies.
-    pub fn end(&mut self, receiver: Option<SocketAddr>, bytes: usize) -> Vec<(W, Turn)> {
+    pub fn end(&mut self, receiver: Option<SocketAddr>, bytes: usize) -> Vec<(W, Response)> {
         self.sending = self.sending.saturating_sub(1);
         let mut turns = Vec::new();
         let free = max_concurrent(bytes).saturating_sub(self.sending).min(self.waiting.len());
         self.sending += free;
-        turns.extend(self.waiting.drain(..free).map(|waiter| (waiter, Turn::Given)));
+        turns.extend(self.waiting.drain(..free).map(|waiter| (waiter, Response::Send)));
         if let Some(receiver) = receiver {
             let stay = self.waiting.len() / 2;
             let go = self.waiting.drain(stay..);
-            turns.extend(go.map(|waiter| (waiter, Turn::Elsewhere(receiver))));
+            turns.extend(go.map(|waiter| (waiter, Response::Redirect(receiver))));
         }
         turns
     }
--- a/lib/src/fleet/health.rs
+++ b/lib/src/fleet/health.rs
@@ -73,12 +73,12 @@
     }
 
     /// Records a sign of life, such as an event of a stream.
-    pub fn note_life(&mut self, now: Instant) {
+    pub fn note_alive(&mut self, now: Instant) {
         self.last_life = Some(now);
     }
 
     /// When the runner last showed a sign of life.
-    pub fn last_life(&self) -> Option<Instant> {
+    pub fn last_seen(&self) -> Option<Instant> {
         self.last_life
     }
 
--- a/lib/src/fleet/limit.rs
+++ b/lib/src/fleet/limit.rs
@@ -96,7 +96,7 @@
 
 /// The last announcement of a runner.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Notice {
+pub struct Announcement {
     /// The rate; `None` if the answer announced no limit.
     pub rate: Option<Rate>,
     /// When the answer arrived.
@@ -127,7 +127,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Limit {
     /// The last announcement; `None` if the runner has never announced a limit.
-    notice: Option<Notice>,
+    notice: Option<Announcement>,
     /// The bucket from which this node grants permits, if it has granted any.
     bucket: Option<Bucket>,
     /// Expiry times of the tokens reserved for requests that have been placed.
@@ -154,7 +154,7 @@
     }
 
     /// The last announcement; `None` if the runner has never announced a limit.
-    pub fn notice(&self) -> Option<Notice> {
+    pub fn announcement(&self) -> Option<Announcement> {
         self.notice
     }
 
@@ -187,7 +187,7 @@
     ) -> Option<Change> {
         let Some(last) = self.notice else {
             announced?;
-            return self.set(Notice { rate: announced, at: now });
+            return self.set(Announcement { rate: announced, at: now });
         };
         let follows = sent >= last.at;
         let rate = match (announced, last.rate) {
@@ -197,11 +197,11 @@
             (None, Some(_)) if !follows => return None,
             _ => announced,
         };
-        self.set(Notice { rate, at: now })
+        self.set(Announcement { rate, at: now })
     }
 
     /// Applies an announcement that another node has received.
-    pub fn take_notice(&mut self, notice: Notice) -> Option<Change> {
+    pub fn take_announcement(&mut self, notice: Announcement) -> Option<Change> {
         // An announcement that is passed back and forth would look newer by the time it was under
         // way.
         let is_new = notice.rate != self.rate();
@@ -209,7 +209,7 @@
         if is_new && is_newer { self.set(notice) } else { None }
     }
 
-    fn set(&mut self, notice: Notice) -> Option<Change> {
+    fn set(&mut self, notice: Announcement) -> Option<Change> {
         let was = self.rate();
         self.notice = Some(notice);
         if notice.rate == was {
--- a/lib/src/fleet/mod.rs
+++ b/lib/src/fleet/mod.rs
@@ -1,6 +1,7 @@
 //! The serving core on a platform that stores configuration and a register of runners: routing,
 //! placement, admission control and the state of runners and nodes.
 
+pub mod admission;
 pub mod back_off;
 pub mod balance;
 pub mod budget;
@@ -11,20 +12,19 @@
 pub mod event;
 pub mod fanout;
 pub mod fingerprint;
-pub mod gate;
 pub mod health;
 pub mod limit;
 pub mod load;
-pub mod mark;
 pub mod outage;
 pub mod outbox;
-pub mod patience;
-pub mod place;
+pub mod placement;
 pub mod pool;
 pub mod quarantine;
 pub mod register;
+pub mod register_version;
 pub mod roster;
 pub mod route;
 pub mod runner;
 pub mod scheduler;
 pub mod suspect;
+pub mod timeout;
--- a/lib/src/fleet/outbox.rs
+++ b/lib/src/fleet/outbox.rs
@@ -7,7 +7,7 @@
 use super::runner::Tag;
 
 /// The maximum number of changes in one heartbeat.
-pub const MOST_TOLD: usize = 16;
+pub const MAX_CHANGES: usize = 16;
 /// The maximum number of changes that a heartbeat without new ones repeats.
 const MAX_REPEATED: usize = 4;
 
@@ -38,7 +38,7 @@
         // Changes that have not been sent come first, then those that were sent longest ago.
         due.sort_unstable_by_key(|(sent, tag)| (*sent, tag.0));
         let new = due.iter().filter(|(sent, _)| sent.is_none()).count();
-        due.truncate(if again { new.max(MAX_REPEATED) } else { new }.min(MOST_TOLD));
+        due.truncate(if again { new.max(MAX_REPEATED) } else { new }.min(MAX_CHANGES));
         let mut taken = Vec::with_capacity(due.len());
         for (_, tag) in due {
             if let Some(change) = self.changes.get_mut(&tag) {
--- a/lib/src/fleet/place.rs
+++ b/lib/src/fleet/placement.rs
@@ -51,14 +51,14 @@
     /// Predicted time until prefill starts, in seconds from now.
     pub wait: f64,
     /// Prompt tokens to prefill.
-    pub fresh: u64,
+    pub prefill_tokens: u64,
     /// The runner from which to fetch the KV cache of the prompt, if that saves prefill.
     pub fetch: Option<RunnerId>,
 }
 
 /// The parameters of a placement.
 #[derive(Clone, Copy, Debug)]
-pub struct Question<'a> {
+pub struct Criteria<'a> {
     /// The service.
     pub service: &'a ServiceId,
     /// The preferred pool of the service. Runners of other pools are used only if none of this one
@@ -67,12 +67,12 @@
     /// The class in which the work would be queued.
     pub class: Class,
     /// The data centre of this node.
-    pub home: &'a DataCentre,
+    pub data_centre: &'a DataCentre,
     /// Runners to exclude.
     pub skip: &'a [RunnerId],
     /// Whether the work continues from a prompt that another runner prefilled. Rate limit tokens
     /// for such work were reserved when its prefill was placed.
-    pub goes_on: bool,
+    pub continues: bool,
     /// The current time.
     pub now: Instant,
 }
@@ -107,11 +107,11 @@
     load: Load,
 }
 
-fn candidates<'a>(register: &'a Register, question: &Question<'a>) -> Vec<Candidate<'a>> {
+fn candidates<'a>(register: &'a Register, question: &Criteria<'a>) -> Vec<Candidate<'a>> {
     let not_skipped = |r: &&Runner| !question.skip.contains(&r.entry.id);
     let now = question.now;
     let usable = |r: &&Runner| {
-        let has_reserved = question.goes_on && r.limit.has_reserved(now);
+        let has_reserved = question.continues && r.limit.has_reserved(now);
         r.accepts(now) || has_reserved && r.takes_work(now) && r.back_off.is_over(now)
     };
     let all = || register.of(question.service).filter(not_skipped);
@@ -131,8 +131,8 @@
 }
 
 impl Candidate<'_> {
-    fn cost(&self, question: &Question<'_>, draw: f64) -> f64 {
-        let distance = if self.runner.entry.data_centre == *question.home {
+    fn cost(&self, question: &Criteria<'_>, draw: f64) -> f64 {
+        let distance = if self.runner.entry.data_centre == *question.data_centre {
             0.0
         } else {
             CROSS_DATA_CENTRE_COST
@@ -170,7 +170,7 @@
     read: f64,
     /// Time until prefill starts, in seconds.
     wait: f64,
-    fresh: u64,
+    prefill_tokens: u64,
     fetch: Option<&'b RunnerId>,
     /// The cost by which candidates are compared, in seconds.
     rank: f64,
@@ -178,8 +178,8 @@
 
 impl PrefillEstimate<'_, '_> {
     fn placement(&self, plan: Plan, first: f64) -> Placement {
-        let Self { read, wait, fresh, .. } = *self;
-        Placement { plan, first, read, wait, fresh, fetch: self.fetch.cloned() }
+        let Self { read, wait, prefill_tokens, .. } = *self;
+        Placement { plan, first, read, wait, prefill_tokens, fetch: self.fetch.cloned() }
     }
 }
 
@@ -194,7 +194,7 @@
 /// closed to new requests for now.
 fn find_cache_holder<'b>(
     register: &'b Register,
-    question: &Question<'b>,
+    question: &Criteria<'b>,
     work: &Work,
     now: Instant,
 ) -> Option<CacheHolder<'b>> {
@@ -214,7 +214,7 @@
 
 fn estimate_prefill<'a, 'b>(
     at: &'b Candidate<'a>,
-    question: &Question<'_>,
+    question: &Criteria<'_>,
     inputs: &'b PrefillInputs<'b>,
     draw: f64,
 ) -> PrefillEstimate<'a, 'b> {
@@ -230,12 +230,12 @@
         cached = holder.tokens.min(work.prompt);
         fetch = Some(&holder.runner.entry.id);
     }
-    let fresh = work.prompt - cached;
-    let time = at.runner.prefill_time(&at.load, fresh, cached) + fetching;
+    let prefill_tokens = work.prompt - cached;
+    let time = at.runner.prefill_time(&at.load, prefill_tokens, cached) + fetching;
     let wait = at.runner.wait(&at.load, question.class);
     let read = wait + time + startup_latency();
     let rank = read + time * QUEUEING_WEIGHT + at.cost(question, draw);
-    PrefillEstimate { at, read, wait, fresh, fetch, rank }
+    PrefillEstimate { at, read, wait, prefill_tokens, fetch, rank }
 }
 
 /// The candidates of a service by role.
@@ -283,7 +283,7 @@
 
 fn assign_roles<'a, 'b>(
     all: &'b [Candidate<'a>],
-    question: &Question<'_>,
+    question: &Criteria<'_>,
     engine: &Engine,
     work: &Work,
 ) -> Roles<'a, 'b> {
@@ -353,9 +353,9 @@
 }
 
 /// Chooses the runners for a generation. Returns `None` if no runner of the service can run it.
-pub fn generation<R: Rng>(
+pub fn place_generation<R: Rng>(
     register: &Register,
-    question: &Question<'_>,
+    question: &Criteria<'_>,
     engine: &Engine,
     work: &Work,
     rng: &mut R,
@@ -406,7 +406,7 @@
 fn split<R: Rng>(
     prefill: &PrefillEstimate<'_, '_>,
     decode: &[&Candidate<'_>],
-    question: &Question<'_>,
+    question: &Criteria<'_>,
     engine: &Engine,
     work: &Work,
     rng: &mut R,
@@ -423,7 +423,7 @@
 fn soonest_decode_runner<'a, R: Rng>(
     from: &DataCentre,
     decode: &[&Candidate<'a>],
-    question: &Question<'_>,
+    question: &Criteria<'_>,
     engine: &Engine,
     work: &Work,
     rng: &mut R,
@@ -440,9 +440,9 @@
 
 /// Chooses the runner that continues from a prompt prefilled by `prefill_runner`. Prefill takes up to
 /// several seconds, in which the runner planned for decoding may have started to drain.
-pub fn decode<R: Rng>(
+pub fn place_decode<R: Rng>(
     register: &Register,
-    question: &Question<'_>,
+    question: &Criteria<'_>,
     engine: &Engine,
     work: &Work,
     prefill_runner: &RunnerId,
@@ -501,7 +501,11 @@
 }
 
 /// Chooses the runner for a plain request. Returns `None` if the service has no available runner.
-pub fn plain<R: Rng>(register: &Register, question: &Question<'_>, rng: &mut R) -> Option<Plain> {
+pub fn place_plain<R: Rng>(
+    register: &Register,
+    question: &Criteria<'_>,
+    rng: &mut R,
+) -> Option<Plain> {
     let all = candidates(register, question);
     let ranked = all.iter().map(|c| {
         let slots = f64::from(c.runner.entry.slots.max(1));
--- a/lib/src/fleet/quarantine/entry.rs
+++ b/lib/src/fleet/quarantine/entry.rs
@@ -7,7 +7,7 @@
 
 use crate::fleet::fingerprint::Fingerprint;
 use crate::fleet::runner::Tag;
-use crate::fleet::suspect::MOST_ENDS;
+use crate::fleet::suspect::MAX_ENDS;
 
 /// How long a proposal without a decision keeps a request from running. After that, the nodes that
 /// counted are gone, or have stalled and have no newer information.
@@ -37,7 +37,7 @@
     /// The state of the entry.
     pub stage: Stage,
     /// The incarnations of runners that ended under the request.
-    pub ends: SmallVec<[Tag; MOST_ENDS]>,
+    pub ends: SmallVec<[Tag; MAX_ENDS]>,
     /// At how many of them its run had started.
     pub begun: u32,
     /// When the first of them ended.
--- a/lib/src/fleet/quarantine/mod.rs
+++ b/lib/src/fleet/quarantine/mod.rs
@@ -17,7 +17,7 @@
 pub use self::entry::{Entry, Stage};
 use super::digest::Differences;
 use super::fingerprint::Fingerprint;
-use super::suspect::{ENDS, Suspect};
+use super::suspect::{QUARANTINE_ENDS, Suspect};
 use crate::hash::place;
 use crate::id::NodeId;
 
@@ -46,7 +46,7 @@
 /// The maximum number of entries.
 const MAX_ENTRIES: usize = 1_024;
 /// The maximum number of entries in one message, at up to 110 bytes each.
-pub const MOST_TOLD: usize = 8;
+pub const MAX_ENTRIES_PER_MESSAGE: usize = 8;
 
 #[derive(Clone, Debug)]
 struct Tracked {
@@ -107,7 +107,10 @@
     ) -> Option<Entry> {
         let known = self.get(&request);
         let is_active = known.is_some_and(|entry| entry.is_active(now));
-        if suspect.ends().len() < ENDS || is_active || self.proposed(now).count() >= MAX_PROPOSED {
+        if suspect.ends().len() < QUARANTINE_ENDS
+            || is_active
+            || self.proposed(now).count() >= MAX_PROPOSED
+        {
             return None;
         }
         let entry = Entry {
@@ -128,7 +131,7 @@
     }
 
     /// Whether any proposal is undecided.
-    pub fn is_deliberating(&self, now: Instant) -> bool {
+    pub fn has_undecided(&self, now: Instant) -> bool {
         self.proposed(now).next().is_some()
     }
 
@@ -156,7 +159,7 @@
             let as_well = other.evidence() == entry.evidence() && !certain;
             other.is_active(now) && other.request != entry.request && (better || as_well)
         });
-        entry.unexplained_ends(&others) >= ENDS
+        entry.unexplained_ends(&others) >= QUARANTINE_ENDS
     }
 
     /// Moves a request to a state that was decided here. Returns `None` if it is in that state
@@ -206,14 +209,14 @@
     }
 
     /// Takes the entries for the next message.
-    pub fn take_news(&mut self) -> Vec<Entry> {
-        let some = self.updates.len().min(MOST_TOLD);
+    pub fn take_updates(&mut self) -> Vec<Entry> {
+        let some = self.updates.len().min(MAX_ENTRIES_PER_MESSAGE);
         let some: Vec<Fingerprint> = self.updates.drain(..some).collect();
         some.iter().filter_map(|request| self.get(request).cloned()).collect()
     }
 
     /// Whether there is an entry that has not been sent in any message.
-    pub fn has_news(&self) -> bool {
+    pub fn has_updates(&self) -> bool {
         !self.updates.is_empty()
     }
 
@@ -265,7 +268,7 @@
     }
 
     /// Whether this node objects to an entry: it has answered the request since the first end.
-    pub fn objects(&self, entry: &Entry) -> bool {
+    pub fn contradicts(&self, entry: &Entry) -> bool {
         let against = matches!(entry.stage, Stage::Proposed | Stage::Confirmed);
         against && self.answered.last(&entry.request).is_some_and(|at| at > entry.first)
     }
--- a/lib/src/fleet/register.rs
+++ b/lib/src/fleet/register.rs
@@ -8,7 +8,7 @@
 //!
 //! A runner that restarts under the same id has lost all state. It replaces its former incarnation
 //! as a runner of which only the entry is known. A late entry of a former incarnation is ignored,
-//! and work that started in one incarnation ends in it ([`Stay`]).
+//! and work that started in one incarnation ends in it ([`Registration`]).
 //!
 //! A store that was restored from a copy shows older entries in a later era. The runners' own write
 //! counts tell them from new ones.
@@ -21,7 +21,7 @@
 use super::health::Record;
 use super::load::{Class, Load};
 use super::pool::{self, Pool};
-use super::runner::{Closed, Entry, Runner, State, Stay, Tag};
+use super::runner::{Closed, Entry, Registration, Runner, State, Tag};
 use crate::history::Point;
 use crate::id::{NodeId, RunnerId, ServiceId};
 
@@ -31,11 +31,11 @@
     /// A new runner was added.
     Added,
     /// A runner has restarted under its id.
-    Reborn,
+    Restarted,
     /// A runner accepts no new work any more.
     Leaving,
     /// The entry of a runner is missing; the runner is kept for a while.
-    Doubted,
+    Missing,
     /// A runner was removed.
     Removed,
     /// Another field of an entry has changed.
@@ -43,7 +43,7 @@
     /// No effect.
     None,
     /// No effect: the entry is later than what is known, but from a former incarnation.
-    Former,
+    Outdated,
 }
 
 /// The maximum number of departed runners that are remembered, to recognize them in a store that
@@ -72,7 +72,7 @@
     pub fn apply(&mut self, entry: Entry) -> Change {
         let Some(runner) = self.runners.get_mut(&entry.id) else {
             if self.departed.iter().any(|departed| entry.is_replay_of(departed)) {
-                return Change::Former;
+                return Change::Outdated;
             }
             self.insert(entry);
             return Change::Added;
@@ -91,8 +91,8 @@
         match (entry.born, runner.entry.born) {
             // A runner reports its start time in every entry; an entry without one was not written
             // by it.
-            (None, Some(_)) => return self.disown(&entry.id, entry.at),
-            (new, known) if new < known => return Change::Former,
+            (None, Some(_)) => return self.reject(&entry.id, entry.at),
+            (new, known) if new < known => return Change::Outdated,
             _ => {}
         }
         self.doubted.remove(&entry.id);
@@ -100,7 +100,7 @@
             let former = runner.entry.tag();
             self.tags.remove(&former);
             self.insert(entry);
-            return Change::Reborn;
+            return Change::Restarted;
         }
         let leaves = runner.entry.state == State::Ready && entry.state == State::Draining;
         let stage_changed = runner.entry.stage != entry.stage;
@@ -118,7 +118,7 @@
 
     /// Handles an entry under the id of a runner that was not written by that runner. The id then
     /// names no usable runner, and there is no doubt, as the store has just shown its contents.
-    pub fn disown(&mut self, id: &RunnerId, at: Point) -> Change {
+    pub fn reject(&mut self, id: &RunnerId, at: Point) -> Change {
         match self.runners.get(id) {
             Some(runner) if runner.entry.at < at => {
                 self.drop_runner(id);
@@ -143,7 +143,7 @@
             && runner.is_last_resort()
         {
             self.doubted.entry(id.clone()).or_insert(until);
-            return Change::Doubted;
+            return Change::Missing;
         }
         self.departed.push_back(runner.entry.clone());
         if self.departed.len() > MAX_DEPARTED {
@@ -182,7 +182,7 @@
             let change = self.remove(&id, doubt);
             changes.push((id, change));
         }
-        changes.retain(|(_, change)| !matches!(change, Change::None | Change::Former));
+        changes.retain(|(_, change)| !matches!(change, Change::None | Change::Outdated));
         changes
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// Assigns the runners to pools again, if they have changed.
-    pub fn divide(&mut self) {
+    pub fn assign_pools(&mut self) {
         if std::mem::take(&mut self.pools_outdated) {
             self.pools = pool::divide(&mut self.runners);
         }
@@ -238,8 +238,8 @@
     }
 
     /// The runner of a registration, mutably, if that registration is still current.
-    pub fn in_stay_mut(&mut self, stay: &Stay) -> Option<&mut Runner> {
-        self.runners.get_mut(&stay.id).filter(|runner| runner.is_in(stay))
+    pub fn registered_mut(&mut self, stay: &Registration) -> Option<&mut Runner> {
+        self.runners.get_mut(&stay.id).filter(|runner| runner.is_current(stay))
     }
 
     /// All runners.
@@ -271,25 +271,25 @@
 
     /// Records that work starts at a runner. Returns the registration to which it is attributed, or
     /// `None` if the runner is not known.
-    pub fn begin(&mut self, id: &RunnerId, share: Share, now: Instant) -> Option<Stay> {
+    pub fn begin(&mut self, id: &RunnerId, share: WorkCost, now: Instant) -> Option<Registration> {
         let runner = self.runners.get_mut(id)?;
         runner.health.note_sent(now);
         runner.own.add(&share.load());
-        Some(runner.stay())
+        Some(runner.registration())
     }
 
     /// Records that the prompt of outstanding work has been prefilled.
-    pub fn note_read(&mut self, stay: &Stay, share: Share) {
-        let Some(runner) = self.in_stay_mut(stay) else { return };
+    pub fn note_read(&mut self, stay: &Registration, share: WorkCost) {
+        let Some(runner) = self.registered_mut(stay) else { return };
         let backlog = &mut runner.own.backlog[share.class.index()];
-        *backlog = backlog.saturating_sub(share.fresh);
+        *backlog = backlog.saturating_sub(share.prefill_tokens);
         let unread = &mut runner.own.unread[share.class.index()];
         *unread = unread.saturating_sub(1);
     }
 
     /// Records that work has ended.
-    pub fn end(&mut self, stay: &Stay, share: Share) {
-        let Some(runner) = self.in_stay_mut(stay) else { return };
+    pub fn end(&mut self, stay: &Registration, share: WorkCost) {
+        let Some(runner) = self.registered_mut(stay) else { return };
         let requests = &mut runner.own.requests[share.class.index()];
         *requests = requests.saturating_sub(1);
         runner.own.tokens = runner.own.tokens.saturating_sub(share.footprint);
@@ -305,7 +305,7 @@
     }
 
     /// Counts work that this node has placed for another, until that node reports it.
-    pub fn note_placed(&mut self, node: &NodeId, id: &RunnerId, share: Share, now: Instant) {
+    pub fn note_placed(&mut self, node: &NodeId, id: &RunnerId, share: WorkCost, now: Instant) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.health.note_sent(now);
             runner.others.add(node, share.load(), now);
@@ -313,7 +313,7 @@
     }
 
     /// Applies another node's report of the prefill progress of a part.
-    pub fn take_reading(&mut self, reading: Reading, now: Instant) {
+    pub fn apply_prefill_report(&mut self, reading: PrefillReport, now: Instant) {
         if let Some(runner) = self.by_tag_mut(reading.runner) {
             runner.cache.note_part(reading.part, reading.progress, now);
         }
@@ -336,21 +336,21 @@
 
 /// The resources that one piece of work takes of a runner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Share {
+pub struct WorkCost {
     /// The class in which it is queued.
     pub class: Class,
     /// Prompt tokens to prefill.
-    pub fresh: u64,
+    pub prefill_tokens: u64,
     /// Memory, in tokens.
     pub footprint: u64,
 }
 
-impl Share {
+impl WorkCost {
     /// The load that the work adds when it is sent.
     pub fn load(self) -> Load {
         let mut load = Load { tokens: self.footprint, ..Load::default() };
         load.requests[self.class.index()] = 1;
-        load.backlog[self.class.index()] = self.fresh;
+        load.backlog[self.class.index()] = self.prefill_tokens;
         load.unread[self.class.index()] = 1;
         load
     }
@@ -358,7 +358,7 @@
 
 /// The prefill progress of a part of a prompt on a runner, as exchanged between nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Reading {
+pub struct PrefillReport {
     /// The runner that prefills it.
     pub runner: Tag,
     /// The part.
--- a/lib/src/fleet/mark.rs
+++ b/lib/src/fleet/register_version.rs
@@ -11,14 +11,14 @@
 /// The version of a node's copy of the runner register: the era of the store, then an order within
 /// the era that increases with the store's revision.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Mark {
+pub struct RegisterVersion {
     /// The era.
     pub era: Era,
     /// The order within the era; zero if nothing is known.
     pub order: u64,
 }
 
-impl Mark {
+impl RegisterVersion {
     /// The version for a change of the store.
     pub fn of(point: Point) -> Self {
         Self { era: point.era, order: point.revision.0 << OWN_BITS }
@@ -41,12 +41,12 @@
     }
 
     /// Whether nothing is known.
-    pub fn is_nothing(self) -> bool {
+    pub fn is_unknown(self) -> bool {
         self.order == 0
     }
 }
 
-impl fmt::Display for Mark {
+impl fmt::Display for RegisterVersion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.era, self.order)
     }
--- a/lib/src/fleet/roster.rs
+++ b/lib/src/fleet/roster.rs
@@ -19,7 +19,7 @@
 use smallvec::SmallVec;
 
 use super::digest::Differences;
-use super::mark::Mark;
+use super::register_version::RegisterVersion;
 use crate::hash::place;
 use crate::id::{ConfigVersion, DataCentre, Incarnation, NodeId};
 
@@ -28,15 +28,15 @@
 /// lost.
 pub const WATCHERS: usize = 8;
 /// The heartbeat interval. With eight watchers a node sends 40 heartbeats per second, about 5 KB.
-pub const PERIOD: Duration = Duration::from_millis(200);
+pub const HEARTBEAT_PERIOD: Duration = Duration::from_millis(200);
 /// The silence after which a watcher probes a node: three heartbeats.
-pub const SILENCE: Duration = Duration::from_millis(600);
+pub const PROBE_AFTER: Duration = Duration::from_millis(600);
 /// The number of probes and their interval before a node is reported as silent. A stall of a tenth
 /// of a second, or a lost datagram, must not cause a report.
 const PROBES: u8 = 2;
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 /// The maximum number of records in one heartbeat, at up to 84 bytes each.
-pub const MOST_RECORDS: usize = 14;
+pub const MAX_RECORDS: usize = 14;
 /// The minimum time between computations of the watchers of this node and of the nodes it watches:
 /// each examines every pair of nodes.
 const WATCHERS_PERIOD: Duration = Duration::from_secs(1);
@@ -79,7 +79,7 @@
     /// The version of its configuration.
     pub version: ConfigVersion,
     /// The version of its copy of the runner register.
-    pub register: Mark,
+    pub register: RegisterVersion,
     /// Whether the platform's store answers it; true for a node that has not tried.
     pub served: bool,
 }
@@ -186,7 +186,7 @@
 
     /// Adds a node that was read from the store and has not been heard yet. Returns whether it was
     /// unknown.
-    pub fn introduce(&mut self, contact: Contact, now: Instant) -> bool {
+    pub fn add_unheard(&mut self, contact: Contact, now: Instant) -> bool {
         if contact.id == self.me.contact.id || self.members.contains_key(&contact.id) {
             return false;
         }
@@ -207,7 +207,7 @@
 
     /// Applies a record from another node. Returns whether it is new, in which case it is passed
     /// on.
-    pub fn take_record(&mut self, record: &Record, now: Instant) -> bool {
+    pub fn apply_record(&mut self, record: &Record, now: Instant) -> bool {
         if record.contact.id == self.me.contact.id {
             return self.refute(record);
         }
@@ -254,8 +254,8 @@
     }
 
     /// Applies a heartbeat: the sender's record and status. Returns whether the record is new.
-    pub fn take_beat(&mut self, record: &Record, status: Status, now: Instant) -> bool {
-        let new = self.take_record(record, now);
+    pub fn apply_heartbeat(&mut self, record: &Record, status: Status, now: Instant) -> bool {
+        let new = self.apply_record(record, now);
         self.heard = Some(now);
         if let Some(member) = self.members.get_mut(&record.contact.id)
             && member.record.contact.incarnation == record.contact.incarnation
@@ -271,26 +271,26 @@
     /// The known record of a sender that is considered silent here, if it supersedes the one
     /// received. The sender must be told so that it can refute it; otherwise nodes that have lost
     /// each other would never reconnect.
-    pub fn is_mistaken(&self, record: &Record) -> Option<&Record> {
+    pub fn superseding_record(&self, record: &Record) -> Option<&Record> {
         let known = &self.members.get(&record.contact.id)?.record;
         (known.silent && known.precedence() > record.precedence()).then_some(known)
     }
 
     /// Takes the records for the next heartbeat.
-    pub fn take_news(&mut self) -> Vec<Record> {
-        let some = self.updates.len().min(MOST_RECORDS);
+    pub fn take_updates(&mut self) -> Vec<Record> {
+        let some = self.updates.len().min(MAX_RECORDS);
         self.updates.drain(..some).collect()
     }
 
     /// Whether there are records that have not been sent in any heartbeat.
-    pub fn has_news(&self) -> bool {
+    pub fn has_updates(&self) -> bool {
         !self.updates.is_empty()
     }
 
     /// A sample of the present nodes, for a node that knows no other.
-    pub fn some<R: Rng>(&self, rng: &mut R) -> Vec<Record> {
+    pub fn sample<R: Rng>(&self, rng: &mut R) -> Vec<Record> {
         let there = self.present().map(|m| m.record.clone());
-        there.sample(rng, MOST_RECORDS - 1)
+        there.sample(rng, MAX_RECORDS - 1)
     }
 
     /// A digest of all present nodes.
@@ -327,7 +327,7 @@
             self.choose_watchers(now);
         }
         // A node that hears nobody is partitioned or was stalled, and cannot judge others.
-        let isolated = self.heard.is_none_or(|at| now > at + SILENCE);
+        let isolated = self.heard.is_none_or(|at| now > at + PROBE_AFTER);
         if stalled || isolated {
             for member in self.members.values_mut() {
                 member.watched = member.watched.map(|_| now);
@@ -338,7 +338,7 @@
         for member in self.members.values_mut() {
             let Some(watched) = member.watched.filter(|_| !member.record.silent) else { continue };
             let heard = member.heard.map_or(watched, |at| at.max(watched)).max(member.since);
-            let overdue = now > heard + SILENCE;
+            let overdue = now > heard + PROBE_AFTER;
             if !overdue || member.probed_at.is_some_and(|at| now < at + PROBE_INTERVAL) {
                 continue;
             }
@@ -351,7 +351,7 @@
             }
         }
         for record in silent {
-            self.take_record(&record, now);
+            self.apply_record(&record, now);
         }
         to_probe
     }
@@ -417,7 +417,7 @@
 
     /// The present nodes as a fraction of those that could be present, including this one. Nodes
     /// that said that they leave are excluded; silent ones may be on the other side of a partition.
-    pub fn part(&self) -> f64 {
+    pub fn present_fraction(&self) -> f64 {
         let heard = self.members.values().filter(|m| m.record.serial > 0);
         let could = heard.filter(|m| m.record.standing != Standing::Leaving).count() + 1;
         let there = self.present().filter(|m| m.record.standing != Standing::Leaving).count() + 1;
@@ -436,7 +436,10 @@
     }
 
     /// The present nodes with a newer register than `mine`.
-    pub fn with_newer_register(&self, mine: Mark) -> impl Iterator<Item = (&Contact, Status)> {
+    pub fn with_newer_register(
+        &self,
+        mine: RegisterVersion,
+    ) -> impl Iterator<Item = (&Contact, Status)> {
         let newer = self.present().filter(move |m| m.status.register > mine);
         newer.map(|m| (&m.record.contact, m.status))
     }
--- a/lib/src/fleet/route.rs
+++ b/lib/src/fleet/route.rs
@@ -70,7 +70,7 @@
     /// The target services; never empty.
     pub targets: SmallVec<[Target; 2]>,
     /// The maximum number of runners that one request may run at.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no API key.
     pub anonymous: bool,
 }
@@ -98,7 +98,7 @@
     /// The path of the runners' health check.
     pub health_path: SmolStr,
     /// The maximum number of connections to one runner from all callers together.
-    pub most_connections: u32,
+    pub max_connections: u32,
     /// The engine of its runners if they are model engines.
     pub engine: Option<Engine>,
     /// The bounds within which its runners are scaled; `None` if they are not.
--- a/lib/src/fleet/runner.rs
+++ b/lib/src/fleet/runner.rs
@@ -91,7 +91,7 @@
 /// started, so that work that ends late is not subtracted from the load of the next incarnation,
 /// and failures, answers and prefilled prompts of the former one are not attributed to it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Stay {
+pub struct Registration {
     /// The runner's id.
     pub id: RunnerId,
     /// When the incarnation started.
@@ -130,7 +130,7 @@
     /// The back-off of this node from it.
     pub back_off: BackOff,
     /// Whether this incarnation has said in an answer that it leaves.
-    has_said_leaving: bool,
+    has_announced_leaving: bool,
 }
 
 /// Why a runner is closed to new requests, and for how long.
@@ -180,17 +180,17 @@
             reserved: None,
             limit: Limit::default(),
             back_off: BackOff::default(),
-            has_said_leaving: false,
+            has_announced_leaving: false,
         }
     }
 
     /// The current registration at this node.
-    pub fn stay(&self) -> Stay {
-        Stay { id: self.entry.id.clone(), born: self.entry.born, number: self.number }
+    pub fn registration(&self) -> Registration {
+        Registration { id: self.entry.id.clone(), born: self.entry.born, number: self.number }
     }
 
     /// Whether `stay` is the current registration.
-    pub fn is_in(&self, stay: &Stay) -> bool {
+    pub fn is_current(&self, stay: &Registration) -> bool {
         self.number == stay.number
     }
 
@@ -222,17 +222,17 @@
 
     /// Whether it leaves, by its register entry or its own answers.
     pub fn is_leaving(&self) -> bool {
-        self.has_said_leaving || self.entry.state == State::Draining
+        self.has_announced_leaving || self.entry.state == State::Draining
     }
 
     /// Whether this incarnation has said in an answer that it leaves.
-    pub fn has_said_leaving(&self) -> bool {
-        self.has_said_leaving
+    pub fn has_announced_leaving(&self) -> bool {
+        self.has_announced_leaving
     }
 
     /// Records that it has said in an answer that it leaves. Returns whether this is new.
     pub fn note_leaving(&mut self) -> bool {
-        !std::mem::replace(&mut self.has_said_leaving, true)
+        !std::mem::replace(&mut self.has_announced_leaving, true)
     }
 
     /// Prefill rate, in tokens per second.
--- a/lib/src/fleet/scheduler.rs
+++ b/lib/src/fleet/scheduler.rs
@@ -14,14 +14,14 @@
 use rand::Rng;
 use smallvec::SmallVec;
 
+use super::admission::Terms;
 use super::cache::Progress;
 use super::engine::{Engine, Work, startup_latency};
-use super::gate::Terms;
 use super::health::Outcome;
 use super::load::Class;
-use super::place::{self, Placement, Plan, Question};
+use super::placement::{self, Criteria, Placement, Plan};
 use super::pool::Pool;
-use super::register::{Register, Share};
+use super::register::{Register, WorkCost};
 use super::runner::{Closed, Runner};
 use crate::hash::rendezvous;
 use crate::id::{DataCentre, NodeId, RunnerId, ServiceId};
@@ -29,19 +29,19 @@
 /// The time in which the scheduler of a pool must reply before it is asked again, and then before
 /// the asking node places the request by its own prediction. Nodes are at most a few milliseconds
 /// apart, and a caller can spare one twentieth of the shortest objective of a generation.
-pub const PATIENCE: Duration = Duration::from_millis(30);
+pub const REPLY_TIMEOUT: Duration = Duration::from_millis(30);
 /// The number of times a scheduler is asked.
-pub const TRIES: u32 = 2;
+pub const MAX_QUERIES: u32 = 2;
 /// The number of consecutive unanswered queries after which another node takes over from a
 /// scheduler. A single datagram may be lost.
-pub const SILENCES: u32 = 2;
+pub const MAX_UNANSWERED: u32 = 2;
 /// How long another node takes over. A node that was partitioned or stalled is back soon; one that
 /// is gone has left the roster by then.
-pub const PASSED_OVER: Duration = Duration::from_secs(2);
+pub const TAKEOVER_PERIOD: Duration = Duration::from_secs(2);
 
 /// A query to the scheduler of a pool.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct Query {
     /// The service.
     pub service: ServiceId,
     /// The data centre of the asking node.
@@ -62,7 +62,7 @@
     /// Whether the request starts, and on which runners.
     Start(Firmness),
     /// On which runner the request continues after prefill.
-    GoOn {
+    Continue {
         /// The runner that prefilled the prompt.
         reader: RunnerId,
         /// The class in which the request was started.
@@ -92,7 +92,7 @@
         class: Class,
     },
     /// The request continues on this runner after prefill.
-    GoesOn(RunnerId),
+    Continue(RunnerId),
     /// The request cannot be answered in time to be useful. The prediction determines when the
     /// caller should retry.
     Late(Placement),
@@ -111,7 +111,7 @@
                 Plan::Whole { runner } => SmallVec::from_slice(&[runner]),
                 Plan::Split { prefill, decode } => SmallVec::from_slice(&[prefill, decode]),
             },
-            Decision::GoesOn(_)
+            Decision::Continue(_)
             | Decision::Late(_)
             | Decision::NoRunner
             | Decision::RateLimited(_) => SmallVec::new(),
@@ -119,18 +119,22 @@
     }
 
     /// The resources that the decided work takes of the runner on which it starts.
-    pub fn share(&self, work: &Work, step: &Step) -> Option<(&RunnerId, Share)> {
+    pub fn cost(&self, work: &Work, step: &Step) -> Option<(&RunnerId, WorkCost)> {
         match (self, step) {
             (Decision::Placed { placement, class }, _) => {
                 let (runner, footprint) = match &placement.plan {
                     Plan::Whole { runner } => (runner, work.footprint()),
                     Plan::Split { prefill, .. } => (prefill, work.prompt),
                 };
-                Some((runner, Share { class: *class, fresh: placement.fresh, footprint }))
-            }
-            (Decision::GoesOn(runner), Step::GoOn { class, .. }) => {
-                Some((runner, Share { class: *class, fresh: 0, footprint: work.footprint() }))
+                Some((
+                    runner,
+                    WorkCost { class: *class, prefill_tokens: placement.prefill_tokens, footprint },
+                ))
             }
+            (Decision::Continue(runner), Step::Continue { class, .. }) => Some((
+                runner,
+                WorkCost { class: *class, prefill_tokens: 0, footprint: work.footprint() },
+            )),
             _ => None,
         }
     }
@@ -139,19 +143,19 @@
 /// Makes the decision from what `register` knows of the pool.
 pub fn decide<R: Rng>(
     register: &Register,
-    ask: &Ask,
+    ask: &Query,
     engine: &Engine,
     now: Instant,
     rng: &mut R,
 ) -> Decision {
     let pool = Some(register.pool_of(&ask.service, &ask.work));
-    let goes_on = matches!(ask.step, Step::GoOn { .. });
-    let question = |class| Question {
-        goes_on,
+    let continues = matches!(ask.step, Step::Continue { .. });
+    let question = |class| Criteria {
+        continues,
         service: &ask.service,
         pool,
         class,
-        home: &ask.data_centre,
+        data_centre: &ask.data_centre,
         skip: &ask.skip,
         now,
     };
@@ -163,19 +167,27 @@
         }
     };
     let firmness = match &ask.step {
-        Step::GoOn { reader, class } => {
-            let next = place::decode(register, &question(*class), engine, &ask.work, reader, rng);
-            return next.map_or_else(none, Decision::GoesOn);
+        Step::Continue { reader, class } => {
+            let next = placement::place_decode(
+                register,
+                &question(*class),
+                engine,
+                &ask.work,
+                reader,
+                rng,
+            );
+            return next.map_or_else(none, Decision::Continue);
         }
         Step::Start(firmness) => *firmness,
     };
-    let mut place = |class| place::generation(register, &question(class), engine, &ask.work, rng);
+    let mut place =
+        |class| placement::place_generation(register, &question(class), engine, &ask.work, rng);
     let terms = &ask.terms;
     let Some(placement) = place(terms.class) else { return none() };
     if firmness == Firmness::Streaming || terms.on_time(placement.first) {
         return Decision::Placed { placement, class: terms.class };
     }
-    let bearable = |p: &Placement| firmness != Firmness::New || terms.of_use(p.first, p.wait);
+    let bearable = |p: &Placement| firmness != Firmness::New || terms.is_useful(p.first, p.wait);
     match place(Class::LATE).filter(bearable) {
         Some(placement) => Decision::Placed { placement, class: Class::LATE },
         None => Decision::Late(placement),
@@ -188,31 +200,31 @@
 pub fn note(
     register: &mut Register,
     node: &NodeId,
-    ask: &Ask,
+    ask: &Query,
     decision: &Decision,
     engine: &Engine,
     now: Instant,
 ) {
-    let Some((id, share)) = decision.share(&ask.work, &ask.step) else { return };
+    let Some((id, share)) = decision.cost(&ask.work, &ask.step) else { return };
     register.note_placed(node, id, share, now);
     if let Step::Start(_) = ask.step
         && let Some(runner) = register.get_mut(id)
     {
         runner.cache.set_memory(engine.memory);
-        runner.cache.note(&ask.work.chain, Progress::Begun, now);
+        runner.cache.note(&ask.work.chain, Progress::Started, now);
     }
 }
 
 /// What the end of a piece of work tells about its runner.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Lesson {
+pub enum Observation {
     /// The duration of a prefill, in seconds.
-    Reading {
+    Prefill {
         /// The predicted duration, including the wait.
         predicted: f64,
         /// The part of the prediction that is the prefill itself. The longer it is, the more weight
         /// the observation has for the runner's speed.
-        reading: f64,
+        prefill: f64,
         /// The observed duration.
         seen: f64,
     },
@@ -225,21 +237,21 @@
 impl Placement {
     /// The lesson from a first event, or a whole prompt, that was predicted to take `predicted`
     /// seconds and took `seen` seconds.
-    pub fn lesson(&self, predicted: f64, seen: f64) -> Lesson {
-        let reading = (self.read - self.wait - startup_latency()).max(0.0);
-        Lesson::Reading { predicted, reading, seen }
+    pub fn observation(&self, predicted: f64, seen: f64) -> Observation {
+        let prefill = (self.read - self.wait - startup_latency()).max(0.0);
+        Observation::Prefill { predicted, prefill, seen }
     }
 }
 
 impl Runner {
     /// Updates the estimates of the runner.
-    pub fn learn(&mut self, lesson: Lesson, now: Instant) {
+    pub fn learn(&mut self, lesson: Observation, now: Instant) {
         match lesson {
-            Lesson::Reading { predicted, reading, seen } => {
-                self.pace.learn(predicted, reading, seen);
+            Observation::Prefill { predicted, prefill, seen } => {
+                self.pace.learn(predicted, prefill, seen);
             }
-            Lesson::Stream(seconds) => self.learn_stream(seconds),
-            Lesson::Outcome(outcome) => self.health.note(outcome, now),
+            Observation::Stream(seconds) => self.learn_stream(seconds),
+            Observation::Outcome(outcome) => self.health.note(outcome, now),
         }
     }
 }
--- a/lib/src/fleet/suspect.rs
+++ b/lib/src/fleet/suspect.rs
@@ -21,10 +21,10 @@
 
 /// The number of runners that must end under a request before it is held back. One or two can be a
 /// coincidence when a third of the runners is lost at once.
-pub const ENDS: usize = 3;
+pub const QUARANTINE_ENDS: usize = 3;
 /// The number of nodes that count the ends of a request. The second one continues when the first is
 /// lost.
-pub const COUNTING: usize = 2;
+pub const COUNTING_NODES: usize = 2;
 /// The number of additional events by which a request must progress to be cleared. A request that
 /// ends its runner a certain time after its start, rather than at a certain token, varies by an
 /// event or so.
@@ -36,11 +36,11 @@
 /// The maximum number of suspect requests.
 const MAX_SUSPECTS: usize = 4_096;
 /// The maximum number of ends remembered for one request.
-pub const MOST_ENDS: usize = 8;
+pub const MAX_ENDS: usize = 8;
 
 /// The progress of a run when its runner ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Reach {
+pub struct RunProgress {
     /// The number of events of the answer that the caller had received.
     pub events: u64,
     /// Whether the head of the runner's answer had arrived. Without it the request may have been
@@ -50,17 +50,17 @@
 
 /// The end of a runner under a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct End {
+pub struct RunnerEnd {
     /// The incarnation of the runner.
     pub life: Tag,
     /// The progress of the request.
-    pub reach: Reach,
+    pub reach: RunProgress,
 }
 
 /// The ends under one request.
 #[derive(Clone, Debug)]
 pub struct Suspect {
-    ends: SmallVec<[End; 4]>,
+    ends: SmallVec<[RunnerEnd; 4]>,
     first: Instant,
     last: Instant,
 }
@@ -71,7 +71,7 @@
     }
 
     /// The ends that count against the request.
-    pub fn ends(&self) -> &[End] {
+    pub fn ends(&self) -> &[RunnerEnd] {
         &self.ends
     }
 
@@ -80,7 +80,7 @@
         self.first
     }
 
-    fn note(&mut self, end: End, now: Instant) {
+    fn note(&mut self, end: RunnerEnd, now: Instant) {
         self.last = now;
         if let Some(known) = self.ends.iter_mut().find(|known| known.life == end.life) {
             // Two runs of the request were there; the furthest progress counts.
@@ -97,7 +97,7 @@
         if self.ends.is_empty() {
             self.first = now;
         }
-        if self.ends.len() < MOST_ENDS {
+        if self.ends.len() < MAX_ENDS {
             self.ends.push(end);
         }
     }
@@ -110,7 +110,7 @@
 impl Suspects {
     /// Records that a runner has ended under a request. Returns the number of ends that count
     /// against it.
-    pub fn note(&mut self, request: Fingerprint, end: End, now: Instant) -> usize {
+    pub fn note(&mut self, request: Fingerprint, end: RunnerEnd, now: Instant) -> usize {
         if self.0.len() >= MAX_SUSPECTS && !self.0.contains_key(&request) {
             self.make_room(now);
         }
@@ -142,7 +142,7 @@
     }
 
     /// Removes ends that one request accounts for from all other requests.
-    pub fn excuse(&mut self, lives: &[Tag], but: &Fingerprint) {
+    pub fn discount(&mut self, lives: &[Tag], but: &Fingerprint) {
         for (request, suspect) in &mut self.0 {
             if request != but {
                 suspect.ends.retain(|end| !lives.contains(&end.life));
@@ -169,13 +169,13 @@
 
 /// The nodes that count the ends of a request, the first one first. All nodes that know the same
 /// nodes choose the same ones.
-pub fn counting<'a>(
+pub fn choose_counting_nodes<'a>(
     request: &Fingerprint,
     nodes: impl Iterator<Item = &'a NodeId>,
-) -> SmallVec<[&'a NodeId; COUNTING]> {
+) -> SmallVec<[&'a NodeId; COUNTING_NODES]> {
     let key = place(0, request.as_bytes());
     let mut ranked: Vec<(u64, &NodeId)> =
         nodes.map(|id| (rendezvous(key, id.as_str().as_bytes()), id)).collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    ranked.into_iter().take(COUNTING).map(|(_, id)| id).collect()
+    ranked.into_iter().take(COUNTING_NODES).map(|(_, id)| id).collect()
 }
--- a/lib/src/fleet/patience.rs
+++ b/lib/src/fleet/timeout.rs
@@ -26,7 +26,7 @@
 /// Late work is bounded only by its remaining time: it waits behind more urgent work that arrives
 /// later, which no prediction can include. In a burst on a fleet of 140 small runners, nine in ten
 /// of the prefills that were given up were late work.
-pub fn reading(class: Class, predicted: f64, left: Duration) -> Duration {
+pub fn prefill(class: Class, predicted: f64, left: Duration) -> Duration {
     if class == Class::LATE {
         return left;
     }
@@ -36,7 +36,7 @@
 
 /// The timeout between events of a stream whose route allows `pause` between events, if the next
 /// event is predicted in `predicted` seconds.
-pub fn silence(pause: Duration, predicted: f64) -> Duration {
+pub fn stall(pause: Duration, predicted: f64) -> Duration {
     let pauses = pause.mul_f64(STALL_PAUSES);
     MIN_STALL_TIMEOUT.max(pauses) + Duration::from_secs_f64(bounded(predicted))
 }
--- a/lib/tests/back_off.rs
+++ b/lib/tests/back_off.rs
@@ -3,24 +3,24 @@
 use std::time::{Duration, Instant};
 
 use sardinepick_lib::decimal::DecimalError;
-use sardinepick_lib::fleet::back_off::{BackOff, LONGEST, read};
+use sardinepick_lib::fleet::back_off::{BackOff, MAX_BACK_OFF, parse};
 
 const S: Duration = Duration::from_secs(1);
 
 #[test]
 fn read_seconds_with_fractions() {
-    assert_eq!(read("3"), Ok(3 * S));
-    assert_eq!(read("0.25"), Ok(S / 4));
-    assert_eq!(read("0"), Ok(Duration::ZERO));
+    assert_eq!(parse("3"), Ok(3 * S));
+    assert_eq!(parse("0.25"), Ok(S / 4));
+    assert_eq!(parse("0"), Ok(Duration::ZERO));
 }
 
 /// Guards against losing a runner for hours by one answer.
 #[test]
 fn read_long_bounded() {
-    assert_eq!(read("99999999999999999999"), Ok(LONGEST));
-    assert_eq!(read(&"9".repeat(3_000)), Err(DecimalError::TooLong(3_000)));
+    assert_eq!(parse("99999999999999999999"), Ok(MAX_BACK_OFF));
+    assert_eq!(parse(&"9".repeat(3_000)), Err(DecimalError::TooLong(3_000)));
     for text in ["", "-1", "NaN", "inf", "1e9", "Wed, 21 Oct 2026"] {
-        assert!(read(text).is_err(), "{text}");
+        assert!(parse(text).is_err(), "{text}");
     }
 }
 
--- a/lib/tests/fanout.rs
+++ b/lib/tests/fanout.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
-use sardinepick_lib::fleet::fanout::{Fanout, Turn};
+use sardinepick_lib::fleet::fanout::{Fanout, Response};
 
 /// A configuration of one megabyte, of which a node sends at most two copies concurrently.
 const LARGE: usize = 1 << 20;
@@ -82,8 +82,8 @@
             let turns = self.fanouts[sender].end(whole.then(|| address(receiver)), LARGE);
             for (asker, turn) in turns {
                 match turn {
-                    Turn::Given => self.begin(sender, asker),
-                    Turn::Elsewhere(at) => self.ask(asker, node(at)),
+                    Response::Send => self.begin(sender, asker),
+                    Response::Redirect(at) => self.ask(asker, node(at)),
                 }
             }
         }
@@ -148,7 +148,7 @@
             let Some(receiver) = given.pop_front() else { return };
             for (asker, turn) in fanout.end(whole.then(|| address(receiver)), LARGE) {
                 assert!(responded.insert(asker), "{asker} got two responses");
-                if turn == Turn::Given {
+                if turn == Response::Send {
                     given.push_back(asker);
                 }
             }
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -6,21 +6,21 @@
 use proptest::prelude::*;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
-use sardinepick_lib::fleet::balance::{self, Change, Demand, Division};
+use sardinepick_lib::fleet::admission::{MeanSize, Terms, Wait, urgency};
+use sardinepick_lib::fleet::balance::{self, Change, Demand, StageCounts};
 use sardinepick_lib::fleet::budget::{Bounds, Budget};
 use sardinepick_lib::fleet::cache::{Cache, Chain, Part, Progress};
 use sardinepick_lib::fleet::deadline::Deadlines;
 use sardinepick_lib::fleet::engine::{Engine, Pace, Stage, Work};
 use sardinepick_lib::fleet::event::Splitter;
-use sardinepick_lib::fleet::gate::{Sizes, Terms, Wait, urgency};
 use sardinepick_lib::fleet::health::{Outcome, Record};
 use sardinepick_lib::fleet::load::{CLASSES, Class, Load, RemoteLoads};
 use sardinepick_lib::fleet::outage::{DOUBT, Outage, pause};
-use sardinepick_lib::fleet::patience;
-use sardinepick_lib::fleet::place::{self, Placement, Plan, Question};
-use sardinepick_lib::fleet::register::{Change as Changed, Reading, Register, Share};
+use sardinepick_lib::fleet::placement::{self, Criteria, Placement, Plan};
+use sardinepick_lib::fleet::register::{Change as Changed, PrefillReport, Register, WorkCost};
 use sardinepick_lib::fleet::route::{Configuration, Kind, Limits, Route, Target};
 use sardinepick_lib::fleet::runner::{Entry, State, Tag};
+use sardinepick_lib::fleet::timeout;
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::{ConfigVersion, DataCentre, RunnerId, ServiceId};
 use smallvec::smallvec;
@@ -84,17 +84,17 @@
 
 fn choose(register: &Register, class: Class, work: &Work, now: Instant) -> Option<Placement> {
     let (service, home) = (service(), home());
-    let question = Question {
+    let question = Criteria {
         service: &service,
         pool: None,
         class,
-        home: &home,
+        data_centre: &home,
         skip: &[],
-        goes_on: false,
+        continues: false,
         now,
     };
     let mut rng = StdRng::seed_from_u64(1);
-    place::generation(register, &question, &ENGINE, work, &mut rng)
+    placement::place_generation(register, &question, &ENGINE, work, &mut rng)
 }
 
 fn route(host: &str, prefix: &str) -> Route {
@@ -108,7 +108,7 @@
         pause: MS * 400,
         rank: 2,
         targets: smallvec![Target { service: service(), weight: 1 }],
-        most_attempts: 2,
+        max_attempts: 2,
         anonymous: false,
     }
 }
@@ -179,7 +179,7 @@
 fn cache_chain_start_counts() {
     let now = Instant::now();
     let mut cache = Cache::default();
-    cache.note(&work("a", 1_000, 50).chain, Progress::Read, now);
+    cache.note(&work("a", 1_000, 50).chain, Progress::Prefilled, now);
     assert_eq!(cache.cached(&work("a", 1_000, 70).chain, now), 1_000);
     assert_eq!(cache.cached(&work("b", 1_000, 50).chain, now), 0);
 }
@@ -189,14 +189,14 @@
 fn cache_standalone_part_counts() {
     let now = Instant::now();
     let mut cache = Cache::default();
-    cache.note_part(Part::kept("m", "a", 1_000), Progress::Read, now);
+    cache.note_part(Part::standalone("m", "a", 1_000), Progress::Prefilled, now);
     assert_eq!(cache.cached(&work("a", 1_000, 70).chain, now), 1_000);
     assert_eq!(
         cache.cached(&work("a", 1_200, 70).chain, now),
         0,
         "the runner has less of it cached"
     );
-    cache.note(&work("a", 1_000, 70).chain, Progress::Read, now);
+    cache.note(&work("a", 1_000, 70).chain, Progress::Prefilled, now);
     assert_eq!(cache.tokens(), 1_070);
 }
 
@@ -206,8 +206,8 @@
     let mut cache = Cache::default();
     cache.set_memory(10_000);
     for n in 0..20 {
-        cache.note(&work(&format!("c{n}"), 900, 100).chain, Progress::Read, start + MS * n);
-        cache.note(&work("hot", 900, 100).chain, Progress::Read, start + MS * n);
+        cache.note(&work(&format!("c{n}"), 900, 100).chain, Progress::Prefilled, start + MS * n);
+        cache.note(&work("hot", 900, 100).chain, Progress::Prefilled, start + MS * n);
     }
     assert!(cache.tokens() <= 10_000);
     assert_eq!(cache.cached(&work("hot", 900, 5).chain, start), 900);
@@ -293,7 +293,7 @@
     register.apply(entry("a", None, 1));
     register.apply(entry("b", None, 1));
     let changes = register.replace(Vec::new(), Some(start + S));
-    assert!(changes.iter().all(|(_, change)| *change == Changed::Doubted));
+    assert!(changes.iter().all(|(_, change)| *change == Changed::Missing));
     register.apply(entry("a", None, 9));
     assert_eq!(register.expire(start + S), [id("b")]);
     assert!(register.get(&id("a")).is_some() && register.get(&id("b")).is_none());
@@ -307,7 +307,7 @@
     let start = Instant::now();
     let mut register = Register::default();
     register.apply(entry("a", None, 5));
-    assert_eq!(register.remove(&id("a"), Some(start + S)), Changed::Doubted);
+    assert_eq!(register.remove(&id("a"), Some(start + S)), Changed::Missing);
     assert_eq!(register.apply(entry("a", None, 5)), Changed::None);
     assert_eq!(register.expire(start + S), [id("a")]);
 }
@@ -336,7 +336,7 @@
 fn load_shares_begin_and_end_even() {
     let now = Instant::now();
     let mut register = engines(1, 0);
-    let share = Share { class: Class::of_rank(1), fresh: 500, footprint: 900 };
+    let share = WorkCost { class: Class::of_rank(1), prefill_tokens: 500, footprint: 900 };
     let stay = register.begin(&id("p0"), share, now).expect("known");
     let load = register.get(&id("p0")).expect("known").own;
     assert_eq!((load.total(), load.tokens, load.tokens_ahead(Class::LATE)), (1, 900, 500));
@@ -442,11 +442,11 @@
 fn terms_retry_objective_over() {
     let route = route("a.example", "/");
     let first = Terms::new(&route, S * 5, Wait::default(), 1.0);
-    assert!(first.on_time(0.4) && !first.on_time(0.5) && !first.returned);
+    assert!(first.on_time(0.4) && !first.on_time(0.5) && !first.is_retry);
     let back = Terms::new(&route, S * 3, Wait { before: S * 2, here: MS }, 1.0);
-    assert!(back.returned && !back.on_time(0.0));
-    assert!(back.of_use(1.2, 1.0) && !first.of_use(1.2, 1.0), "retries are admitted first");
-    assert!(!back.of_use(2.9, 0.0));
+    assert!(back.is_retry && !back.on_time(0.0));
+    assert!(back.is_useful(1.2, 1.0) && !first.is_useful(1.2, 1.0), "retries are admitted first");
+    assert!(!back.is_useful(2.9, 0.0));
 }
 
 /// Short first attempts were queued behind all others, and were late although runners were idle:
@@ -501,7 +501,7 @@
     let route = route("a.example", "/");
     let terms = |size| Terms::new(&route, S * 5, Wait::default(), size);
     let (short, long) = (terms(0.2), terms(2.5));
-    assert!(long.of_use(2.0, 0.8) && !short.of_use(2.0, 0.8));
+    assert!(long.is_useful(2.0, 0.8) && !short.is_useful(2.0, 0.8));
 }
 
 #[test]
@@ -509,7 +509,7 @@
     let terms = Terms::new(&route("a.example", "/"), S * 3, Wait { before: S * 2, here: MS }, 1.0);
     let mut rng = StdRng::seed_from_u64(3);
     for first in [0.0, 0.3, 2.0, 50.0] {
-        let after = terms.come_back(first, &mut rng);
+        let after = terms.retry_delay(first, &mut rng);
         assert!(after > Duration::ZERO && after <= S, "{after:?}");
     }
 }
@@ -523,7 +523,7 @@
 
 #[test]
 fn sizes_against_mean() {
-    let mut sizes = Sizes::default();
+    let mut sizes = MeanSize::default();
     for _ in 0..100 {
         sizes.note(1_000);
     }
@@ -535,10 +535,10 @@
     let now = Instant::now();
     let mut register = engines(3, 3);
     let work = work("manual", 13_000, 3_000);
-    register.get_mut(&id("p1")).expect("known").cache.note(&work.chain, Progress::Read, now);
+    register.get_mut(&id("p1")).expect("known").cache.note(&work.chain, Progress::Prefilled, now);
     let placed = choose(&register, Class::of_rank(2), &work, now).expect("a place");
     assert!(matches!(&placed.plan, Plan::Split { prefill, .. } if *prefill == id("p1")));
-    assert!(placed.fresh == 0 && placed.first < 0.1, "{placed:?}");
+    assert!(placed.prefill_tokens == 0 && placed.first < 0.1, "{placed:?}");
 }
 
 /// All nodes start an uncached chain on the same runner, whatever their random draws.
@@ -549,18 +549,20 @@
     let (service, home) = (service(), home());
     let now = Instant::now();
     let class = Class::of_rank(0);
-    let question = Question {
+    let question = Criteria {
         service: &service,
         pool: None,
         class,
-        home: &home,
+        data_centre: &home,
         skip: &[],
-        goes_on: false,
+        continues: false,
         now,
     };
     let placed = |seed| {
         let mut rng = StdRng::seed_from_u64(seed);
-        place::generation(&register, &question, &ENGINE, &work, &mut rng).expect("a place").plan
+        placement::place_generation(&register, &question, &ENGINE, &work, &mut rng)
+            .expect("a place")
+            .plan
     };
     let prefill = |plan: Plan| match plan {
         Plan::Split { prefill, .. } => prefill,
@@ -585,7 +587,11 @@
             Plan::Whole { runner } => runner.clone(),
             Plan::Split { prefill, .. } => prefill.clone(),
         };
-        let share = Share { class: Class::LATE, fresh: placed.fresh, footprint: work.footprint() };
+        let share = WorkCost {
+            class: Class::LATE,
+            prefill_tokens: placed.prefill_tokens,
+            footprint: work.footprint(),
+        };
         register.begin(&reader, share, now);
         late.push(reader);
     }
@@ -638,19 +644,20 @@
     register.apply(Entry { state: State::Draining, ..entry("d0", Some(Stage::Decode), 2) });
     let (service, home) = (service(), home());
     let class = Class::of_rank(0);
-    let question = Question {
+    let question = Criteria {
         service: &service,
         pool: None,
         class,
-        home: &home,
+        data_centre: &home,
         skip: &[],
-        goes_on: false,
+        continues: false,
         now,
     };
     let work = work("a", 300, 100);
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let chosen = place::decode(&register, &question, &ENGINE, &work, &id("p0"), &mut rng);
+        let chosen =
+            placement::place_decode(&register, &question, &ENGINE, &work, &id("p0"), &mut rng);
         assert_eq!(chosen, Some(id("d1")));
     }
 }
@@ -667,18 +674,19 @@
     let (service, home, class) = (service(), home(), Class::of_rank(0));
     let mut rng = StdRng::seed_from_u64(2);
     for _ in 0..90 {
-        let question = Question {
+        let question = Criteria {
             service: &service,
             pool: None,
             class,
-            home: &home,
+            data_centre: &home,
             skip: &[],
-            goes_on: false,
+            continues: false,
             now,
         };
         let work = work("a", 300, 100);
-        let chosen = place::decode(&register, &question, &small, &work, &id("p0"), &mut rng);
-        let share = Share { class, fresh: 0, footprint: 400 };
+        let chosen =
+            placement::place_decode(&register, &question, &small, &work, &id("p0"), &mut rng);
+        let share = WorkCost { class, prefill_tokens: 0, footprint: 400 };
         register.begin(&chosen.expect("a place"), share, now);
     }
     let loads = (0..6).map(|at| register.get(&id(&format!("d{at}"))).expect("known").own.total());
@@ -693,21 +701,21 @@
     let mut register = engines(2, 4);
     let small = Engine { slots: 4, ..ENGINE };
     let (service, home) = (service(), home());
-    let question = |class| Question {
+    let question = |class| Criteria {
         service: &service,
         pool: None,
         class,
-        home: &home,
+        data_centre: &home,
         skip: &[],
-        goes_on: false,
+        continues: false,
         now,
     };
     let work = work("a", 300, 100);
-    let late = Share { class: Class::LATE, fresh: 0, footprint: 400 };
+    let late = WorkCost { class: Class::LATE, prefill_tokens: 0, footprint: 400 };
     let mut sent = 0;
     let mut rng = StdRng::seed_from_u64(2);
     while let Some(placed) =
-        place::generation(&register, &question(Class::LATE), &small, &work, &mut rng)
+        placement::place_generation(&register, &question(Class::LATE), &small, &work, &mut rng)
     {
         let (Plan::Split { decode, .. } | Plan::Whole { runner: decode }) = placed.plan;
         register.begin(&decode, late, now);
@@ -716,10 +724,20 @@
     }
     assert_eq!(sent, 4 * 8, "two for each slot");
     let urgent = Class::of_rank(0);
-    assert!(place::generation(&register, &question(urgent), &small, &work, &mut rng).is_some());
+    assert!(
+        placement::place_generation(&register, &question(urgent), &small, &work, &mut rng)
+            .is_some()
+    );
     // Work whose prompt has been prefilled continues nevertheless.
     let reader = id("p0");
-    let on = place::decode(&register, &question(Class::LATE), &small, &work, &reader, &mut rng);
+    let on = placement::place_decode(
+        &register,
+        &question(Class::LATE),
+        &small,
+        &work,
+        &reader,
+        &mut rng,
+    );
     assert!(on.is_some());
 }
 
@@ -731,7 +749,7 @@
     let class = Class::of_rank(0);
     let waits = |prompts: u64| {
         let mut register = engines(1, 0);
-        let share = Share { class, fresh: 6_000 / prompts, footprint: 1 };
+        let share = WorkCost { class, prefill_tokens: 6_000 / prompts, footprint: 1 };
         (0..prompts).for_each(|_| drop(register.begin(&id("p0"), share, now)));
         let runner = register.get(&id("p0")).expect("known");
         runner.wait(&runner.load(now), class)
@@ -745,7 +763,7 @@
 fn wait_for_slot_less_urgent_overtaken() {
     let now = Instant::now();
     let mut register = engines(0, 1);
-    let late = Share { class: Class::LATE, fresh: 0, footprint: 1 };
+    let late = WorkCost { class: Class::LATE, prefill_tokens: 0, footprint: 1 };
     (0..40).for_each(|_| drop(register.begin(&id("d0"), late, now)));
     let runner = register.get(&id("d0")).expect("known");
     let load = runner.load(now);
@@ -767,18 +785,18 @@
     }
     let (service, home) = (service(), home());
     let class = Class::of_rank(0);
-    let question = Question {
+    let question = Criteria {
         service: &service,
         pool: None,
         class,
-        home: &home,
+        data_centre: &home,
         skip: &[],
-        goes_on: false,
+        continues: false,
         now,
     };
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let chosen = place::plain(&register, &question, &mut rng).expect("a runner");
+        let chosen = placement::place_plain(&register, &question, &mut rng).expect("a runner");
         assert_eq!(chosen.runner, id("b"));
     }
 }
@@ -794,8 +812,8 @@
     demand
 }
 
-fn division(prefill: usize, decode: usize) -> Division {
-    Division { prefill, decode, to_prefill: 0, to_decode: 0 }
+fn division(prefill: usize, decode: usize) -> StageCounts {
+    StageCounts { prefill, decode, to_prefill: 0, to_decode: 0 }
 }
 
 #[test]
@@ -827,7 +845,7 @@
     let busy = demand(1_000, 60, 8_000);
     let change = balance::decide(division(6, 3), &busy, 6, ENGINE.memory);
     assert_eq!(change, Some(Change { to: Stage::Decode, count: 1, urgent: false }));
-    let under_way = Division { to_decode: 5, ..division(4, 3) };
+    let under_way = StageCounts { to_decode: 5, ..division(4, 3) };
     assert_eq!(balance::decide(under_way, &busy, 6, ENGINE.memory), None);
 }
 
@@ -847,13 +865,13 @@
     let now = Instant::now();
     let mut register = engines(3, 3);
     let work = work("manual", 13_000, 3_000);
-    register.get_mut(&id("p1")).expect("known").cache.note(&work.chain, Progress::Read, now);
-    let share = Share { class: Class::of_rank(0), fresh: 60_000, footprint: 60_000 };
+    register.get_mut(&id("p1")).expect("known").cache.note(&work.chain, Progress::Prefilled, now);
+    let share = WorkCost { class: Class::of_rank(0), prefill_tokens: 60_000, footprint: 60_000 };
     register.begin(&id("p1"), share, now);
     let own = Work { prompt: work.prompt, ..work.clone() };
     let placed = choose(&register, Class::of_rank(0), &own, now).expect("a place");
     assert!(!matches!(&placed.plan, Plan::Split { prefill, .. } if *prefill == id("p1")));
-    assert_eq!((placed.fetch.clone(), placed.fresh), (Some(id("p1")), 0));
+    assert_eq!((placed.fetch.clone(), placed.prefill_tokens), (Some(id("p1")), 0));
     assert!(placed.first < 0.15, "{placed:?}");
 }
 
@@ -862,8 +880,8 @@
     let now = Instant::now();
     let mut register = engines(2, 2);
     let work = work("short", 500, 100);
-    register.get_mut(&id("p1")).expect("known").cache.note(&work.chain, Progress::Read, now);
-    let share = Share { class: Class::of_rank(0), fresh: 60_000, footprint: 60_000 };
+    register.get_mut(&id("p1")).expect("known").cache.note(&work.chain, Progress::Prefilled, now);
+    let share = WorkCost { class: Class::of_rank(0), prefill_tokens: 60_000, footprint: 60_000 };
     register.begin(&id("p1"), share, now);
     let placed = choose(&register, Class::of_rank(0), &work, now).expect("a place");
     assert_eq!(placed.fetch, None);
@@ -879,14 +897,18 @@
     let first = work("manual", 13_000, 3_000);
     let placed = choose(&register, Class::of_rank(2), &first, now).expect("a place");
     let Plan::Split { prefill, .. } = placed.plan else { panic!("{placed:?}") };
-    let share = Share { class: Class::of_rank(2), fresh: placed.fresh, footprint: 16_000 };
+    let share = WorkCost {
+        class: Class::of_rank(2),
+        prefill_tokens: placed.prefill_tokens,
+        footprint: 16_000,
+    };
     register.begin(&prefill, share, now);
     let runner = register.get_mut(&prefill).expect("known");
-    runner.cache.note(&first.chain, Progress::Begun, now);
+    runner.cache.note(&first.chain, Progress::Started, now);
     let second = work("manual", 13_000, 2_000);
     let placed = choose(&register, Class::of_rank(2), &second, now + MS * 10).expect("a place");
     let same_runner = matches!(&placed.plan, Plan::Split { prefill: p, .. } if *p == prefill);
-    assert!(same_runner && placed.fresh == 2_000 && placed.fetch.is_none(), "{placed:?}");
+    assert!(same_runner && placed.prefill_tokens == 2_000 && placed.fetch.is_none(), "{placed:?}");
 }
 
 /// A prompt whose prefill is in progress cannot be fetched: the fetch would find nothing.
@@ -894,11 +916,11 @@
 fn cache_started_part_not_fetchable() {
     let now = Instant::now();
     let (mut cache, work) = (Cache::default(), work("a", 1_000, 50));
-    cache.note(&work.chain, Progress::Begun, now);
+    cache.note(&work.chain, Progress::Started, now);
     assert_eq!((cache.cached(&work.chain, now + S), cache.fetchable(&work.chain)), (1_050, 0));
     assert_eq!(cache.cached(&work.chain, now + S * 3), 0, "the prefill has been cancelled");
-    cache.note(&work.chain, Progress::Read, now + S);
-    cache.note(&work.chain, Progress::Begun, now + S * 2);
+    cache.note(&work.chain, Progress::Prefilled, now + S);
+    cache.note(&work.chain, Progress::Started, now + S * 2);
     assert_eq!(cache.fetchable(&work.chain), 1_050, "a complete prefill stays complete");
 }
 
@@ -926,16 +948,16 @@
 /// again elsewhere.
 #[test]
 fn prefill_timeout_late_work_only_by_time_left() {
-    assert_eq!(patience::reading(Class::LATE, 0.1, S * 2), S * 2);
-    assert_eq!(patience::reading(Class::of_rank(0), 0.1, S * 2), MS * 700);
-    assert_eq!(patience::reading(Class::of_rank(0), 0.1, MS * 300), MS * 300);
+    assert_eq!(timeout::prefill(Class::LATE, 0.1, S * 2), S * 2);
+    assert_eq!(timeout::prefill(Class::of_rank(0), 0.1, S * 2), MS * 700);
+    assert_eq!(timeout::prefill(Class::of_rank(0), 0.1, MS * 300), MS * 300);
 }
 
 #[test]
 fn stall_timeout_long_pauses_longer() {
-    assert_eq!(patience::silence(MS * 100, 0.5), MS * 1_500);
-    assert_eq!(patience::silence(S, 0.0), MS * 2_500);
-    assert_eq!(patience::silence(S, f64::MAX), MS * 12_500);
+    assert_eq!(timeout::stall(MS * 100, 0.5), MS * 1_500);
+    assert_eq!(timeout::stall(S, 0.0), MS * 2_500);
+    assert_eq!(timeout::stall(S, f64::MAX), MS * 12_500);
 }
 
 /// Callers of long prompts gave up after two seconds while most prefill runners were idle: in a
@@ -950,7 +972,11 @@
         let work = work(&format!("late{n}"), 40_000, 10_000);
         let placed = choose(&register, Class::LATE, &work, now).expect("a place");
         let Plan::Split { prefill, .. } = placed.plan else { panic!("{placed:?}") };
-        let share = Share { class: Class::LATE, fresh: placed.fresh, footprint: 50_000 };
+        let share = WorkCost {
+            class: Class::LATE,
+            prefill_tokens: placed.prefill_tokens,
+            footprint: 50_000,
+        };
         register.begin(&prefill, share, now);
         readers.push(prefill);
     }
@@ -974,13 +1000,16 @@
     let runner = register.get_mut(&id("p0")).expect("known");
     runner.cache.set_memory(50_000);
     let shared = work("manual", 13_000, 100).chain;
-    runner.cache.note(&shared, Progress::Read, now);
+    runner.cache.note(&shared, Progress::Prefilled, now);
     for n in 0..10 {
         let other = work(&format!("doc{}", n % 2), 2_000, 4_000 + n).chain;
         for part in &other.0 {
-            let reading =
-                Reading { runner: Tag::of(&id("p0"), None), part: *part, progress: Progress::Read };
-            register.take_reading(reading, now + S * (1 + n as u32));
+            let reading = PrefillReport {
+                runner: Tag::of(&id("p0"), None),
+                part: *part,
+                progress: Progress::Prefilled,
+            };
+            register.apply_prefill_report(reading, now + S * (1 + n as u32));
         }
     }
     let runner = register.get(&id("p0")).expect("known");
--- a/lib/tests/history.rs
+++ b/lib/tests/history.rs
@@ -3,8 +3,8 @@
 
 use std::time::{Duration, Instant};
 
-use sardinepick_lib::fleet::mark::Mark;
 use sardinepick_lib::fleet::register::{Change, Register};
+use sardinepick_lib::fleet::register_version::RegisterVersion;
 use sardinepick_lib::fleet::runner::{Entry, State};
 use sardinepick_lib::history::{Era, LAST_ERA, Point, Present, Sight};
 use sardinepick_lib::id::{Born, RunnerId};
@@ -46,7 +46,10 @@
 fn point_order_era_first() {
     assert!(Point::new(Era(2), 1) > Point::new(Era(1), 900));
     assert!(Point::new(Era(2), 2) > Point::new(Era(2), 1));
-    assert!(Mark::of(Point::new(Era(2), 1)) > Mark::of(Point::new(Era(1), 900)).next());
+    assert!(
+        RegisterVersion::of(Point::new(Era(2), 1))
+            > RegisterVersion::of(Point::new(Era(1), 900)).next()
+    );
 }
 
 /// Guards against fencing numbers that fall: the copy lacks the last changes of the era before.
@@ -121,7 +124,7 @@
 fn apply_copy_runner_that_left_not_added() {
     let mut register = known(entry(1, 90, 5, State::Ready));
     assert_eq!(register.remove(&id(), None), Change::Removed);
-    assert_eq!(register.apply(entry(2, 20, 5, State::Ready)), Change::Former);
+    assert_eq!(register.apply(entry(2, 20, 5, State::Ready)), Change::Outdated);
     assert_eq!(state(&register), None);
     // It has written since it was gone, so it is there.
     assert_eq!(register.apply(entry(2, 22, 6, State::Ready)), Change::Added);
@@ -132,7 +135,7 @@
 fn apply_copy_lacks_runner_written_again_kept() {
     let now = Instant::now();
     let mut register = known(entry(1, 90, 5, State::Ready));
-    assert_eq!(register.remove(&id(), Some(now + DOUBT)), Change::Doubted);
+    assert_eq!(register.remove(&id(), Some(now + DOUBT)), Change::Missing);
     assert_eq!(register.apply(entry(2, 20, 5, State::Ready)), Change::Updated);
     assert_eq!(register.expire(now + DOUBT), []);
     assert_eq!(state(&register), Some(State::Ready));
@@ -143,5 +146,5 @@
 fn apply_former_era_changes_nothing() {
     let mut register = known(entry(2, 20, 5, State::Ready));
     assert_eq!(register.apply(entry(1, 900, 9, State::Ready)), Change::None);
-    assert_eq!(register.disown(&id(), Point::new(Era(1), 901)), Change::None);
+    assert_eq!(register.reject(&id(), Point::new(Era(1), 901)), Change::None);
 }
--- a/lib/tests/life_model.rs
+++ b/lib/tests/life_model.rs
@@ -12,15 +12,15 @@
 
 use sardinepick_lib::fleet::cache::{Chain, Progress};
 use sardinepick_lib::fleet::load::{Class, Load};
-use sardinepick_lib::fleet::register::{Reading, Register, Share};
-use sardinepick_lib::fleet::runner::{Entry, State, Stay, Tag};
+use sardinepick_lib::fleet::register::{PrefillReport, Register, WorkCost};
+use sardinepick_lib::fleet::runner::{Entry, Registration, State, Tag};
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::{Born, NodeId, RunnerId};
 
 const NODES: usize = 2;
 /// The number of events explored from each start.
 const DEPTH: usize = 5;
-const SHARE: Share = Share { class: Class::LATE, fresh: 10, footprint: 20 };
+const SHARE: WorkCost = WorkCost { class: Class::LATE, prefill_tokens: 10, footprint: 20 };
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
@@ -59,14 +59,14 @@
 /// Work in progress, with the incarnation that its node knew when it started.
 #[derive(Clone)]
 struct Work {
-    stay: Stay,
+    stay: Registration,
     born: Born,
 }
 
 #[derive(Clone)]
 struct Report {
     loads: Vec<(Tag, Load)>,
-    readings: Vec<Reading>,
+    readings: Vec<PrefillReport>,
     /// The incarnations of the sender's work in progress, one entry for each piece of work.
     truth: Vec<Born>,
 }
@@ -78,7 +78,7 @@
     written: Vec<Entry>,
     nodes: [Register; NODES],
     work: [Vec<Work>; NODES],
-    readings: Vec<Reading>,
+    readings: Vec<PrefillReport>,
     sent: Vec<Report>,
     heard: Vec<Born>,
     /// The incarnations that have prefilled the prompt.
@@ -191,7 +191,7 @@
                     let node: NodeId = "edge-1".parse().expect("an id");
                     self.nodes[1].take_report(&node, &report.loads, self.now);
                     for reading in report.readings {
-                        self.nodes[1].take_reading(reading, self.now);
+                        self.nodes[1].apply_prefill_report(reading, self.now);
                     }
                     self.heard = report.truth;
                 }
@@ -207,14 +207,14 @@
         self.read.insert(work.born);
         let (register, now) = (&mut self.nodes[at], self.now);
         register.note_read(&work.stay, SHARE);
-        if let Some(runner) = register.in_stay_mut(&work.stay) {
-            runner.cache.note(&chain(), Progress::Read, now);
+        if let Some(runner) = register.registered_mut(&work.stay) {
+            runner.cache.note(&chain(), Progress::Prefilled, now);
         }
         register.end(&work.stay, SHARE);
         if at == 0 {
             let runner = Tag::of(&work.stay.id, work.stay.born);
             let part = chain().0[0];
-            self.readings.push(Reading { runner, part, progress: Progress::Read });
+            self.readings.push(PrefillReport { runner, part, progress: Progress::Prefilled });
         }
     }
 
--- a/lib/tests/limit.rs
+++ b/lib/tests/limit.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
 use sardinepick_lib::decimal::DecimalError;
-use sardinepick_lib::fleet::limit::{Change, Limit, Notice, Rate};
+use sardinepick_lib::fleet::limit::{Announcement, Change, Limit, Rate};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -42,7 +42,7 @@
 fn note_answer_without_limit_nothing() {
     let (mut limit, now) = (Limit::default(), Instant::now());
     assert_eq!(limit.note_answer(None, now, now), None);
-    assert_eq!((limit.rate(), limit.notice()), (None, None));
+    assert_eq!((limit.rate(), limit.announcement()), (None, None));
 }
 
 #[test]
@@ -75,10 +75,10 @@
     let (mut limit, now) = (Limit::default(), Instant::now() + 10 * MS);
     limit.note_answer(Some(rate("2")), now, now);
     limit.note_answer(None, now + MS, now + 2 * MS);
-    let old = Notice { rate: Some(rate("2")), at: now };
-    assert_eq!(limit.take_notice(old), None);
-    let new = Notice { rate: Some(rate("2")), at: now + 3 * MS };
-    assert_eq!(limit.take_notice(new), Some(Change::Set(rate("2"))));
+    let old = Announcement { rate: Some(rate("2")), at: now };
+    assert_eq!(limit.take_announcement(old), None);
+    let new = Announcement { rate: Some(rate("2")), at: now + 3 * MS };
+    assert_eq!(limit.take_announcement(new), Some(Change::Set(rate("2"))));
 }
 
 /// Guards against a limit that two nodes announce to each other for ever.
@@ -86,8 +86,11 @@
 fn take_notice_same_rate_not_renewed() {
     let (mut limit, now) = (Limit::default(), Instant::now());
     limit.note_answer(Some(rate("2")), now, now);
-    assert_eq!(limit.take_notice(Notice { rate: Some(rate("2")), at: now + 5 * MS }), None);
-    assert_eq!(limit.notice().map(|notice| notice.at), Some(now));
+    assert_eq!(
+        limit.take_announcement(Announcement { rate: Some(rate("2")), at: now + 5 * MS }),
+        None
+    );
+    assert_eq!(limit.announcement().map(|notice| notice.at), Some(now));
 }
 
 fn limited(text: &str, now: Instant) -> Limit {
--- a/lib/tests/outbox.rs
+++ b/lib/tests/outbox.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use sardinepick_lib::fleet::outbox::{MOST_TOLD, Outbox};
+use sardinepick_lib::fleet::outbox::{MAX_CHANGES, Outbox};
 use sardinepick_lib::fleet::runner::Tag;
 
 const MS: Duration = Duration::from_millis(1);
@@ -31,7 +31,7 @@
     let mut told = Vec::new();
     while outbox.has_new() {
         let some = outbox.take(false, now);
-        assert!(some.len() <= MOST_TOLD);
+        assert!(some.len() <= MAX_CHANGES);
         told.extend(tags(&some));
     }
     told.sort_unstable();
--- a/lib/tests/quarantine.rs
+++ b/lib/tests/quarantine.rs
@@ -6,7 +6,7 @@
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
 use sardinepick_lib::fleet::quarantine::{DECISION_DELAY, Entry, Quarantine, Stage, Standing};
 use sardinepick_lib::fleet::runner::Tag;
-use sardinepick_lib::fleet::suspect::{End, Reach, Suspects};
+use sardinepick_lib::fleet::suspect::{RunProgress, RunnerEnd, Suspects};
 use sardinepick_lib::hash::place;
 use sardinepick_lib::id::NodeId;
 
@@ -31,9 +31,9 @@
 impl Node {
     /// Records that a request was running when these runners ended.
     fn ended(&mut self, n: u64, lives: &[u64], begun: bool, now: Instant) -> Option<Entry> {
-        let reach = Reach { events: 0, begun };
+        let reach = RunProgress { events: 0, begun };
         for life in lives {
-            self.suspects.note(request(n), End { life: Tag(*life), reach }, now);
+            self.suspects.note(request(n), RunnerEnd { life: Tag(*life), reach }, now);
         }
         let suspect = self.suspects.get(&request(n)).expect("just noted");
         self.quarantine.propose(request(n), suspect, now)
@@ -166,7 +166,11 @@
     other.note_answered(request(2), now - SECOND);
     for n in [1, 2] {
         let entry = node.ended(n, &[n * 10, n * 10 + 1, n * 10 + 2], true, now).expect("proposed");
-        assert_eq!(other.objects(&entry), n == 1, "an answer before the first end does not count");
+        assert_eq!(
+            other.contradicts(&entry),
+            n == 1,
+            "an answer before the first end does not count"
+        );
     }
     assert!(
         node.quarantine.note_answered(request(1), now + SECOND),
@@ -306,7 +310,7 @@
     /// Simulates the ten milliseconds after `at`.
     fn step(&mut self, at: Duration) {
         let now = self.began + at;
-        let news: Vec<Vec<Entry>> = self.nodes.iter_mut().map(Quarantine::take_news).collect();
+        let news: Vec<Vec<Entry>> = self.nodes.iter_mut().map(Quarantine::take_updates).collect();
         let beats = at.as_millis().is_multiple_of(200);
         for (from, entries) in news.iter().enumerate() {
             for to in self.watchers[from].clone() {
--- a/lib/tests/roster.rs
+++ b/lib/tests/roster.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
 use sardinepick_lib::fleet::roster::{
-    Contact, PERIOD, Record, Roster, SILENCE, Standing, Status, WATCHERS,
+    Contact, HEARTBEAT_PERIOD, PROBE_AFTER, Record, Roster, Standing, Status, WATCHERS,
 };
 use sardinepick_lib::id::Incarnation;
 
@@ -74,12 +74,13 @@
             let node = node.as_mut().expect("all nodes are present");
             node.set_me(Standing::Ready, true);
             for other in (0..count).filter(|other| *other != at) {
-                node.take_record(&record(other, 2), now);
+                node.apply_record(&record(other, 2), now);
             }
-            while !node.take_news().is_empty() {}
+            while !node.take_updates().is_empty() {}
         }
-        let next_beat =
-            (0..count).map(|_| now + PERIOD.mul_f64(rng.random_range(0.0..1.0))).collect();
+        let next_beat = (0..count)
+            .map(|_| now + HEARTBEAT_PERIOD.mul_f64(rng.random_range(0.0..1.0)))
+            .collect();
         Self {
             now,
             at: (0..count).map(|at| (address(at), at)).collect(),
@@ -120,14 +121,14 @@
         for at in 0..self.nodes.len() {
             let Some(node) = self.nodes[at].as_mut() else { continue };
             let due = self.now >= self.next_beat[at];
-            if !due && !node.has_news() {
+            if !due && !node.has_updates() {
                 continue;
             }
             if due {
-                self.next_beat[at] = self.now + PERIOD;
+                self.next_beat[at] = self.now + HEARTBEAT_PERIOD;
             }
             let to_probe = node.tick(self.now);
-            let records = node.take_news();
+            let records = node.take_updates();
             self.records += records.len() as u64 * node.watchers().len() as u64;
             let (sender, digest) = (node.me().clone(), node.digest());
             let watchers = node.watchers().to_vec();
@@ -158,12 +159,12 @@
     fn deliver(&mut self, beat: &Beat) {
         let now = self.now;
         let Some(node) = self.nodes[beat.to].as_mut() else { return };
-        node.take_beat(&beat.sender, Status::default(), now);
+        node.apply_heartbeat(&beat.sender, Status::default(), now);
         for record in &beat.records {
-            node.take_record(record, now);
+            node.apply_record(record, now);
         }
         let differs = node.note_digest(&beat.sender.contact.id, beat.digest, now);
-        let mistaken = node.is_mistaken(&beat.sender).cloned();
+        let mistaken = node.superseding_record(&beat.sender).cloned();
         let from = self.at[&beat.sender.contact.peer];
         if beat.answer || mistaken.is_some() {
             let answer = Beat {
@@ -189,12 +190,12 @@
             (self.nodes[one].as_ref().expect("the node is present").records(), self.now);
         let Some(node) = self.nodes[other].as_mut() else { return };
         for record in mine {
-            node.take_record(&record, now);
+            node.apply_record(&record, now);
         }
         let theirs = node.records();
         let node = self.nodes[one].as_mut().expect("the node is present");
         for record in theirs {
-            node.take_record(&record, now);
+            node.apply_record(&record, now);
         }
     }
 
@@ -234,7 +235,7 @@
         fleet.run(MS * 500);
         fleet.nodes[3] = None;
         let took = fleet.until(MS * 3_000, |fleet| fleet.knowing(3) == 0);
-        assert!(took <= SILENCE + MS * 1_000, "{count} nodes: {took:?}");
+        assert!(took <= PROBE_AFTER + MS * 1_000, "{count} nodes: {took:?}");
         fleet.run(MS * 2_000);
         assert_eq!(fleet.knowing(4), count - 2, "the others know all present nodes");
     }
@@ -254,13 +255,13 @@
         let mut node = Roster::new(contact(at, 2));
         // It asks one node for its list, as at every start.
         for record in fleet.nodes[1].as_ref().expect("the node is present").records() {
-            node.take_record(&record, fleet.now);
+            node.apply_record(&record, fleet.now);
         }
         node.set_me(Standing::Ready, true);
         let me = node.me().clone();
         fleet.nodes[at] = Some(node);
         let now = fleet.now;
-        fleet.nodes[1].as_mut().expect("the node is present").take_record(&me, now);
+        fleet.nodes[1].as_mut().expect("the node is present").apply_record(&me, now);
     }
     fleet.until(MS * 4_000, |fleet| (0..60).all(|at| fleet.knowing(at) >= 59));
     let fronts = fleet.present().map(|node| node.fronts().len()).min();
@@ -322,7 +323,7 @@
     let node = fleet.nodes[0].as_mut().expect("the node is present");
     let later = fleet.now + MS * 5_000;
     assert!(node.tick(later).is_empty(), "no node is probed");
-    assert!(!node.has_news());
+    assert!(!node.has_updates());
     assert_eq!(node.ids().count(), 5);
 }
 
@@ -330,16 +331,16 @@
 fn take_record_older_changes_nothing() {
     let now = Instant::now();
     let mut roster = Roster::new(contact(0, 1));
-    assert!(roster.take_record(&record(1, 3), now));
-    assert!(!roster.take_record(&record(1, 3), now), "it is already known");
-    assert!(!roster.take_record(&record(1, 2), now), "it is older");
-    assert!(roster.take_record(&Record { silent: true, ..record(1, 3) }, now));
-    assert!(!roster.take_record(&record(1, 3), now), "an earlier record does not refute it");
-    assert!(roster.take_record(&record(1, 4), now));
+    assert!(roster.apply_record(&record(1, 3), now));
+    assert!(!roster.apply_record(&record(1, 3), now), "it is already known");
+    assert!(!roster.apply_record(&record(1, 2), now), "it is older");
+    assert!(roster.apply_record(&Record { silent: true, ..record(1, 3) }, now));
+    assert!(!roster.apply_record(&record(1, 3), now), "an earlier record does not refute it");
+    assert!(roster.apply_record(&record(1, 4), now));
     let next = Record { contact: contact(1, 2), ..record(1, 1) };
-    assert!(roster.take_record(&next, now), "a new incarnation supersedes the former one");
-    assert!(!roster.take_record(&record(1, 9), now), "the former incarnation is ignored");
-    assert!(!roster.take_record(&Record { silent: true, ..record(2, 1) }, now));
+    assert!(roster.apply_record(&next, now), "a new incarnation supersedes the former one");
+    assert!(!roster.apply_record(&record(1, 9), now), "the former incarnation is ignored");
+    assert!(!roster.apply_record(&Record { silent: true, ..record(2, 1) }, now));
     assert_eq!(roster.known(), 1, "a node first heard of as silent is not added");
 }
 
@@ -348,20 +349,20 @@
     let now = Instant::now();
     let mut roster = Roster::new(contact(0, 1));
     let before = roster.me().serial;
-    assert!(roster.take_record(&Record { silent: true, ..record(0, before) }, now));
-    assert!(roster.me().serial > before && roster.has_news());
+    assert!(roster.apply_record(&Record { silent: true, ..record(0, before) }, now));
+    assert!(roster.me().serial > before && roster.has_updates());
     let former = Record { contact: contact(0, 0), silent: true, ..record(0, 99) };
-    assert!(!roster.take_record(&former, now), "that was a former incarnation");
+    assert!(!roster.apply_record(&former, now), "that was a former incarnation");
 }
 
 #[test]
 fn introduce_not_present_until_heard() {
     let now = Instant::now();
     let mut roster = Roster::new(contact(0, 1));
-    assert!(roster.introduce(contact(1, 1), now));
+    assert!(roster.add_unheard(contact(1, 1), now));
     assert!(roster.fronts().is_empty() && roster.ids().count() == 0);
     assert_eq!(roster.lost().collect::<Vec<_>>(), [address(1)]);
-    assert!(roster.take_beat(&record(1, 1), Status::default(), now));
+    assert!(roster.apply_heartbeat(&record(1, 1), Status::default(), now));
     assert_eq!(roster.fronts().len(), 1);
 }
 
@@ -371,11 +372,11 @@
     let now = Instant::now();
     let mut roster = Roster::new(contact(0, 1));
     for at in 1..=3 {
-        roster.take_record(&record(at, 1), now);
+        roster.apply_record(&record(at, 1), now);
     }
     assert_eq!(roster.served().count(), 3);
-    roster.take_record(&Record { served: false, ..record(1, 2) }, now);
-    roster.take_record(&Record { silent: true, ..record(2, 1) }, now);
+    roster.apply_record(&Record { served: false, ..record(1, 2) }, now);
+    roster.apply_record(&Record { silent: true, ..record(2, 1) }, now);
     assert_eq!(roster.served().count(), 1);
     assert_eq!((roster.ids().count(), roster.known()), (2, 3));
 }
@@ -390,7 +391,7 @@
     let same = node.digest();
     let mut noticed = false;
     for beat in 0..20 {
-        let at = now + PERIOD * beat;
+        let at = now + HEARTBEAT_PERIOD * beat;
         noticed |= node.note_digest(&contact(1, 1).id, same ^ 1, at);
         for other in 2..9 {
             assert!(!node.note_digest(&contact(other, 1).id, same, at + MS));
@@ -406,16 +407,16 @@
     let side = |me: usize, there: std::ops::Range<usize>| {
         let mut roster = Roster::new(contact(me, 1));
         for at in (0..9).filter(|at| *at != me) {
-            roster.take_record(&record(at, 1), now);
+            roster.apply_record(&record(at, 1), now);
             if !there.contains(&at) {
-                roster.take_record(&Record { silent: true, ..record(at, 1) }, now);
+                roster.apply_record(&Record { silent: true, ..record(at, 1) }, now);
             }
         }
-        roster.part()
+        roster.present_fraction()
     };
     assert_eq!(side(0, 0..9), 1.0);
     assert!((side(0, 0..2) + side(5, 2..9) - 1.0).abs() < 1e-9);
     let mut roster = Roster::new(contact(0, 1));
-    roster.take_record(&Record { standing: Standing::Leaving, ..record(1, 2) }, now);
-    assert_eq!(roster.part(), 1.0, "a leaving node has no share");
+    roster.apply_record(&Record { standing: Standing::Leaving, ..record(1, 2) }, now);
+    assert_eq!(roster.present_fraction(), 1.0, "a leaving node has no share");
 }
--- a/lib/tests/scheduler.rs
+++ b/lib/tests/scheduler.rs
@@ -5,16 +5,16 @@
 
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
+use sardinepick_lib::fleet::admission::Terms;
 use sardinepick_lib::fleet::cache::{Chain, ChainKey};
 use sardinepick_lib::fleet::engine::{Engine, Stage, Work};
-use sardinepick_lib::fleet::gate::Terms;
 use sardinepick_lib::fleet::health::Outcome;
 use sardinepick_lib::fleet::load::{Class, Load};
-use sardinepick_lib::fleet::place::Plan;
+use sardinepick_lib::fleet::placement::Plan;
 use sardinepick_lib::fleet::pool::{self, MAX_RUNNERS, Pool};
 use sardinepick_lib::fleet::register::Register;
 use sardinepick_lib::fleet::runner::{Entry, State, Tag};
-use sardinepick_lib::fleet::scheduler::{self, Ask, Decision, Firmness, Lesson, Step};
+use sardinepick_lib::fleet::scheduler::{self, Decision, Firmness, Observation, Query, Step};
 use sardinepick_lib::hash::place;
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::{NodeId, RunnerId, ServiceId};
@@ -64,7 +64,7 @@
             at: Point::without_era(1),
         });
     }
-    register.divide();
+    register.assign_pools();
     register
 }
 
@@ -72,10 +72,10 @@
     register.runners().map(|r| (r.entry.id.clone(), r.pool)).collect()
 }
 
-fn ask(prompt: &str, shared: u64, own: u64) -> Ask {
+fn ask(prompt: &str, shared: u64, own: u64) -> Query {
     let own_id = format!("{prompt}-own");
     let parts = [(prompt, shared), (own_id.as_str(), own)];
-    Ask {
+    Query {
         service: service(),
         data_centre: "zaal-dom".parse().expect("an id"),
         terms: Terms {
@@ -83,7 +83,7 @@
             objective: Some(MS * 800),
             left: MS * 5_000,
             patience: MS * 3_200,
-            returned: false,
+            is_retry: false,
             size: 1.0,
         },
         work: Work { chain: Chain::new("m", parts.into_iter()), prompt: shared + own, output: 60 },
@@ -92,7 +92,7 @@
     }
 }
 
-fn decide(register: &Register, ask: &Ask, now: Instant, seed: u64) -> Decision {
+fn decide(register: &Register, ask: &Query, now: Instant, seed: u64) -> Decision {
     scheduler::decide(register, ask, &ENGINE, now, &mut StdRng::seed_from_u64(seed))
 }
 
@@ -160,7 +160,7 @@
         placed.iter().for_each(|id| *counts.entry(id).or_default() += 1);
         counts.values().copied().max().unwrap_or_default()
     };
-    let asks: Vec<Ask> = (0..requests).map(|n| ask(&format!("p{n}"), 2_000, 1_000)).collect();
+    let asks: Vec<Query> = (0..requests).map(|n| ask(&format!("p{n}"), 2_000, 1_000)).collect();
     let mut known = fleet(0..runners);
     let by_scheduler: Vec<RunnerId> = asks
         .iter()
@@ -197,7 +197,7 @@
     let next = decide(&register, &second, now + MS * 20, 2);
     assert_eq!(prefill_runner(&next), prefill_runner(&decision));
     let Decision::Placed { placement, .. } = next else { panic!("not placed") };
-    assert_eq!(placement.fresh, 500);
+    assert_eq!(placement.prefill_tokens, 500);
 }
 
 /// A runner looked busy for ever, or idle while it was not: loads were reported as differences, and
@@ -237,7 +237,7 @@
     let of_pool: Vec<RunnerId> =
         register.runners().filter(|r| r.pool == pool).map(|r| r.entry.id.clone()).collect();
     for id in &of_pool {
-        register.get_mut(id).expect("known").learn(Lesson::Outcome(Outcome::Gone), now);
+        register.get_mut(id).expect("known").learn(Observation::Outcome(Outcome::Gone), now);
     }
     assert!(!of_pool.contains(&prefill_runner(&decide(&register, &asked, now, 1))));
 }
@@ -248,12 +248,12 @@
     let mut register = fleet(0..3);
     let flood = ask("flood", 200_000, 200_000);
     for n in 0..40 {
-        let firm = Ask { step: Step::Start(Firmness::HasRun), ..flood.clone() };
+        let firm = Query { step: Step::Start(Firmness::HasRun), ..flood.clone() };
         let decision = decide(&register, &firm, now, n);
         scheduler::note(&mut register, &node(1), &firm, &decision, &ENGINE, now);
     }
     assert!(matches!(decide(&register, &ask("a", 9_000, 9_000), now, 1), Decision::Late(_)));
-    let firm = Ask { step: Step::Start(Firmness::HasRun), ..ask("a", 9_000, 9_000) };
+    let firm = Query { step: Step::Start(Firmness::HasRun), ..ask("a", 9_000, 9_000) };
     let Decision::Placed { class, .. } = decide(&register, &firm, now, 1) else {
         panic!("a request that has run is placed as late work rather than refused");
     };
@@ -268,7 +268,7 @@
     let mut register = fleet(0..3);
     let runner = register.get_mut(&id(0)).expect("known");
     for _ in 0..30 {
-        runner.learn(Lesson::Reading { predicted: 0.1, reading: 0.01, seen: 0.5 }, now);
+        runner.learn(Observation::Prefill { predicted: 0.1, prefill: 0.01, seen: 0.5 }, now);
     }
     assert!(runner.pace.factor() < 1.25, "{}", runner.pace.factor());
 }
@@ -284,10 +284,10 @@
     for _ in 0..10 {
         let pace = runner.pace.factor();
         for _ in 0..20 {
-            runner.learn(Lesson::Reading { predicted: 0.06, reading: 0.006, seen: 0.06 }, now);
+            runner.learn(Observation::Prefill { predicted: 0.06, prefill: 0.006, seen: 0.06 }, now);
         }
         let predicted = 0.5 * pace;
-        runner.learn(Lesson::Reading { predicted, reading: predicted, seen: 1.0 }, now);
+        runner.learn(Observation::Prefill { predicted, prefill: predicted, seen: 1.0 }, now);
     }
     assert!(runner.pace.factor() > 1.5, "{}", runner.pace.factor());
 }
--- a/lib/tests/suspect.rs
+++ b/lib/tests/suspect.rs
@@ -4,15 +4,17 @@
 
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
 use sardinepick_lib::fleet::runner::Tag;
-use sardinepick_lib::fleet::suspect::{End, MOST_ENDS, Reach, Suspects, counting};
+use sardinepick_lib::fleet::suspect::{
+    MAX_ENDS, RunProgress, RunnerEnd, Suspects, choose_counting_nodes,
+};
 use sardinepick_lib::id::NodeId;
 
 fn request(n: u64) -> Fingerprint {
     Fingerprint::of(&[&n.to_le_bytes()])
 }
 
-fn end(life: u64, events: u64) -> End {
-    End { life: Tag(life), reach: Reach { events, begun: true } }
+fn end(life: u64, events: u64) -> RunnerEnd {
+    RunnerEnd { life: Tag(life), reach: RunProgress { events, begun: true } }
 }
 
 fn noted(ends: &[(u64, u64)]) -> usize {
@@ -57,7 +59,7 @@
 #[test]
 fn note_many_ends_bounded() {
     let ends: Vec<(u64, u64)> = (0..100).map(|life| (life, 0)).collect();
-    assert_eq!(noted(&ends), MOST_ENDS);
+    assert_eq!(noted(&ends), MAX_ENDS);
 }
 
 /// A caller that sends thousands of different requests at each end of a runner does not displace a
@@ -82,7 +84,7 @@
         suspects.note(request(2), end(life, 0), now);
     }
     suspects.note(request(2), end(9, 0), now);
-    suspects.excuse(&[Tag(1), Tag(2), Tag(3)], &request(1));
+    suspects.discount(&[Tag(1), Tag(2), Tag(3)], &request(1));
     assert_eq!(suspects.get(&request(1)).map(|s| s.ends().len()), Some(3));
     assert_eq!(suspects.get(&request(2)).map(|s| s.ends().len()), Some(1));
 }
@@ -107,12 +109,12 @@
 fn counting_first_lost_second_goes_on() {
     for count in [1, 2, 6, 550] {
         let all = nodes(count);
-        let both = counting(&request(7), all.iter());
-        assert_eq!(both, counting(&request(7), all.iter().rev()));
+        let both = choose_counting_nodes(&request(7), all.iter());
+        assert_eq!(both, choose_counting_nodes(&request(7), all.iter().rev()));
         assert_eq!(both.len(), count.min(2));
         if let [first, second] = both[..] {
             let left = all.iter().filter(|id| *id != first);
-            assert_eq!(counting(&request(7), left)[0], second);
+            assert_eq!(choose_counting_nodes(&request(7), left)[0], second);
         }
     }
 }
@@ -123,7 +125,7 @@
     let all = nodes(550);
     let mut counts = std::collections::HashMap::new();
     for n in 0..11_000 {
-        for id in counting(&request(n), all.iter()) {
+        for id in choose_counting_nodes(&request(n), all.iter()) {
             *counts.entry(id.clone()).or_insert(0) += 1;
         }
     }
--- a/node/src/back_off/mod.rs
+++ b/node/src/back_off/mod.rs
@@ -8,7 +8,7 @@
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::decimal::DecimalError;
 use sardinepick_lib::fleet::register::Register;
-use sardinepick_lib::fleet::runner::Stay;
+use sardinepick_lib::fleet::runner::Registration;
 
 use crate::lock::lock;
 use crate::serve::metrics::Metrics;
@@ -27,10 +27,15 @@
     }
 
     /// Notes that a runner has rejected `request`, and how long it is to be left out.
-    pub fn note_refused(&self, stay: &Stay, request: &str, after: Result<Duration, DecimalError>) {
+    pub fn note_refused(
+        &self,
+        stay: &Registration,
+        request: &str,
+        after: Result<Duration, DecimalError>,
+    ) {
         let now = self.clock.now();
         let mut register = lock(&self.register);
-        let Some(runner) = register.in_stay_mut(stay) else { return };
+        let Some(runner) = register.registered_mut(stay) else { return };
         let outcome = match &after {
             Ok(after) if runner.back_off.note(*after, now) => "begun",
             Ok(_) => "extended",
--- a/node/src/dispatch/mod.rs
+++ b/node/src/dispatch/mod.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::Request;
 use sardinepick_lib::clock::Clock;
-use sardinepick_lib::fleet::runner::Stay;
+use sardinepick_lib::fleet::runner::Registration;
 use sardinepick_lib::id::RunnerId;
 use sardinepick_platform::answer::speaks_for;
 use sardinepick_platform::signal::{back_off, is_leaving, rate_limit};
@@ -37,7 +37,7 @@
     /// The runner.
     pub runner: &'a RunnerId,
     /// The life of it in which the request is counted; none if the runner is not known any more.
-    pub stay: Option<&'a Stay>,
+    pub stay: Option<&'a Registration>,
     /// Its address.
     pub address: SocketAddr,
 }
--- a/node/src/drain/mod.rs
+++ b/node/src/drain/mod.rs
@@ -8,7 +8,7 @@
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::fleet::outbox::Outbox;
 use sardinepick_lib::fleet::register::Register;
-use sardinepick_lib::fleet::runner::{Runner, Stay, Tag};
+use sardinepick_lib::fleet::runner::{Registration, Runner, Tag};
 use tokio::sync::Notify;
 
 use crate::lock::lock;
@@ -36,8 +36,8 @@
     }
 
     /// Notes that a runner has said in its answer to `request` that it leaves.
-    pub fn note_answer(&self, stay: &Stay, request: &str) {
-        let is_new = lock(&self.register).in_stay_mut(stay).is_some_and(Runner::note_leaving);
+    pub fn note_answer(&self, stay: &Registration, request: &str) {
+        let is_new = lock(&self.register).registered_mut(stay).is_some_and(Runner::note_leaving);
         if is_new {
             log::info!(
                 runner:% = stay.id, request = request, source = "answer";
@@ -85,7 +85,7 @@
     /// The runners that leave by their own word.
     pub fn all(&self) -> Vec<Tag> {
         let register = lock(&self.register);
-        let leaving = register.runners().filter(|runner| runner.has_said_leaving());
+        let leaving = register.runners().filter(|runner| runner.has_announced_leaving());
         leaving.map(|runner| runner.entry.tag()).collect()
     }
 
--- a/node/src/limit/mod.rs
+++ b/node/src/limit/mod.rs
@@ -12,12 +12,12 @@
 
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::decimal::DecimalError;
-use sardinepick_lib::fleet::limit::{Announced, Change, Limit, Notice, Rate};
+use sardinepick_lib::fleet::limit::{Announced, Announcement, Change, Limit, Rate};
 use sardinepick_lib::fleet::outbox::Outbox;
 use sardinepick_lib::fleet::pool::Pool;
 use sardinepick_lib::fleet::register::Register;
 use sardinepick_lib::fleet::roster::{Roster, Standing};
-use sardinepick_lib::fleet::runner::{Runner, Stay, Tag};
+use sardinepick_lib::fleet::runner::{Registration, Runner, Tag};
 use sardinepick_lib::fleet::scheduler;
 use sardinepick_lib::id::{RunnerId, ServiceId};
 use sardinepick_wire::schedule::Schedule;
@@ -33,7 +33,7 @@
 pub mod news;
 
 /// The timeout of a request for a permit; that of a request to a scheduler.
-const PATIENCE: Duration = scheduler::PATIENCE;
+const PATIENCE: Duration = scheduler::REPLY_TIMEOUT;
 /// How long no permit is requested after a timeout, or from a node that does not grant by its own view.
 /// The nodes' views agree within a second.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -95,7 +95,7 @@
         let first = scheduler::holder(service, pool, ids);
         match others.iter().find(|contact| Some(&contact.id) == first) {
             Some(contact) => Grantor::Other(contact.peer),
-            None => Grantor::Me(roster.part()),
+            None => Grantor::Me(roster.present_fraction()),
         }
     }
 
@@ -154,7 +154,7 @@
         &self,
         peer: SocketAddr,
         runner: Tag,
-        notice: Notice,
+        notice: Announcement,
     ) -> Option<Result<(), Duration>> {
         let (number, answer) = lock(&self.asked).register();
         let age = self.clock.now().saturating_duration_since(notice.at);
@@ -195,7 +195,7 @@
     /// Takes in what an answer of a runner announces, to the request `request` that was sent at `sent`.
     pub fn note_answer(
         &self,
-        stay: &Stay,
+        stay: &Registration,
         request: &str,
         sent: Instant,
         named: Result<Option<Rate>, DecimalError>,
@@ -203,7 +203,7 @@
         let now = self.clock.now();
         let tag = Tag::of(&stay.id, stay.born);
         let mut register = lock(&self.register);
-        let Some(runner) = register.in_stay_mut(stay) else { return };
+        let Some(runner) = register.registered_mut(stay) else { return };
         let named = match named {
             Ok(named) => named,
             Err(error) => {
@@ -241,8 +241,8 @@
 }
 
 /// What identifies a runner with a rate limit and its grantor; none where there is no limit.
-fn limited(runner: &Runner) -> Option<(Tag, ServiceId, Pool, Notice)> {
-    let notice = runner.limit.notice().filter(|notice| notice.rate.is_some())?;
+fn limited(runner: &Runner) -> Option<(Tag, ServiceId, Pool, Announcement)> {
+    let notice = runner.limit.announcement().filter(|notice| notice.rate.is_some())?;
     let (service, pool) = place(runner);
     Some((runner.entry.tag(), service, pool, notice))
 }
--- a/node/src/limit/news.rs
+++ b/node/src/limit/news.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use sardinepick_lib::fleet::limit::{Announced, Notice};
+use sardinepick_lib::fleet::limit::{Announced, Announcement};
 use sardinepick_lib::fleet::runner::Tag;
 
 use super::{Limiter, log_change};
@@ -19,7 +19,7 @@
         let register = lock(&self.register);
         let mut told = Vec::new();
         for (tag, since) in outbox.take(again, now) {
-            let notice = register.by_tag(tag).and_then(|runner| runner.limit.notice());
+            let notice = register.by_tag(tag).and_then(|runner| runner.limit.announcement());
             match notice.filter(|notice| notice.rate.is_some() || since <= ENDED) {
                 Some(notice) => told.push(announced(tag, &notice, now)),
                 None => outbox.forget(tag),
@@ -33,7 +33,7 @@
         let now = self.clock.now();
         let register = lock(&self.register);
         let limited = register.runners().filter_map(|runner| {
-            let notice = runner.limit.notice().filter(|notice| notice.rate.is_some())?;
+            let notice = runner.limit.announcement().filter(|notice| notice.rate.is_some())?;
             Some(announced(runner.entry.tag(), &notice, now))
         });
         limited.collect()
@@ -52,9 +52,9 @@
             let mut register = lock(&self.register);
             let Some(runner) = register.by_tag_mut(*tag) else { continue };
             let id = runner.entry.id.clone();
-            let is_outdated = runner.limit.notice().is_some_and(|known| known.at > at);
+            let is_outdated = runner.limit.announcement().is_some_and(|known| known.at > at);
             let differs = runner.limit.rate() != *rate;
-            let change = runner.limit.take_notice(Notice { rate: *rate, at });
+            let change = runner.limit.take_announcement(Announcement { rate: *rate, at });
             drop(register);
             if let Some(change) = change {
                 log_change(&id, change, "", from);
@@ -68,6 +68,6 @@
     }
 }
 
-fn announced(runner: Tag, notice: &Notice, now: Instant) -> Announced {
+fn announced(runner: Tag, notice: &Announcement, now: Instant) -> Announced {
     Announced { runner, rate: notice.rate, age: now.saturating_duration_since(notice.at) }
 }
--- a/node/src/serve/answer.rs
+++ b/node/src/serve/answer.rs
@@ -7,7 +7,7 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt as _, Full};
-use sardinepick_lib::fleet::gate::Reason;
+use sardinepick_lib::fleet::admission::Reason;
 use sardinepick_platform::answer::{forwarded, retry_after};
 use strum::{Display, IntoStaticStr};
 use thiserror::Error;
--- a/node/src/serve/beat.rs
+++ b/node/src/serve/beat.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use rand::seq::IteratorRandom as _;
-use sardinepick_lib::fleet::mark::Mark;
-use sardinepick_lib::fleet::quarantine::MOST_TOLD;
-use sardinepick_lib::fleet::roster::{PERIOD, Record, Standing, Status};
+use sardinepick_lib::fleet::quarantine::MAX_ENTRIES_PER_MESSAGE;
+use sardinepick_lib::fleet::register_version::RegisterVersion;
+use sardinepick_lib::fleet::roster::{HEARTBEAT_PERIOD, Record, Standing, Status};
 use sardinepick_wire::beat::{Beat, MOST_BYTES};
 use sardinepick_wire::fleet as pb;
 use sardinepick_wire::{schedule, usage};
@@ -40,14 +40,14 @@
     let mut count: u64 = 0;
     let mut next = Instant::now();
     // Up to where the register's changes have been passed on.
-    let mut passed_on = Mark::default();
+    let mut passed_on = RegisterVersion::default();
     loop {
         let due = tokio::select! {
             () = sleep_until(next) => true,
             () = shared.beat_now.notified() => false,
         };
         if due {
-            next = Instant::now() + PERIOD;
+            next = Instant::now() + HEARTBEAT_PERIOD;
             count += 1;
             if count.is_multiple_of(GREETING) {
                 greet(&shared, &socket).await;
@@ -60,7 +60,7 @@
             let mut roster = shared.roster();
             roster.set_me(status.standing, status.served);
             let asked = roster.tick(now);
-            let records = roster.take_news();
+            let records = roster.take_updates();
             let watchers = roster.watchers().to_vec();
             drop(roster);
             let beat = Beat { records, ..beat(&shared, status) };
@@ -103,14 +103,14 @@
     }
     shared.metrics.nodes.set(roster.fronts().len() as i64);
     let has_signals = shared.limiter.has_news() || shared.drains.has_news();
-    if roster.has_news() || quarantine::news::has_news(shared) || has_signals {
+    if roster.has_updates() || quarantine::news::has_news(shared) || has_signals {
         shared.beat_now.notify_one();
     }
 }
 
 /// What has changed in the register since it was passed on last, if it is little. Each node passes a
 /// change on once, as soon as it knows it.
-fn news(shared: &Shared, passed_on: &mut Mark) -> Option<pb::Knowledge> {
+fn news(shared: &Shared, passed_on: &mut RegisterVersion) -> Option<pb::Knowledge> {
     let knowledge = shared.knowledge();
     let (since, mark) = (*passed_on, knowledge.mark());
     if mark <= since {
@@ -215,11 +215,11 @@
     let (fresh, mistaken, differs) = {
         let mut roster = shared.roster();
         take_records(&mut roster, std::slice::from_ref(&told.sender), now);
-        roster.take_beat(&told.sender, told.status, now);
+        roster.apply_heartbeat(&told.sender, told.status, now);
         take_records(&mut roster, &told.records, now);
         let differs = roster.note_digest(&told.sender.contact.id, told.digest, now);
-        let mistaken = roster.is_mistaken(&told.sender).cloned();
-        (roster.has_news(), mistaken, differs)
+        let mistaken = roster.superseding_record(&told.sender).cloned();
+        (roster.has_updates(), mistaken, differs)
     };
     shared.history.note_told(told.status.register.era, told.sender.contact.id.as_str());
     if let Some(time) = told.time {
@@ -246,13 +246,15 @@
     }
     if told.answer || mistaken.is_some() {
         // Whoever asks may know nobody else yet.
-        let mut records = shared.roster().some(&mut *shared.rng());
+        let mut records = shared.roster().sample(&mut *shared.rng());
         records.extend(mistaken);
         let answer = Beat { records, ..beat(shared, mine) };
         let peer = told.sender.contact.peer;
         transmit(shared, socket, &answer.encode(), peer).await;
         // It must not send to runners what ends them until it has compared lists.
-        for quarantined in quarantine::news::all(shared).chunks(MOST_TOLD).take(MOST_MESSAGES) {
+        for quarantined in
+            quarantine::news::all(shared).chunks(MAX_ENTRIES_PER_MESSAGE).take(MOST_MESSAGES)
+        {
             let more = Beat { quarantined: quarantined.to_vec(), ..beat(shared, mine) };
             transmit(shared, socket, &more.encode(), peer).await;
         }
@@ -266,7 +268,7 @@
     now: std::time::Instant,
 ) {
     for record in records {
-        if roster.take_record(record, now) {
+        if roster.apply_record(record, now) {
             // Where hundreds start together, a line for each at each would be a hundred thousand.
             let usual = record.standing != Standing::Leaving && record.served && !record.silent;
             log::log!(
--- a/node/src/serve/crash.rs
+++ b/node/src/serve/crash.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use sardinepick_lib::fleet::runner::Tag;
-use sardinepick_lib::fleet::suspect::Reach;
+use sardinepick_lib::fleet::suspect::RunProgress;
 use tokio::sync::OnceCell;
 use tokio::time::sleep;
 
@@ -70,7 +70,7 @@
     shared: &Shared,
     ticket: &Ticket,
     request: &Request,
-    reach: Reach,
+    reach: RunProgress,
 ) -> Option<Tag> {
     let (life, address) = ticket
         .with_runner(|r| (!r.is_leaving()).then(|| (r.entry.tag(), r.entry.address)))
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/follow.rs
@@ -10,9 +10,9 @@
 
 use bytes::Bytes;
 use sardinepick_lib::account::directory::Directory;
-use sardinepick_lib::fleet::mark::Mark;
 use sardinepick_lib::fleet::outage::DOUBT;
 use sardinepick_lib::fleet::register::Change as Changed;
+use sardinepick_lib::fleet::register_version::RegisterVersion;
 use sardinepick_lib::fleet::runner::State;
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::RunnerId;
@@ -166,7 +166,7 @@
                 let (id, at) = (entry.id.clone(), entry.at);
                 let (address, changed) = (entry.address, shared.register().apply(entry));
                 log_change(&id, changed, at, source);
-                if changed == Changed::Reborn {
+                if changed == Changed::Restarted {
                     // Nobody is left to answer at the other end of them.
                     shared.connections.forget(address);
                 }
@@ -188,7 +188,7 @@
         match changed {
             Changed::Removed => foreign.push(object.name),
             // It is known already, or of a former life, which is not to be told on.
-            Changed::None | Changed::Former => {}
+            Changed::None | Changed::Outdated => {}
             _ => taken.push(object),
         }
     }
@@ -200,7 +200,7 @@
 
 fn disown(shared: &Shared, object: &Object, source: &'static str) -> Changed {
     let Ok(id) = RunnerId::try_from(object.name.clone()) else { return Changed::None };
-    let changed = shared.register().disown(&id, object.at);
+    let changed = shared.register().reject(&id, object.at);
     log_change(&id, changed, object.at, source);
     changed
 }
@@ -208,10 +208,10 @@
 fn log_change(id: &RunnerId, change: Changed, at: Point, source: &'static str) {
     let what: &'static str = match change {
         Changed::Added => "runner added",
-        Changed::Reborn => "runner started again",
-        Changed::Former => "entry of a runner's former life",
+        Changed::Restarted => "runner started again",
+        Changed::Outdated => "entry of a runner's former life",
         Changed::Leaving => "runner leaves",
-        Changed::Doubted => "runner's entry lapsed while the store was away",
+        Changed::Missing => "runner's entry lapsed while the store was away",
         Changed::Removed => "runner gone",
         Changed::Updated => "runner changed",
         Changed::None => return,
@@ -228,13 +228,14 @@
     let misses = shared.register().runners().any(|r| !named.contains(r.entry.id.as_str()));
     // Whoever knows that there is no runner knows more than a node that knows nothing, to whom it has
     // to be told: without it, nodes of a deployment without runners do not get ready.
-    let mark = Mark::of(if misses { as_of } else { newest }).at_least_first();
+    let mark = RegisterVersion::of(if misses { as_of } else { newest }).at_least_first();
     Difference { whole: true, entries, mark, ..Difference::default() }
 }
 
 /// What a watch brought, as a difference. One that brought nothing makes nothing newer.
 pub fn difference(changes: Vec<Change>, as_of: Point) -> Difference {
-    let mark = if changes.is_empty() { Mark::default() } else { Mark::of(as_of) };
+    let mark =
+        if changes.is_empty() { RegisterVersion::default() } else { RegisterVersion::of(as_of) };
     let mut difference = Difference { mark, ..Difference::default() };
     for change in changes {
         match change {
@@ -275,7 +276,7 @@
     let mut doubted = Vec::new();
     gone.retain(|name| {
         let changed = remove(name, doubt);
-        if changed == Changed::Doubted {
+        if changed == Changed::Missing {
             doubted.push(name.clone());
         }
         changed == Changed::Removed
@@ -283,7 +284,7 @@
     // What another node doubts this one doubts too, for as long from now on.
     for name in told.doubted {
         match remove(&name, Some(shared.clock.now() + DOUBT)) {
-            Changed::Doubted => doubted.push(name),
+            Changed::Missing => doubted.push(name),
             Changed::Removed => gone.push(name),
             _ => {}
         }
--- a/node/src/serve/generation/admit.rs
+++ b/node/src/serve/generation/admit.rs
@@ -2,11 +2,11 @@
 
 use std::time::{Duration, Instant};
 
-use sardinepick_lib::fleet::gate::Reason;
+use sardinepick_lib::fleet::admission::Reason;
 use sardinepick_lib::fleet::load::Class;
-use sardinepick_lib::fleet::place::Placement;
+use sardinepick_lib::fleet::placement::Placement;
 use sardinepick_lib::fleet::scheduler::{self, Decision, Firmness, Step};
-use sardinepick_lib::fleet::suspect::ENDS;
+use sardinepick_lib::fleet::suspect::QUARANTINE_ENDS;
 use sardinepick_lib::id::RunnerId;
 
 use smallvec::SmallVec;
@@ -25,7 +25,7 @@
     async fn decide(&self, step: Step) -> Option<Decision> {
         let engine = self.request.engine?;
         let now = self.shared.clock.now();
-        let ask = scheduler::Ask {
+        let ask = scheduler::Query {
             service: self.request.service.clone(),
             data_centre: self.shared.me.data_centre.clone(),
             terms: self.request.terms(now),
@@ -51,8 +51,8 @@
         class: Class,
         reader: &RunnerId,
     ) -> Result<RunnerId, Stop> {
-        match self.decide(Step::GoOn { reader: reader.clone(), class }).await {
-            Some(Decision::GoesOn(runner)) => Ok(runner),
+        match self.decide(Step::Continue { reader: reader.clone(), class }).await {
+            Some(Decision::Continue(runner)) => Ok(runner),
             Some(Decision::RateLimited(wait)) => Err(Stop::Refuse(self.refuse_limited(wait))),
             _ => Err(Stop::Refuse(self.give_up(Reason::NoRunner))),
         }
@@ -89,7 +89,7 @@
         match self.give_up(Reason::RateLimited) {
             Refusal::NotRun(reason, _) => {
                 let terms = self.request.terms(self.shared.clock.now());
-                Refusal::NotRun(reason, terms.come_back_after(wait, &mut *self.shared.rng()))
+                Refusal::NotRun(reason, terms.retry_delay_after(wait, &mut *self.shared.rng()))
             }
             other => other,
         }
@@ -98,7 +98,7 @@
     fn note_demand(&self, placement: &Placement) {
         if self.calls == 0 {
             let mut demand = self.shared.demand();
-            demand.entry(self.request.service.clone()).or_default().note(placement.fresh);
+            demand.entry(self.request.service.clone()).or_default().note(placement.prefill_tokens);
         }
     }
 
@@ -107,12 +107,12 @@
         let terms = self.request.terms(self.shared.clock.now());
         log::info!(
             request:% = self.request.id, first_ms = millis(placement.first),
-            read_ms = millis(placement.read), fresh = placement.fresh,
+            read_ms = millis(placement.read), fresh = placement.prefill_tokens,
             left_ms = terms.left.as_millis() as u64,
             objective_ms = terms.objective.map(|o| o.as_millis() as u64);
             "gate refuses"
         );
-        let after = terms.come_back(placement.first, &mut *self.shared.rng());
+        let after = terms.retry_delay(placement.first, &mut *self.shared.rng());
         match self.give_up(Reason::Late) {
             Refusal::NotRun(reason, _) => Refusal::NotRun(reason, after),
             other => other,
@@ -132,7 +132,7 @@
         match admission {
             Admission::Refused => Err(Stop::Refuse(Refusal::Quarantined)),
             Admission::Trial if self.calls > 0 => Err(Stop::Refuse(Refusal::Quarantined)),
-            Admission::Free if self.ends >= ENDS => Err(Stop::Refuse(Refusal::Broken)),
+            Admission::Free if self.ends >= QUARANTINE_ENDS => Err(Stop::Refuse(Refusal::Broken)),
             Admission::Free => Ok(()),
             Admission::Trial => {
                 self.is_trial = true;
--- a/node/src/serve/generation/mod.rs
+++ b/node/src/serve/generation/mod.rs
@@ -13,12 +13,12 @@
 use http::response::Parts;
 use http::{Response, StatusCode};
 use hyper::body::Frame;
+use sardinepick_lib::fleet::admission::{Reason, urgency};
 use sardinepick_lib::fleet::engine::Work;
-use sardinepick_lib::fleet::gate::{Reason, urgency};
 use sardinepick_lib::fleet::health::Outcome;
 use sardinepick_lib::fleet::load::Class;
-use sardinepick_lib::fleet::place::{Placement, Plan};
-use sardinepick_lib::fleet::register::Share;
+use sardinepick_lib::fleet::placement::{Placement, Plan};
+use sardinepick_lib::fleet::register::WorkCost;
 use sardinepick_lib::id::RunnerId;
 use sardinepick_platform::runner::{self, Call, Step as Ask};
 use smallvec::SmallVec;
@@ -203,7 +203,7 @@
     /// Whether another run is allowed after one that has begun, or may have.
     fn may_run_again(&self) -> bool {
         let route = &self.request.route;
-        route.kind.may_repeat() && self.runs < route.most_attempts
+        route.kind.may_repeat() && self.runs < route.max_attempts
     }
 
     /// The truth about a request whose time is over.
@@ -227,14 +227,17 @@
         log::info!(
             request:% = self.request.id, plan = self.plan, class = class.index(),
             prefill = prefill(&placement.plan), decode = decode(&placement.plan),
-            first_ms = millis(placement.first), fresh = placement.fresh,
+            first_ms = millis(placement.first), fresh = placement.prefill_tokens,
             fetch = placement.fetch.as_ref().map_or("", RunnerId::as_str), prompt = self.work.prompt,
             fingerprint:% = self.request.fingerprint, attempt = self.calls + 1; "placed"
         );
         match &placement.plan {
             Plan::Whole { runner } => {
-                let share =
-                    Share { class, fresh: placement.fresh, footprint: self.work.footprint() };
+                let share = WorkCost {
+                    class,
+                    prefill_tokens: placement.prefill_tokens,
+                    footprint: self.work.footprint(),
+                };
                 let runner = runner.clone();
                 self.run_at(&runner, Ask::Run, share, &placement).await
             }
@@ -251,13 +254,17 @@
         class: Class,
         placement: &Placement,
     ) -> Result<Came, Stop> {
-        let share = Share { class, fresh: placement.fresh, footprint: self.work.prompt };
+        let share = WorkCost {
+            class,
+            prefill_tokens: placement.prefill_tokens,
+            footprint: self.work.prompt,
+        };
         let Some(handle) = self.read_at(prefill, share, placement).await? else {
             self.tried.push(prefill.clone());
             return Ok(Came::NotRun);
         };
         let mut spare = SpareHandle::new(&self.shared, prefill, handle.clone());
-        let share = Share { class, fresh: 0, footprint: self.work.footprint() };
+        let share = WorkCost { class, prefill_tokens: 0, footprint: self.work.footprint() };
         let came = loop {
             let decode = self.place_decode(class, prefill).await?;
             match self.run_at(&decode, Ask::RunFrom(handle.clone()), share, placement).await {
--- a/node/src/serve/generation/read.rs
+++ b/node/src/serve/generation/read.rs
@@ -7,10 +7,10 @@
 use http::StatusCode;
 use sardinepick_lib::fleet::cache::Progress;
 use sardinepick_lib::fleet::health::Outcome;
-use sardinepick_lib::fleet::patience;
-use sardinepick_lib::fleet::place::Placement;
-use sardinepick_lib::fleet::register::{Reading, Share};
+use sardinepick_lib::fleet::placement::Placement;
+use sardinepick_lib::fleet::register::{PrefillReport, WorkCost};
 use sardinepick_lib::fleet::runner::Tag;
+use sardinepick_lib::fleet::timeout;
 use sardinepick_lib::id::RunnerId;
 use sardinepick_platform::answer::{Verdict, judge};
 use sardinepick_platform::error::FormatError;
@@ -71,7 +71,7 @@
     pub(super) async fn read_at(
         &mut self,
         id: &RunnerId,
-        share: Share,
+        share: WorkCost,
         placement: &Placement,
     ) -> Result<Option<Handle>, Stop> {
         self.pay()?;
@@ -81,8 +81,8 @@
         let Some(address) = self.address(id) else { return Ok(None) };
         let fetch = placement.fetch.as_ref().and_then(|source| self.address(source));
         let outgoing = self.outgoing(id, Ask::Read, share.class, left, fetch);
-        let limit = patience::reading(share.class, placement.read, left);
-        self.note_cached(&ticket, Progress::Begun);
+        let limit = timeout::prefill(share.class, placement.read, left);
+        self.note_cached(&ticket, Progress::Started);
         let request_id = self.request.id.clone();
         let reading = async {
             let target = ticket.target(address);
@@ -104,13 +104,13 @@
                 self.has_read = true;
                 ticket.conclude(Outcome::Answered);
                 log::info!(
-                    request:% = self.request.id, runner:% = id, fresh = placement.fresh,
+                    request:% = self.request.id, runner:% = id, fresh = placement.prefill_tokens,
                     predicted_ms = millis(placement.read),
                     held_ms = ticket.held().as_millis() as u64; "prompt read"
                 );
                 let held = ticket.held().as_secs_f64();
-                ticket.learn(placement.lesson(placement.read, held));
-                self.note_cached(&ticket, Progress::Read);
+                ticket.learn(placement.observation(placement.read, held));
+                self.note_cached(&ticket, Progress::Prefilled);
                 Ok(Some(handle))
             }
             Err(error) => {
@@ -141,10 +141,10 @@
             runner.cache.note(&self.work.chain, progress, now);
         });
         // That it has begun the scheduler knows, which has placed it.
-        if progress == Progress::Read {
+        if progress == Progress::Prefilled {
             let tag = Tag::of(&stay.id, stay.born);
             let parts = self.work.chain.0.iter();
-            let readings = parts.map(|part| Reading { runner: tag, part: *part, progress });
+            let readings = parts.map(|part| PrefillReport { runner: tag, part: *part, progress });
             self.shared.scheduling.note_readings(readings);
         }
     }
--- a/node/src/serve/generation/stream.rs
+++ b/node/src/serve/generation/stream.rs
@@ -12,11 +12,11 @@
 use sardinepick_lib::fleet::cache::Progress;
 use sardinepick_lib::fleet::event::{Event, Splitter};
 use sardinepick_lib::fleet::health::Outcome;
-use sardinepick_lib::fleet::patience;
-use sardinepick_lib::fleet::place::Placement;
-use sardinepick_lib::fleet::register::Share;
-use sardinepick_lib::fleet::scheduler::Lesson;
-use sardinepick_lib::fleet::suspect::Reach;
+use sardinepick_lib::fleet::placement::Placement;
+use sardinepick_lib::fleet::register::WorkCost;
+use sardinepick_lib::fleet::scheduler::Observation;
+use sardinepick_lib::fleet::suspect::RunProgress;
+use sardinepick_lib::fleet::timeout;
 use sardinepick_lib::id::{RunnerId, ServiceId};
 use sardinepick_platform::answer::{Verdict, is_stream, judge};
 use sardinepick_platform::runner::Step as Ask;
@@ -40,7 +40,7 @@
         &mut self,
         id: &RunnerId,
         step: Ask,
-        share: Share,
+        share: WorkCost,
         placement: &Placement,
     ) -> Result<Came, Stop> {
         self.pay()?;
@@ -53,7 +53,7 @@
         let fetch = placement.fetch.as_ref().filter(|_| is_whole);
         let fetch = fetch.and_then(|source| self.address(source));
         if is_whole {
-            self.note_cached(&ticket, Progress::Begun);
+            self.note_cached(&ticket, Progress::Started);
         }
         let outgoing = self.outgoing(id, step, share.class, left, fetch);
         // A run that may be repeated is not left with a runner that gives no sign of life.
@@ -127,7 +127,7 @@
 
     /// How long a runner may be silent before the request goes on elsewhere.
     fn silence(&self, predicted: f64) -> Duration {
-        patience::silence(self.request.route.pause, predicted)
+        timeout::stall(self.request.route.pause, predicted)
     }
 
     /// Takes an answer that is no stream: a failure of the runner's, signed by it.
@@ -184,7 +184,7 @@
                 Ok(None) => {
                     let now = self.shared.clock.now();
                     if let Some(took) = began.map(|at| now.saturating_duration_since(at)) {
-                        ticket.learn(Lesson::Stream(took.as_secs_f64()));
+                        ticket.learn(Observation::Stream(took.as_secs_f64()));
                     }
                     return self.ended(ticket, &head, &splitter, lease).await;
                 }
@@ -214,9 +214,9 @@
                     ticket.note_read();
                     if let Some(placement) = placement {
                         let held = ticket.held().as_secs_f64();
-                        ticket.learn(placement.lesson(placement.first, held));
+                        ticket.learn(placement.observation(placement.first, held));
                     }
-                    self.note_cached(ticket, Progress::Read);
+                    self.note_cached(ticket, Progress::Prefilled);
                 }
                 ticket.note_life();
                 if !self.pass(&head, event).await {
@@ -228,7 +228,7 @@
 
     /// Notes whether the runner of a call that broke off has ended under it.
     pub(super) async fn note_broken(&mut self, ticket: &Ticket, begun: bool) {
-        let reach = Reach { events: self.events, begun };
+        let reach = RunProgress { events: self.events, begun };
         let ends = quarantine::count::note_broken(&self.shared, ticket, &self.request, reach).await;
         self.ends = self.ends.max(ends);
     }
--- a/node/src/serve/inventory.rs
+++ b/node/src/serve/inventory.rs
@@ -13,7 +13,7 @@
 
 use sardinepick_lib::fleet::cache::{Part, Progress};
 use sardinepick_lib::fleet::pool::Pool;
-use sardinepick_lib::fleet::runner::{Entry, Stay};
+use sardinepick_lib::fleet::runner::{Entry, Registration};
 use sardinepick_lib::id::ServiceId;
 use sardinepick_platform::runner::{Kept, ask_kept, read_kept};
 use tokio::time::timeout;
@@ -33,10 +33,10 @@
 
 /// Asks the runners of a pool that this node has begun to schedule.
 pub async fn run(shared: Arc<Shared>, service: ServiceId, pool: Pool) {
-    let entries: Vec<(Entry, Stay)> = {
+    let entries: Vec<(Entry, Registration)> = {
         let register = shared.register();
         let engines = register.of(&service).filter(|r| r.entry.stage.is_some() && r.pool == pool);
-        engines.map(|r| (r.entry.clone(), r.stay())).collect()
+        engines.map(|r| (r.entry.clone(), r.registration())).collect()
     };
     let asked =
         entries.into_iter().map(|(entry, stay)| tokio::spawn(ask(shared.clone(), entry, stay)));
@@ -47,7 +47,7 @@
     }
 }
 
-async fn ask(shared: Arc<Shared>, entry: Entry, stay: Stay) {
+async fn ask(shared: Arc<Shared>, entry: Entry, stay: Registration) {
     let asked = async {
         let request = ask_kept(&entry.id, entry.address);
         let sent = shared.connections.send(entry.address, request, CONNECT_LIMIT);
@@ -65,17 +65,17 @@
     }
 }
 
-fn take(shared: &Shared, stay: &Stay, mut kept: Vec<Kept>) {
+fn take(shared: &Shared, stay: &Registration, mut kept: Vec<Kept>) {
     let parts = kept.len();
     kept.retain(|kept| kept.tokens >= LEAST_TOKENS);
     kept.sort_by_key(|kept| std::cmp::Reverse(kept.tokens));
     kept.truncate(MOST_PARTS);
     let now = shared.clock.now();
-    let kept = kept.iter().map(|kept| Part::kept(&kept.model, &kept.id, kept.tokens));
+    let kept = kept.iter().map(|kept| Part::standalone(&kept.model, &kept.id, kept.tokens));
     let mut counted = 0;
-    if let Some(runner) = shared.register().in_stay_mut(stay) {
+    if let Some(runner) = shared.register().registered_mut(stay) {
         for part in kept {
-            runner.cache.note_part(part, Progress::Read, now);
+            runner.cache.note_part(part, Progress::Prefilled, now);
             counted += 1;
         }
     }
--- a/node/src/serve/join.rs
+++ b/node/src/serve/join.rs
@@ -110,7 +110,7 @@
     for _ in 0..ROUNDS {
         beat::ask(shared, socket, &seeds).await;
         sleep(ROUND_PAUSE).await;
-        let named = shared.roster().some(&mut *shared.rng());
+        let named = shared.roster().sample(&mut *shared.rng());
         let peer = named.first().map(|record| record.contact.peer);
         if let Some(peer) = peer
             && ask_any(shared, &[peer]).await
@@ -160,7 +160,7 @@
             Ok(contact) if contact.id == shared.me.id => {}
             Ok(contact) => {
                 peers.push(contact.peer);
-                shared.roster().introduce(contact, shared.clock.now());
+                shared.roster().add_unheard(contact, shared.clock.now());
             }
             Err(error) => {
                 shared.metrics.foreign.with_label_values(&["node", error.reason()]).inc();
--- a/node/src/serve/knowledge.rs
+++ b/node/src/serve/knowledge.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use sardinepick_lib::fleet::mark::Mark;
+use sardinepick_lib::fleet::register_version::RegisterVersion;
 use sardinepick_platform::store::Object;
 use smol_str::SmolStr;
 
@@ -25,24 +25,24 @@
     /// Entries that are missing since the store was away, and may come back.
     pub doubted: Vec<SmolStr>,
     /// How new this is.
-    pub mark: Mark,
+    pub mark: RegisterVersion,
 }
 
 /// What a node knows.
 #[derive(Clone, Debug, Default)]
 pub struct Knowledge {
     /// The entries of the register of runners, each with the mark under which it became known.
-    runners: BTreeMap<SmolStr, (Mark, Object)>,
-    removed: VecDeque<(Mark, SmolStr)>,
+    runners: BTreeMap<SmolStr, (RegisterVersion, Object)>,
+    removed: VecDeque<(RegisterVersion, SmolStr)>,
     /// Entries in doubt, each with the mark under which it became so. Whoever is told up to that mark
     /// must be told of the doubt: it would else take itself to know all up to there, ask nobody who
     /// knows of the removal, and use a runner that has left for as long as it answers.
-    doubted: BTreeMap<SmolStr, Mark>,
+    doubted: BTreeMap<SmolStr, RegisterVersion>,
     /// Changes up to this one may be missing among the removed.
-    forgotten: Mark,
+    forgotten: RegisterVersion,
     /// How new all of this is. Nodes compare it: what they know can be the same though one has heard
     /// from the store later.
-    mark: Mark,
+    mark: RegisterVersion,
     known: bool,
 }
 
@@ -53,7 +53,7 @@
     }
 
     /// How new this is.
-    pub fn mark(&self) -> Mark {
+    pub fn mark(&self) -> RegisterVersion {
         self.mark
     }
 
@@ -64,7 +64,7 @@
 
     /// Takes in what has changed, all of it at once: whoever is told up to a mark is told all that
     /// it covers.
-    pub fn take(&mut self, entries: Vec<Object>, gone: &[SmolStr], mark: Mark) {
+    pub fn take(&mut self, entries: Vec<Object>, gone: &[SmolStr], mark: RegisterVersion) {
         self.take_with_doubt(entries, gone, &[], mark);
     }
 
@@ -74,7 +74,7 @@
         entries: Vec<Object>,
         gone: &[SmolStr],
         doubted: &[SmolStr],
-        mark: Mark,
+        mark: RegisterVersion,
     ) {
         self.known = true;
         let changes = !(entries.is_empty() && gone.is_empty() && doubted.is_empty());
@@ -110,8 +110,8 @@
     }
 
     /// What has changed for a node whose knowledge is as new as `since`.
-    pub fn since(&self, since: Mark) -> Difference {
-        let whole = since.is_nothing() || since < self.forgotten;
+    pub fn since(&self, since: RegisterVersion) -> Difference {
+        let whole = since.is_unknown() || since < self.forgotten;
         let newer = self.runners.values().filter(|(mark, _)| whole || *mark > since);
         // An entry that went and came back is not gone.
         let is_gone = |name: &SmolStr| !self.runners.contains_key(name);
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -195,7 +195,7 @@
                 "pace": runner.pace.factor(), "own_requests": runner.own.requests,
                 "all_requests": load.requests, "backlog": load.backlog,
                 "cached_tokens": runner.cache.tokens(),
-                "leaving": runner.is_leaving(), "said_leaving": runner.has_said_leaving(),
+                "leaving": runner.is_leaving(), "said_leaving": runner.has_announced_leaving(),
                 "rate_limit": runner.limit.rate(),
                 "opens_in_ms": runner.limit.opens_in(now).as_millis() as u64,
                 "backs_off_ms": runner.back_off.ends_in(now).as_millis() as u64,
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use sardinepick_lib::fleet::balance::{Change, DWELL, Division, TURN_BACK, decide};
+use sardinepick_lib::fleet::balance::{Change, DWELL, REVERSAL_DELAY, StageCounts, decide};
 use sardinepick_lib::fleet::engine::Stage;
 use sardinepick_lib::fleet::route::Configuration;
 use sardinepick_lib::fleet::runner::{Entry, Runner, Tag};
@@ -129,13 +129,13 @@
     fn turns_back(&self, service: &ServiceId, to: Stage, now: Instant) -> bool {
         let last = self.last.get(service);
         last.is_some_and(|(at, stage)| {
-            *stage != to && now.saturating_duration_since(*at) < TURN_BACK
+            *stage != to && now.saturating_duration_since(*at) < REVERSAL_DELAY
         })
     }
 
     /// The runners of a service by stage.
-    fn division(&self, service: &ServiceId, now: Instant) -> Division {
-        let mut division = Division::default();
+    fn division(&self, service: &ServiceId, now: Instant) -> StageCounts {
+        let mut division = StageCounts::default();
         let register = self.shared.register();
         for runner in register.of(service) {
             match (self.on_its_way(&runner.entry, now), runner.entry.stage) {
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use sardinepick_lib::fleet::limit::Announced;
-use sardinepick_lib::fleet::mark::Mark;
+use sardinepick_lib::fleet::register_version::RegisterVersion;
 use sardinepick_lib::fleet::roster::{Contact, Status as RosterStatus};
 use sardinepick_lib::fleet::runner::Tag;
 use sardinepick_lib::history::Era;
@@ -93,7 +93,7 @@
         let now = self.shared.clock.now();
         let mut roster = self.shared.roster();
         take_records(&mut roster, &records, now);
-        if roster.has_news() {
+        if roster.has_updates() {
             self.shared.beat_now.notify_one();
         }
         let records = roster.records();
@@ -123,7 +123,7 @@
     let known = shared.knowledge().mark();
     let mark = read_mark(asked.mark, asked.era, known.era).unwrap_or_else(|error| {
         log::warn!(node = asked.node, error:% = error; "mark of a node is not taken");
-        Mark::default()
+        RegisterVersion::default()
     });
     let difference = shared.knowledge().since(mark);
     if !difference.whole {
@@ -145,7 +145,7 @@
 }
 
 /// A difference for the wire, told unasked to those who know all up to `since`.
-pub fn news(difference: &Difference, since: Mark) -> pb::Knowledge {
+pub fn news(difference: &Difference, since: RegisterVersion) -> pb::Knowledge {
     let era = difference.mark.era;
     pb::Knowledge {
         since: since.order,
--- a/node/src/serve/plain.rs
+++ b/node/src/serve/plain.rs
@@ -6,12 +6,12 @@
 use bytes::Bytes;
 use http::Response;
 use http::response::Parts;
-use sardinepick_lib::fleet::gate::Reason;
+use sardinepick_lib::fleet::admission::Reason;
 use sardinepick_lib::fleet::health::Outcome;
 use sardinepick_lib::fleet::load::Class;
-use sardinepick_lib::fleet::place::{self, Question};
-use sardinepick_lib::fleet::register::Share;
-use sardinepick_lib::fleet::suspect::{ENDS, Reach};
+use sardinepick_lib::fleet::placement::{self, Criteria};
+use sardinepick_lib::fleet::register::WorkCost;
+use sardinepick_lib::fleet::suspect::{QUARANTINE_ENDS, RunProgress};
 use sardinepick_lib::id::RunnerId;
 use sardinepick_platform::answer::{Verdict, judge};
 use sardinepick_platform::runner::{Call, Step as Ask, request as call_request};
@@ -118,7 +118,9 @@
                 match quarantine::admit(self.shared, self.request).await {
                     Admission::Refused => return Err(Refusal::Quarantined),
                     Admission::Trial if self.calls > 0 => return Err(Refusal::Quarantined),
-                    Admission::Free if self.ends >= ENDS => return failed.ok_or(Refusal::Broken),
+                    Admission::Free if self.ends >= QUARANTINE_ENDS => {
+                        return failed.ok_or(Refusal::Broken);
+                    }
                     Admission::Free => {}
                     Admission::Trial => self.is_trial = true,
                 }
@@ -132,16 +134,18 @@
                 return failed.ok_or_else(|| self.give_up(Reason::NoRunner));
             };
             let terms = self.request.terms(now);
-            if self.calls == 0 && !terms.on_time(choice.answer) && !terms.of_use(choice.answer, 0.0)
+            if self.calls == 0
+                && !terms.on_time(choice.answer)
+                && !terms.is_useful(choice.answer, 0.0)
             {
-                let after = terms.come_back(choice.answer, &mut *self.shared.rng());
+                let after = terms.retry_delay(choice.answer, &mut *self.shared.rng());
                 return Err(Refusal::NotRun(Reason::Late, after));
             }
             if self.arrivals > 0 && !self.shared.take_extra(&self.request.service) {
                 return failed.ok_or_else(|| self.give_up(Reason::Budget));
             }
             self.calls += 1;
-            let last = !self.is_repeatable() || self.runs + 1 >= self.request.route.most_attempts;
+            let last = !self.is_repeatable() || self.runs + 1 >= self.request.route.max_attempts;
             match self.call(&choice.runner, left, last).await {
                 Came::Whole(head, body) => {
                     let good = !head.status.is_server_error();
@@ -165,7 +169,7 @@
 
     /// Whether another run is allowed after one that has begun, or may have.
     fn may_run_again(&self) -> bool {
-        self.is_repeatable() && self.runs < self.request.route.most_attempts
+        self.is_repeatable() && self.runs < self.request.route.max_attempts
     }
 
     fn is_repeatable(&self) -> bool {
@@ -180,22 +184,22 @@
         self.request.refusal(self.shared, reason)
     }
 
-    fn choose(&self) -> Option<place::Plain> {
-        let question = Question {
+    fn choose(&self) -> Option<placement::Plain> {
+        let question = Criteria {
             service: &self.request.service,
             pool: None,
             class: Class::of_rank(self.request.route.rank),
-            home: &self.shared.me.data_centre,
+            data_centre: &self.shared.me.data_centre,
             skip: &self.tried,
-            goes_on: false,
+            continues: false,
             now: self.shared.clock.now(),
         };
-        place::plain(&self.shared.register(), &question, &mut *self.shared.rng())
+        placement::place_plain(&self.shared.register(), &question, &mut *self.shared.rng())
     }
 
     async fn call(&mut self, id: &RunnerId, left: Duration, last: bool) -> Came {
         let class = Class::of_rank(self.request.route.rank);
-        let share = Share { class, fresh: 0, footprint: 0 };
+        let share = WorkCost { class, prefill_tokens: 0, footprint: 0 };
         let mut ticket = Ticket::new(self.shared, id, Step::Plain, share);
         let Some((address, mean)) =
             self.shared.register().get(id).map(|r| (r.entry.address, r.answer_time))
@@ -278,7 +282,7 @@
 
     /// Notes whether the runner of a call that broke off has ended under it.
     async fn note_broken(&mut self, ticket: &Ticket, begun: bool) {
-        let reach = Reach { events: 0, begun };
+        let reach = RunProgress { events: 0, begun };
         let ends = quarantine::count::note_broken(self.shared, ticket, self.request, reach).await;
         self.ends = self.ends.max(ends);
     }
--- a/node/src/serve/quarantine/count.rs
+++ b/node/src/serve/quarantine/count.rs
@@ -6,7 +6,9 @@
 use futures_util::future::join_all;
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
 use sardinepick_lib::fleet::quarantine::Stage;
-use sardinepick_lib::fleet::suspect::{COUNTING, End, Reach, counting};
+use sardinepick_lib::fleet::suspect::{
+    COUNTING_NODES, RunProgress, RunnerEnd, choose_counting_nodes,
+};
 use sardinepick_lib::id::NodeId;
 use sardinepick_wire::schedule::Schedule;
 use smallvec::SmallVec;
@@ -30,10 +32,10 @@
     shared: &Shared,
     ticket: &Ticket,
     request: &Request,
-    reach: Reach,
+    reach: RunProgress,
 ) -> usize {
     let Some(life) = crash::detect(shared, ticket, request, reach).await else { return 0 };
-    let end = End { life, reach };
+    let end = RunnerEnd { life, reach };
     let fingerprint = request.fingerprint;
     let here = count(shared, fingerprint, end);
     let peers = counting_nodes(shared, &fingerprint).into_iter().flatten();
@@ -47,7 +49,7 @@
 }
 
 /// Counts an end, and proposes the request if there are enough.
-fn count(shared: &Shared, request: Fingerprint, end: End) -> usize {
+fn count(shared: &Shared, request: Fingerprint, end: RunnerEnd) -> usize {
     let now = shared.clock.now();
     let mut state = shared.keeper.state();
     let ends = state.suspects.note(request, end, now);
@@ -55,7 +57,7 @@
     let proposed = suspects.get(&request).and_then(|s| quarantine.propose(request, s, now));
     if let Some(entry) = proposed {
         // Nobody hears of a proposal that this node can itself object to.
-        let objects = state.quarantine.objects(&entry);
+        let objects = state.quarantine.contradicts(&entry);
         drop(state);
         note_stage(shared, &entry, "counted");
         if objects {
@@ -67,7 +69,12 @@
 }
 
 /// Tells a node that counts of an end. Gives how many it has counted; none if it does not answer.
-async fn tell(shared: &Shared, peer: SocketAddr, request: Fingerprint, end: End) -> Option<u32> {
+async fn tell(
+    shared: &Shared,
+    peer: SocketAddr,
+    request: Fingerprint,
+    end: RunnerEnd,
+) -> Option<u32> {
     for _ in 0..TRIES {
         let (number, answer) = shared.keeper.state().questions.register();
         transmit(shared, peer, &Schedule::Ended { number, request, end }).await;
@@ -87,7 +94,7 @@
     from: SocketAddr,
     number: u64,
     request: Fingerprint,
-    end: End,
+    end: RunnerEnd,
 ) {
     let ends = u32::try_from(count(shared, request, end)).unwrap_or(u32::MAX);
     transmit(shared, from, &Schedule::Counted { number, ends }).await;
@@ -103,12 +110,12 @@
 fn counting_nodes(
     shared: &Shared,
     request: &Fingerprint,
-) -> SmallVec<[Option<SocketAddr>; COUNTING]> {
+) -> SmallVec<[Option<SocketAddr>; COUNTING_NODES]> {
     let roster = shared.roster();
     let fronts = roster.fronts();
     let nodes = fronts.iter().map(|contact| &contact.id).chain([&shared.me.id]);
     let peer = |id: &NodeId| fronts.iter().find(|c| c.id == *id).map(|c| c.peer);
-    counting(request, nodes).into_iter().map(peer).collect()
+    choose_counting_nodes(request, nodes).into_iter().map(peer).collect()
 }
 
 /// Whether this node is the first of those that count a request's ends.
--- a/node/src/serve/quarantine/mod.rs
+++ b/node/src/serve/quarantine/mod.rs
@@ -8,7 +8,7 @@
 
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
 use sardinepick_lib::fleet::quarantine::{Entry, Quarantine, Stage, Standing};
-use sardinepick_lib::fleet::suspect::{ENDS, Suspects};
+use sardinepick_lib::fleet::suspect::{QUARANTINE_ENDS, Suspects};
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
 
@@ -175,7 +175,7 @@
     let mut state = shared.keeper.state();
     match entry.stage {
         // What one request accounts for speaks no longer against the others that were there.
-        Stage::Confirmed => state.suspects.excuse(&entry.ends, &entry.request),
+        Stage::Confirmed => state.suspects.discount(&entry.ends, &entry.request),
         Stage::Cleared => state.suspects.clear(&entry.request),
         Stage::Proposed | Stage::Withdrawn => {}
     }
@@ -197,7 +197,7 @@
     let mut changed = shared.keeper.changed.subscribe();
     loop {
         let now = shared.clock.now();
-        let deliberating = shared.keeper.state().quarantine.is_deliberating(now);
+        let deliberating = shared.keeper.state().quarantine.has_undecided(now);
         if deliberating {
             sleep(PERIODS.0).await;
         } else {
@@ -230,7 +230,7 @@
         let stage = {
             let state = shared.keeper.state();
             let counted = state.suspects.get(&request).map_or(0, |s| s.ends().len());
-            (counted >= ENDS).then(|| state.quarantine.decide(&request, now)).flatten()
+            (counted >= QUARANTINE_ENDS).then(|| state.quarantine.decide(&request, now)).flatten()
         };
         if let Some(stage) = stage {
             set(shared, &request, stage, "decided");
--- a/node/src/serve/quarantine/news.rs
+++ b/node/src/serve/quarantine/news.rs
@@ -35,7 +35,7 @@
         if lifted && counts_first(shared, &entry.request) {
             keep(shared, entry.request);
         }
-        if shared.keeper.state().quarantine.objects(&entry) {
+        if shared.keeper.state().quarantine.contradicts(&entry) {
             set(shared, &entry.request, Stage::Cleared, "answered since");
         }
         shared.beat_now.notify_one();
@@ -44,13 +44,13 @@
 
 /// What has not been told to other nodes yet, as far as one message carries it.
 pub fn next(shared: &Shared) -> Vec<pb::Quarantined> {
-    let news = shared.keeper.state().quarantine.take_news();
+    let news = shared.keeper.state().quarantine.take_updates();
     quarantined(&news, shared.clock.now())
 }
 
 /// Whether there is more to be told.
 pub fn has_news(shared: &Shared) -> bool {
-    shared.keeper.state().quarantine.has_news()
+    shared.keeper.state().quarantine.has_updates()
 }
 
 /// All that is known, for another node; what is refused comes first.
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -10,9 +10,9 @@
 use hyper::body::Incoming;
 use rand::RngExt as _;
 use sardinepick_lib::account::directory::{Account, Identity, identify};
+use sardinepick_lib::fleet::admission::{Reason, Terms, Wait};
 use sardinepick_lib::fleet::engine::Engine;
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
-use sardinepick_lib::fleet::gate::{Reason, Terms, Wait};
 use sardinepick_lib::fleet::route::{Configuration, Route};
 use sardinepick_lib::fleet::runner::Closed;
 use sardinepick_lib::id::{AccountId, ServiceId};
@@ -88,13 +88,13 @@
         };
         let mut rng = shared.rng();
         let Some(closed) = closed else {
-            return Refusal::NotRun(reason, terms.come_back(0.0, &mut *rng));
+            return Refusal::NotRun(reason, terms.retry_delay(0.0, &mut *rng));
         };
         let reason = match closed {
             Closed::RateLimit(_) => Reason::RateLimited,
             Closed::BackOff(_) => Reason::BackingOff,
         };
-        Refusal::NotRun(reason, terms.come_back_after(closed.wait(), &mut *rng))
+        Refusal::NotRun(reason, terms.retry_delay_after(closed.wait(), &mut *rng))
     }
 
     /// Writes the line that says how it ended, and counts it.
--- a/node/src/serve/scheduler.rs
+++ b/node/src/serve/scheduler.rs
@@ -12,10 +12,11 @@
 use sardinepick_lib::fleet::engine::Engine;
 use sardinepick_lib::fleet::load::Load;
 use sardinepick_lib::fleet::pool::Pool;
-use sardinepick_lib::fleet::register::Reading;
+use sardinepick_lib::fleet::register::PrefillReport;
 use sardinepick_lib::fleet::runner::Tag;
 use sardinepick_lib::fleet::scheduler::{
-    self, Ask, Decision, Lesson, PASSED_OVER, PATIENCE, SILENCES, Step, TRIES,
+    self, Decision, MAX_QUERIES, MAX_UNANSWERED, Observation, Query, REPLY_TIMEOUT, Step,
+    TAKEOVER_PERIOD,
 };
 use sardinepick_lib::id::{NodeId, ServiceId};
 use sardinepick_wire::schedule::{MOST_LESSONS, MOST_LOADS, MOST_READINGS, Report, Schedule};
@@ -61,8 +62,8 @@
 #[derive(Debug, Default)]
 struct News {
     changed: HashSet<Tag>,
-    readings: Vec<Reading>,
-    lessons: Vec<(Tag, Lesson)>,
+    readings: Vec<PrefillReport>,
+    lessons: Vec<(Tag, Observation)>,
 }
 
 #[derive(Debug, Default)]
@@ -109,7 +110,7 @@
     }
 
     /// Notes prompts that runners have read for this node.
-    pub fn note_readings(&self, more: impl Iterator<Item = Reading>) {
+    pub fn note_readings(&self, more: impl Iterator<Item = PrefillReport>) {
         let mut state = self.state();
         state.news.readings.extend(more);
         let over = state.news.readings.len().saturating_sub(MOST_NEWS);
@@ -118,7 +119,7 @@
     }
 
     /// Notes what work at a runner has taught.
-    pub fn note_lesson(&self, runner: Tag, lesson: Lesson) {
+    pub fn note_lesson(&self, runner: Tag, lesson: Observation) {
         let mut state = self.state();
         state.news.lessons.push((runner, lesson));
         let over = state.news.lessons.len().saturating_sub(MOST_NEWS);
@@ -135,10 +136,10 @@
         let mut state = self.state();
         let silence = state.silences.entry(node.clone()).or_default();
         silence.questions += 1;
-        if silence.questions < SILENCES {
+        if silence.questions < MAX_UNANSWERED {
             return false;
         }
-        silence.until = Some(now + PASSED_OVER);
+        silence.until = Some(now + TAKEOVER_PERIOD);
         silence.questions = 0;
         state.holders.clear();
         true
@@ -186,16 +187,16 @@
 /// places it by this node's own prediction.
 pub async fn decide(
     shared: &Arc<Shared>,
-    mut ask: Ask,
+    mut ask: Query,
     engine: &Engine,
 ) -> (Decision, &'static str) {
     let pool = {
         let mut register = shared.register();
-        register.divide();
+        register.assign_pools();
         register.pool_of(&ask.service, &ask.work)
     };
     let began = shared.clock.now();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_QUERIES {
         let Holder::Other(node, peer) = holder(shared, &ask.service, pool) else {
             take_over(shared, &ask.service, pool);
             let decision = decide_here(shared, &ask, engine);
@@ -219,7 +220,7 @@
                 let replaced = shared.scheduling.note_silent(&node, shared.clock.now());
                 log::info!(
                     node:% = node, service:% = ask.service, pool = pool.0, replaced = replaced,
-                    waited_ms = PATIENCE.as_millis() as u64; "scheduler silent"
+                    waited_ms = REPLY_TIMEOUT.as_millis() as u64; "scheduler silent"
                 );
             }
         }
@@ -230,11 +231,11 @@
 /// Whether a decision agrees with what this node knows. What the scheduler does not know yet, such as
 /// that a runner leaves, must hold all the same: that runner is not to be taken. One that has just
 /// started may know no runner at all; its word that there is none is not taken either.
-fn is_usable(shared: &Shared, decision: &Decision, ask: &mut Ask) -> bool {
+fn is_usable(shared: &Shared, decision: &Decision, ask: &mut Query) -> bool {
     if *decision == Decision::NoRunner {
         return false;
     }
-    let Some((id, _)) = decision.share(&ask.work, &ask.step) else { return true };
+    let Some((id, _)) = decision.cost(&ask.work, &ask.step) else { return true };
     let now = shared.clock.now();
     if ask.skip.contains(id) {
         return false;
@@ -247,20 +248,20 @@
     usable
 }
 
-fn decide_here(shared: &Shared, ask: &Ask, engine: &Engine) -> Decision {
+fn decide_here(shared: &Shared, ask: &Query, engine: &Engine) -> Decision {
     let now = shared.clock.now();
     let mut register = shared.register();
-    register.divide();
+    register.assign_pools();
     scheduler::decide(&register, ask, engine, now, &mut *shared.rng())
 }
 
 /// Asks a node, and gives its answer; none if there was none in time.
-async fn question(shared: &Shared, peer: SocketAddr, ask: &Ask) -> Option<Option<Decision>> {
+async fn question(shared: &Shared, peer: SocketAddr, ask: &Query) -> Option<Option<Decision>> {
     let (number, answer) = shared.scheduling.state().questions.register();
     let question =
         Schedule::Question { number, node: shared.me.id.clone(), ask: Box::new(ask.clone()) };
     transmit(shared, peer, &question).await;
-    let answer = timeout(PATIENCE, answer).await;
+    let answer = timeout(REPLY_TIMEOUT, answer).await;
     shared.scheduling.state().questions.cancel(number);
     answer.ok()?.ok()
 }
@@ -302,7 +303,7 @@
 }
 
 /// Decides for another node, and counts the work until that node tells of it.
-fn schedule(shared: &Arc<Shared>, node: &NodeId, ask: &Ask) -> Option<Decision> {
+fn schedule(shared: &Arc<Shared>, node: &NodeId, ask: &Query) -> Option<Decision> {
     let configuration = shared.configuration.load_full()?;
     let engine = configuration.service(&ask.service)?.engine?;
     let decision = decide_here(shared, ask, &engine);
@@ -336,7 +337,7 @@
     }
     let pools: BTreeSet<(ServiceId, Pool)> = {
         let mut register = shared.register();
-        register.divide();
+        register.assign_pools();
         let engines = register.runners().filter(|r| r.entry.stage.is_some());
         engines.map(|r| (r.entry.service.clone(), r.pool)).collect()
     };
@@ -352,7 +353,7 @@
     let mut register = shared.register();
     register.take_report(&report.node, &report.loads, now);
     for reading in &report.readings {
-        register.take_reading(*reading, now);
+        register.apply_prefill_report(*reading, now);
     }
     for (tag, lesson) in &report.lessons {
         if let Some(runner) = register.by_tag_mut(*tag) {
@@ -433,7 +434,7 @@
 fn scheduler_of(shared: &Shared, tag: Tag) -> Option<SocketAddr> {
     let (service, pool) = {
         let mut register = shared.register();
-        register.divide();
+        register.assign_pools();
         let runner = register.by_tag(tag)?;
         runner.entry.stage?;
         (runner.entry.service.clone(), runner.pool)
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -9,10 +9,10 @@
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
 use sardinepick_lib::clock::Clock;
+use sardinepick_lib::fleet::admission::MeanSize;
 use sardinepick_lib::fleet::balance::Demand;
 use sardinepick_lib::fleet::budget::Budget;
 use sardinepick_lib::fleet::deadline::Deadlines;
-use sardinepick_lib::fleet::gate::Sizes;
 use sardinepick_lib::fleet::outage::Outage;
 use sardinepick_lib::fleet::register::Register;
 use sardinepick_lib::fleet::roster::{Contact, Record, Roster, Standing, Status};
@@ -51,7 +51,7 @@
 /// What is usual on a route, learned from its requests.
 #[derive(Debug, Default)]
 struct Usual {
-    sizes: Sizes,
+    sizes: MeanSize,
     deadlines: Deadlines,
 }
 
--- a/node/src/serve/ticket.rs
+++ b/node/src/serve/ticket.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 use sardinepick_lib::fleet::health::Outcome;
-use sardinepick_lib::fleet::place::Placement;
-use sardinepick_lib::fleet::register::Share;
-use sardinepick_lib::fleet::runner::{Runner, Stay, Tag};
-use sardinepick_lib::fleet::scheduler::Lesson;
+use sardinepick_lib::fleet::placement::Placement;
+use sardinepick_lib::fleet::register::WorkCost;
+use sardinepick_lib::fleet::runner::{Registration, Runner, Tag};
+use sardinepick_lib::fleet::scheduler::Observation;
 use sardinepick_lib::id::RunnerId;
 
 use crate::dispatch::Target;
@@ -38,9 +38,9 @@
     shared: Arc<Shared>,
     runner: RunnerId,
     /// The life of the runner in which the place was taken; none if the runner was not known.
-    stay: Option<Stay>,
+    stay: Option<Registration>,
     step: Step,
-    share: Share,
+    share: WorkCost,
     began: Instant,
     read: bool,
     concluded: bool,
@@ -48,7 +48,7 @@
 
 impl Ticket {
     /// Takes a place.
-    pub fn new(shared: &Arc<Shared>, runner: &RunnerId, step: Step, share: Share) -> Self {
+    pub fn new(shared: &Arc<Shared>, runner: &RunnerId, step: Step, share: WorkCost) -> Self {
         let began = shared.clock.now();
         let stay = shared.register().begin(runner, share, began);
         if let Some(stay) = &stay {
@@ -77,7 +77,7 @@
     }
 
     /// The life of the runner in which the place was taken; none if the runner was not known.
-    pub fn stay(&self) -> Option<&Stay> {
+    pub fn stay(&self) -> Option<&Registration> {
         self.stay.as_ref()
     }
 
@@ -89,7 +89,7 @@
     /// Changes what is known of the runner, if it is still in the life in which the place was taken.
     pub fn with_runner<T>(&self, change: impl FnOnce(&mut Runner) -> T) -> Option<T> {
         let stay = self.stay.as_ref()?;
-        self.shared.register().in_stay_mut(stay).map(change)
+        self.shared.register().registered_mut(stay).map(change)
     }
 
     /// Notes that the prompt has been read.
@@ -102,7 +102,7 @@
     }
 
     /// Takes in what the work has taught of the runner, here and at its scheduler.
-    pub fn learn(&self, lesson: Lesson) {
+    pub fn learn(&self, lesson: Observation) {
         let now = self.shared.clock.now();
         if let Some(tag) = self.with_runner(|runner| {
             runner.learn(lesson, now);
@@ -118,20 +118,20 @@
     pub fn learn_in_vain(&self, placement: &Placement, predicted: f64) {
         let held = self.held().as_secs_f64();
         if held > predicted {
-            self.learn(placement.lesson(predicted, held));
+            self.learn(placement.observation(predicted, held));
         }
     }
 
     /// Notes a sign of life of the runner.
     pub fn note_life(&self) {
         let now = self.shared.clock.now();
-        self.with_runner(|runner| runner.health.note_life(now));
+        self.with_runner(|runner| runner.health.note_alive(now));
     }
 
     /// Notes what came of the work.
     pub fn conclude(&mut self, outcome: Outcome) {
         self.concluded = true;
-        self.learn(Lesson::Outcome(outcome));
+        self.learn(Observation::Outcome(outcome));
         let label = match outcome {
             Outcome::Answered => "answered",
             Outcome::Failed => "failed",
@@ -150,7 +150,7 @@
             self.shared.register().end(stay, self.share);
             self.shared.scheduling.note_change(Tag::of(&stay.id, stay.born));
         }
-        let alive_since = self.with_runner(|runner| runner.health.last_life()).flatten();
+        let alive_since = self.with_runner(|runner| runner.health.last_seen()).flatten();
         let silent = alive_since.is_none_or(|at| at < self.began);
         if !self.concluded && silent && self.held() >= VAIN {
             self.conclude(Outcome::Broken);
--- a/node/src/serve/transfer.rs
+++ b/node/src/serve/transfer.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use sardinepick_lib::fleet::fanout::{Fanout, Turn};
+use sardinepick_lib::fleet::fanout::{Fanout, Response};
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
@@ -138,8 +138,8 @@
         };
         for (waiter, turn) in turns {
             let grant = match turn {
-                Turn::Given => Grant::Slot(Slot::new(&self.queue, self.bytes)),
-                Turn::Elsewhere(address) => Grant::Referral(address),
+                Response::Send => Grant::Slot(Slot::new(&self.queue, self.bytes)),
+                Response::Redirect(address) => Grant::Referral(address),
             };
             // A caller that has just disconnected drops its slot, which the next one gets.
             drop(waiter.send(grant));
--- a/node/tests/knowledge.rs
+++ b/node/tests/knowledge.rs
@@ -2,7 +2,7 @@
 //! that told them knows, whatever was missed between.
 
 use proptest::prelude::*;
-use sardinepick_lib::fleet::mark::Mark;
+use sardinepick_lib::fleet::register_version::RegisterVersion;
 use sardinepick_lib::history::Point;
 use sardinepick_node::serve::knowledge::{Difference, Knowledge};
 use sardinepick_platform::store::Object;
@@ -28,7 +28,7 @@
 
 fn names(knowledge: &Knowledge) -> Vec<SmolStr> {
     let mut names: Vec<SmolStr> =
-        knowledge.since(Mark::default()).entries.into_iter().map(|o| o.name).collect();
+        knowledge.since(RegisterVersion::default()).entries.into_iter().map(|o| o.name).collect();
     names.sort();
     names
 }
@@ -40,8 +40,8 @@
         for (at, (name, kind)) in steps.into_iter().enumerate() {
             let revision = 10 + at as u64 * 2;
             match kind {
-                0 | 1 => teller.take(vec![object(name, revision)], &[], Mark::of(Point::without_era(revision))),
-                2 => teller.take(Vec::new(), &[named(name)], Mark::of(Point::without_era(revision))),
+                0 | 1 => teller.take(vec![object(name, revision)], &[], RegisterVersion::of(Point::without_era(revision))),
+                2 => teller.take(Vec::new(), &[named(name)], RegisterVersion::of(Point::without_era(revision))),
                 3 => teller.take_lapsed(&[named(name)]),
                 _ => {
                     let told = teller.since(learner.mark());
@@ -58,12 +58,16 @@
 fn since_far_behind_everything() {
     let mut teller = Knowledge::default();
     for at in 0..2_000u64 {
-        teller.take(vec![object(1, at * 2 + 1)], &[], Mark::of(Point::without_era(at * 2 + 1)));
-        teller.take(Vec::new(), &[named(1)], Mark::of(Point::without_era(at * 2 + 2)));
+        teller.take(
+            vec![object(1, at * 2 + 1)],
+            &[],
+            RegisterVersion::of(Point::without_era(at * 2 + 1)),
+        );
+        teller.take(Vec::new(), &[named(1)], RegisterVersion::of(Point::without_era(at * 2 + 2)));
     }
-    teller.take(vec![object(2, 5_000)], &[], Mark::of(Point::without_era(5_000)));
-    assert!(teller.since(Mark::of(Point::without_era(5))).whole);
-    let near = teller.since(Mark::of(Point::without_era(3_990)));
+    teller.take(vec![object(2, 5_000)], &[], RegisterVersion::of(Point::without_era(5_000)));
+    assert!(teller.since(RegisterVersion::of(Point::without_era(5))).whole);
+    let near = teller.since(RegisterVersion::of(Point::without_era(3_990)));
     assert!(!near.whole && near.entries.len() == 1 && near.gone.len() == 5);
 }
 
@@ -73,14 +77,22 @@
 #[test]
 fn since_doubt_told_with_its_mark() {
     let mut teller = Knowledge::default();
-    teller.take(vec![object(1, 5), object(2, 6)], &[], Mark::of(Point::without_era(6)));
-    teller.take_with_doubt(Vec::new(), &[], &[named(1)], Mark::of(Point::without_era(9)));
-    let told = teller.since(Mark::of(Point::without_era(6)));
-    assert_eq!((told.doubted, told.mark), (vec![named(1)], Mark::of(Point::without_era(9))));
-    assert_eq!(teller.since(Mark::default()).doubted, [named(1)]);
-    assert!(teller.since(Mark::of(Point::without_era(9))).doubted.is_empty());
-    teller.take(vec![object(1, 12)], &[], Mark::of(Point::without_era(12)));
-    assert!(teller.since(Mark::default()).doubted.is_empty(), "it has come back");
+    teller.take(vec![object(1, 5), object(2, 6)], &[], RegisterVersion::of(Point::without_era(6)));
+    teller.take_with_doubt(
+        Vec::new(),
+        &[],
+        &[named(1)],
+        RegisterVersion::of(Point::without_era(9)),
+    );
+    let told = teller.since(RegisterVersion::of(Point::without_era(6)));
+    assert_eq!(
+        (told.doubted, told.mark),
+        (vec![named(1)], RegisterVersion::of(Point::without_era(9)))
+    );
+    assert_eq!(teller.since(RegisterVersion::default()).doubted, [named(1)]);
+    assert!(teller.since(RegisterVersion::of(Point::without_era(9))).doubted.is_empty());
+    teller.take(vec![object(1, 12)], &[], RegisterVersion::of(Point::without_era(12)));
+    assert!(teller.since(RegisterVersion::default()).doubted.is_empty(), "it has come back");
 }
 
 /// Guards against a change under an earlier mark, as of a store that came back from a copy, that is told
@@ -88,9 +100,13 @@
 #[test]
 fn since_change_under_earlier_mark_told() {
     let mut teller = Knowledge::default();
-    teller.take(vec![object(1, 5), object(2, 100)], &[], Mark::of(Point::without_era(100)));
+    teller.take(
+        vec![object(1, 5), object(2, 100)],
+        &[],
+        RegisterVersion::of(Point::without_era(100)),
+    );
     let known = teller.mark();
-    teller.take(vec![object(1, 60)], &[], Mark::of(Point::without_era(60)));
+    teller.take(vec![object(1, 60)], &[], RegisterVersion::of(Point::without_era(60)));
     let told = teller.since(known);
     assert_eq!(told.entries, [object(1, 60)]);
     assert!(told.mark > known, "a node that hears of the mark has to ask");
--- a/node/tests/scheduler.rs
+++ b/node/tests/scheduler.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 use sardinepick_lib::fleet::limit::{Announced, Rate};
 use sardinepick_lib::fleet::load::Class;
-use sardinepick_lib::fleet::place::{Placement, Plan};
+use sardinepick_lib::fleet::placement::{Placement, Plan};
 use sardinepick_lib::fleet::pool::Pool;
 use sardinepick_lib::fleet::scheduler::{Decision, Step, holder};
 use sardinepick_lib::id::{ConfigVersion, NodeId, RunnerId, ServiceId};
@@ -57,8 +57,8 @@
 
 fn placed(runner: &RunnerId) -> Decision {
     let plan = Plan::Whole { runner: runner.clone() };
-    let (first, read, wait, fresh, fetch) = (0.05, 0.04, 0.0, 1_460, None);
-    let placement = Placement { plan, first, read, wait, fresh, fetch };
+    let (first, read, wait, prefill_tokens, fetch) = (0.05, 0.04, 0.0, 1_460, None);
+    let placement = Placement { plan, first, read, wait, prefill_tokens, fetch };
     Decision::Placed { placement, class: Class::of_rank(1) }
 }
 
@@ -66,7 +66,7 @@
     let one = |decision| Schedule::Answer { number, decision }.encode();
     let decided = |runner: &RunnerId| match step {
         Step::Start(_) => one(Some(placed(runner))),
-        Step::GoOn { .. } => one(Some(Decision::GoesOn(runner.clone()))),
+        Step::Continue { .. } => one(Some(Decision::Continue(runner.clone()))),
     };
     match conduct {
         Conduct::Silent => Vec::new(),
--- a/testutils/src/fleet/beat.rs
+++ b/testutils/src/fleet/beat.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sardinepick_lib::fleet::mark::Mark;
+use sardinepick_lib::fleet::register_version::RegisterVersion;
 use sardinepick_lib::fleet::roster::{Contact, Record, Standing, Status};
 use sardinepick_lib::id::{ConfigVersion, Incarnation, NodeId};
 use sardinepick_wire::beat::Beat;
@@ -18,7 +18,7 @@
         front: address,
         peer: address,
     };
-    let (standing, register, served) = (Standing::Ready, Mark::default(), true);
+    let (standing, register, served) = (Standing::Ready, RegisterVersion::default(), true);
     Beat {
         sender: Record { contact, standing, served, serial: 1, silent: false },
         status: Status { standing, version, register, served },
--- a/wire/src/mark.rs
+++ b/wire/src/mark.rs
@@ -1,6 +1,6 @@
 //! Marks and points of the store's history between nodes.
 
-use sardinepick_lib::fleet::mark::Mark;
+use sardinepick_lib::fleet::register_version::RegisterVersion;
 use sardinepick_lib::history::{Era, LAST_ERA, Point};
 
 use crate::error::WireError;
@@ -18,8 +18,8 @@
 ///
 /// # Errors
 /// Its era is not believed.
-pub fn read_mark(order: u64, era: Option<u32>, present: Era) -> Result<Mark, WireError> {
-    Ok(Mark { era: read_era(era, present)?, order })
+pub fn read_mark(order: u64, era: Option<u32>, present: Era) -> Result<RegisterVersion, WireError> {
+    Ok(RegisterVersion { era: read_era(era, present)?, order })
 }
 
 /// Reads a point by its revision and its era.
--- a/wire/src/quarantine.rs
+++ b/wire/src/quarantine.rs
@@ -6,7 +6,7 @@
 
 use sardinepick_lib::fleet::quarantine::{Entry, Stage};
 use sardinepick_lib::fleet::runner::Tag;
-use sardinepick_lib::fleet::suspect::MOST_ENDS;
+use sardinepick_lib::fleet::suspect::MAX_ENDS;
 
 use crate::error::WireError;
 use crate::fleet as pb;
@@ -63,7 +63,7 @@
                 Ok(pb::Stage::Cleared) => Stage::Cleared,
                 Err(_) => return Err(WireError::Value("stage")),
             },
-            ends: entry.ends.iter().take(MOST_ENDS).map(|life| Tag(*life)).collect(),
+            ends: entry.ends.iter().take(MAX_ENDS).map(|life| Tag(*life)).collect(),
             begun: entry.begun,
             first: before(now, entry.first_ms),
             since: before(now, entry.since_ms),
--- a/wire/src/schedule.rs
+++ b/wire/src/schedule.rs
@@ -7,18 +7,18 @@
 use std::time::Duration;
 
 use prost::Message as _;
+use sardinepick_lib::fleet::admission::Terms;
 use sardinepick_lib::fleet::cache::{Chain, ChainKey, Part, Progress};
 use sardinepick_lib::fleet::engine::Work;
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
-use sardinepick_lib::fleet::gate::Terms;
 use sardinepick_lib::fleet::health::Outcome;
 use sardinepick_lib::fleet::limit::Announced;
 use sardinepick_lib::fleet::load::{CLASSES, Class, Load};
-use sardinepick_lib::fleet::place::{Placement, Plan};
-use sardinepick_lib::fleet::register::Reading;
+use sardinepick_lib::fleet::placement::{Placement, Plan};
+use sardinepick_lib::fleet::register::PrefillReport;
 use sardinepick_lib::fleet::runner::Tag;
-use sardinepick_lib::fleet::scheduler::{Ask, Decision, Firmness, Lesson, Step};
-use sardinepick_lib::fleet::suspect::{End, Reach};
+use sardinepick_lib::fleet::scheduler::{Decision, Firmness, Observation, Query, Step};
+use sardinepick_lib::fleet::suspect::{RunProgress, RunnerEnd};
 use sardinepick_lib::id::{NodeId, RunnerId};
 
 use crate::error::WireError;
@@ -44,7 +44,7 @@
         /// That node.
         node: NodeId,
         /// What it asks.
-        ask: Box<Ask>,
+        ask: Box<Query>,
     },
     /// The answer to a question.
     Answer {
@@ -62,7 +62,7 @@
         /// The request.
         request: Fingerprint,
         /// The end.
-        end: End,
+        end: RunnerEnd,
     },
     /// The answer to that.
     Counted {
@@ -95,9 +95,9 @@
     /// What it has under way, by runner, in place of what it last said.
     pub loads: Vec<(Tag, Load)>,
     /// Prompts that it has had read.
-    pub readings: Vec<Reading>,
+    pub readings: Vec<PrefillReport>,
     /// What it has learned.
-    pub lessons: Vec<(Tag, Lesson)>,
+    pub lessons: Vec<(Tag, Observation)>,
 }
 
 impl Schedule {
@@ -163,11 +163,12 @@
             })),
             pb::schedule::Body::Ended(ended) => {
                 let request = ended.request.as_slice().try_into();
-                let reach = Reach { events: ended.events.min(MOST_EVENTS), begun: ended.begun };
+                let reach =
+                    RunProgress { events: ended.events.min(MOST_EVENTS), begun: ended.begun };
                 Ok(Schedule::Ended {
                     number: ended.number,
                     request: request.map_err(|_| WireError::Value("request"))?,
-                    end: End { life: Tag(ended.life), reach },
+                    end: RunnerEnd { life: Tag(ended.life), reach },
                 })
             }
             pb::schedule::Body::Counted(counted) => {
@@ -193,15 +194,15 @@
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn question(number: u64, node: &NodeId, ask: &Ask) -> pb::Question {
+fn question(number: u64, node: &NodeId, ask: &Query) -> pb::Question {
     let terms = &ask.terms;
     let (firmness, class, reader) = match &ask.step {
         Step::Start(firmness) => (*firmness, terms.class, None),
-        Step::GoOn { reader, class } => (Firmness::New, *class, Some(reader.to_string())),
+        Step::Continue { reader, class } => (Firmness::New, *class, Some(reader.to_string())),
     };
     let part = |part: &Part| pb::Part {
         key: part.key.0,
-        alone: if part.alone == part.key { 0 } else { part.alone.0 },
+        alone: if part.standalone_key == part.key { 0 } else { part.standalone_key.0 },
         tokens: part.tokens,
     };
     pb::Question {
@@ -213,7 +214,7 @@
         objective_us: terms.objective.map(micros),
         left_us: micros(terms.left),
         patience_us: micros(terms.patience),
-        returned: terms.returned,
+        returned: terms.is_retry,
         size: terms.size as f32,
         prompt: ask.work.prompt,
         output: ask.work.output,
@@ -250,16 +251,16 @@
         pb::Firmness::Streaming => Firmness::Streaming,
     };
     let step = match &question.reader {
-        Some(reader) => Step::GoOn { reader: read_runner(reader)?, class },
+        Some(reader) => Step::Continue { reader: read_runner(reader)?, class },
         None => Step::Start(firmness),
     };
     let part = |part: &pb::Part| {
         let alone = if part.alone == 0 { part.key } else { part.alone };
         let tokens = part.tokens.min(MOST_TOKENS);
-        Part { key: ChainKey(part.key), alone: ChainKey(alone), tokens }
+        Part { key: ChainKey(part.key), standalone_key: ChainKey(alone), tokens }
     };
     let text = |what| move |_| WireError::Value(what);
-    let ask = Ask {
+    let ask = Query {
         service: question.service.as_str().try_into().map_err(|_| WireError::Value("service"))?,
         data_centre: question.data_centre.as_str().try_into().map_err(text("data centre"))?,
         terms: Terms {
@@ -267,7 +268,7 @@
             objective: question.objective_us.map(Duration::from_micros),
             left: Duration::from_micros(question.left_us),
             patience: Duration::from_micros(question.patience_us),
-            returned: question.returned,
+            is_retry: question.returned,
             size: f64::from(question.size),
         },
         work: Work {
@@ -288,7 +289,7 @@
         None => Wire::Unknown(true),
         Some(Decision::NoRunner) => Wire::NoRunner(true),
         Some(Decision::RateLimited(wait)) => Wire::RateLimitedUs(micros(*wait)),
-        Some(Decision::GoesOn(runner)) => Wire::GoesOn(runner.to_string()),
+        Some(Decision::Continue(runner)) => Wire::GoesOn(runner.to_string()),
         Some(Decision::Placed { placement, class }) => Wire::Placed(placed(placement, *class)),
         Some(Decision::Late(placement)) => Wire::Late(placed(placement, Class::LATE)),
     }
@@ -306,7 +307,7 @@
         first: placement.first,
         read: placement.read,
         wait: placement.wait,
-        fresh: placement.fresh,
+        fresh: placement.prefill_tokens,
         fetch: placement.fetch.as_ref().map(ToString::to_string).unwrap_or_default(),
     }
 }
@@ -326,8 +327,8 @@
         id => Some(read_runner(id)?),
     };
     let [first, read, wait] = seconds;
-    let fresh = placed.fresh.min(MOST_TOKENS);
-    let placement = Placement { plan, first, read, wait, fresh, fetch };
+    let prefill_tokens = placed.fresh.min(MOST_TOKENS);
+    let placement = Placement { plan, first, read, wait, prefill_tokens, fetch };
     Ok((placement, read_class(placed.class)?))
 }
 
@@ -337,7 +338,7 @@
         Wire::Unknown(_) => None,
         Wire::NoRunner(_) => Some(Decision::NoRunner),
         Wire::RateLimitedUs(wait) => Some(Decision::RateLimited(Duration::from_micros(*wait))),
-        Wire::GoesOn(runner) => Some(Decision::GoesOn(read_runner(runner)?)),
+        Wire::GoesOn(runner) => Some(Decision::Continue(read_runner(runner)?)),
         Wire::Placed(placed) => {
             let (placement, class) = read_placed(placed)?;
             Some(Decision::Placed { placement, class })
@@ -347,16 +348,16 @@
     Ok(Schedule::Answer { number: answer.number, decision })
 }
 
-fn lesson((tag, lesson): &(Tag, Lesson)) -> pb::Lesson {
+fn lesson((tag, lesson): &(Tag, Observation)) -> pb::Lesson {
     use pb::lesson::Kind;
     let kind = match lesson {
-        Lesson::Reading { predicted, reading, seen } => Kind::Reading(pb::LearnedReading {
+        Observation::Prefill { predicted, prefill, seen } => Kind::Reading(pb::LearnedReading {
             predicted: *predicted as f32,
-            reading: *reading as f32,
+            reading: *prefill as f32,
             seen: *seen as f32,
         }),
-        Lesson::Stream(seconds) => Kind::Stream(*seconds as f32),
-        Lesson::Outcome(outcome) => Kind::Outcome(
+        Observation::Stream(seconds) => Kind::Stream(*seconds as f32),
+        Observation::Outcome(outcome) => Kind::Outcome(
             match outcome {
                 Outcome::Answered => pb::Outcome::Answered,
                 Outcome::Failed => pb::Outcome::Failed,
@@ -369,20 +370,20 @@
     pb::Lesson { runner: tag.0, kind: Some(kind) }
 }
 
-fn read_lesson(lesson: &pb::Lesson) -> Result<(Tag, Lesson), WireError> {
+fn read_lesson(lesson: &pb::Lesson) -> Result<(Tag, Observation), WireError> {
     use pb::lesson::Kind;
     let seconds = |s: f32| match f64::from(s) {
         s if (0.0..MOST_SECONDS).contains(&s) => Ok(s),
         _ => Err(WireError::Value("seconds")),
     };
     let read = match lesson.kind.as_ref().ok_or(WireError::Missing("lesson"))? {
-        Kind::Reading(reading) => Lesson::Reading {
+        Kind::Reading(reading) => Observation::Prefill {
             predicted: seconds(reading.predicted)?,
-            reading: seconds(reading.reading)?,
+            prefill: seconds(reading.reading)?,
             seen: seconds(reading.seen)?,
         },
-        Kind::Stream(stream) => Lesson::Stream(seconds(*stream)?),
-        Kind::Outcome(outcome) => Lesson::Outcome(match pb::Outcome::try_from(*outcome) {
+        Kind::Stream(stream) => Observation::Stream(seconds(*stream)?),
+        Kind::Outcome(outcome) => Observation::Outcome(match pb::Outcome::try_from(*outcome) {
             Ok(pb::Outcome::Answered) => Outcome::Answered,
             Ok(pb::Outcome::Failed) => Outcome::Failed,
             Ok(pb::Outcome::Broken) => Outcome::Broken,
@@ -432,19 +433,19 @@
     Ok((Tag(load.runner), Load { requests, backlog, unread, tokens }))
 }
 
-fn reading(reading: &Reading) -> pb::Reading {
+fn reading(reading: &PrefillReport) -> pb::Reading {
     pb::Reading {
         runner: reading.runner.0,
         part: reading.part.key.0,
         tokens: reading.part.tokens,
-        begun: reading.progress == Progress::Begun,
+        begun: reading.progress == Progress::Started,
     }
 }
 
-fn read_reading(reading: &pb::Reading) -> Reading {
+fn read_reading(reading: &pb::Reading) -> PrefillReport {
     // A node that is told of a part counts it by the one name that it is told by.
     let key = ChainKey(reading.part);
-    let part = Part { key, alone: key, tokens: reading.tokens.min(MOST_TOKENS) };
-    let progress = if reading.begun { Progress::Begun } else { Progress::Read };
-    Reading { runner: Tag(reading.runner), part, progress }
+    let part = Part { key, standalone_key: key, tokens: reading.tokens.min(MOST_TOKENS) };
+    let progress = if reading.begun { Progress::Started } else { Progress::Prefilled };
+    PrefillReport { runner: Tag(reading.runner), part, progress }
 }
