--- a/wire/tests/beat.rs
+++ b/wire/tests/beat.rs
@@ -6,11 +6,11 @@
 use prost::Message as _;
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
 use sardinepick_lib::fleet::limit::{Announced, Rate};
-use sardinepick_lib::fleet::mark::Mark;
-use sardinepick_lib::fleet::quarantine::{Entry, MOST_TOLD, Stage};
-use sardinepick_lib::fleet::roster::{Contact, MOST_RECORDS, Record, Standing, Status};
+use sardinepick_lib::fleet::quarantine::{Entry, MAX_ENTRIES_PER_MESSAGE, Stage};
+use sardinepick_lib::fleet::register_version::RegisterVersion;
+use sardinepick_lib::fleet::roster::{Contact, MAX_RECORDS, Record, Standing, Status};
 use sardinepick_lib::fleet::runner::Tag;
-use sardinepick_lib::fleet::suspect::MOST_ENDS;
+use sardinepick_lib::fleet::suspect::MAX_ENDS;
 use sardinepick_lib::history::{Era, LAST_ERA};
 use sardinepick_lib::id::{ConfigVersion, Incarnation};
 use sardinepick_wire::beat::{Beat, MOST_BYTES, nodes, read_nodes};
@@ -39,7 +39,7 @@
         status: Status {
             standing: Standing::Ready,
             version: ConfigVersion(1 << 40),
-            register: Mark { era: LAST_ERA, order: 1 << 56 },
+            register: RegisterVersion { era: LAST_ERA, order: 1 << 56 },
             served: true,
         },
         answer: true,
@@ -71,7 +71,7 @@
 /// Symptom: a node is never heard. Cause: its beat is larger than a packet.
 #[test]
 fn encode_full_beat_one_packet() {
-    let length = beat(MOST_RECORDS as u32).encode().len();
+    let length = beat(MAX_RECORDS as u32).encode().len();
     assert!(length <= MOST_BYTES, "{length}");
 }
 
@@ -81,8 +81,8 @@
         serial: u32::MAX,
         stage: [Stage::Proposed, Stage::Confirmed, Stage::Withdrawn, Stage::Cleared]
             [n as usize % 4],
-        ends: (0..MOST_ENDS as u64).map(|life| Tag(u64::MAX - life)).collect(),
-        begun: MOST_ENDS as u32,
+        ends: (0..MAX_ENDS as u64).map(|life| Tag(u64::MAX - life)).collect(),
+        begun: MAX_ENDS as u32,
         first: now - Duration::from_secs(80_000),
         since: now - Duration::from_secs(79_000),
     }
@@ -92,7 +92,7 @@
 #[test]
 fn read_quarantined_full_beat_round_trip() {
     let now = Instant::now() + Duration::from_secs(86_400);
-    let entries: Vec<Entry> = (0..MOST_TOLD as u64).map(|n| entry(n, now)).collect();
+    let entries: Vec<Entry> = (0..MAX_ENTRIES_PER_MESSAGE as u64).map(|n| entry(n, now)).collect();
     let full = Beat { quarantined: quarantined(&entries, now), ..beat(0) };
     let bytes = full.encode();
     assert!(bytes.len() <= MOST_BYTES, "{}", bytes.len());
@@ -112,7 +112,7 @@
     let old = pb::Quarantined { first_ms: u64::MAX, since_ms: u64::MAX, ..good.clone() };
     let many = pb::Quarantined { ends: vec![1; 10_000], ..good };
     let read = read_quarantined(&[old, many], now).expect("they are bounded");
-    assert!(read.iter().all(|entry| entry.ends.len() <= MOST_ENDS && entry.since <= now));
+    assert!(read.iter().all(|entry| entry.ends.len() <= MAX_ENDS && entry.since <= now));
 }
 
 /// What is told of rate limits and of runners that leave fits beside all else that a beat says without records.
@@ -162,7 +162,7 @@
 #[test]
 fn encode_era_few_bytes() {
     let length = |era| {
-        let register = Mark { era: Era(era), order: 1 << 24 };
+        let register = RegisterVersion { era: Era(era), order: 1 << 24 };
         let status = Status { register, ..beat(0).status };
         Beat { status, ..beat(0) }.encode().len()
     };
--- a/wire/tests/schedule.rs
+++ b/wire/tests/schedule.rs
@@ -3,18 +3,18 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
+use sardinepick_lib::fleet::admission::Terms;
 use sardinepick_lib::fleet::cache::{Chain, ChainKey, Part, Progress};
 use sardinepick_lib::fleet::engine::Work;
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
-use sardinepick_lib::fleet::gate::Terms;
 use sardinepick_lib::fleet::health::Outcome;
 use sardinepick_lib::fleet::limit::{Announced, Rate};
 use sardinepick_lib::fleet::load::{Class, Load};
-use sardinepick_lib::fleet::place::{Placement, Plan};
-use sardinepick_lib::fleet::register::Reading;
+use sardinepick_lib::fleet::placement::{Placement, Plan};
+use sardinepick_lib::fleet::register::PrefillReport;
 use sardinepick_lib::fleet::runner::Tag;
-use sardinepick_lib::fleet::scheduler::{Ask, Decision, Firmness, Lesson, Step};
-use sardinepick_lib::fleet::suspect::{End, Reach};
+use sardinepick_lib::fleet::scheduler::{Decision, Firmness, Observation, Query, Step};
+use sardinepick_lib::fleet::suspect::{RunProgress, RunnerEnd};
 use sardinepick_lib::history::Era;
 use sardinepick_lib::id::RunnerId;
 use sardinepick_wire::beat::{Beat, MOST_BYTES};
@@ -24,9 +24,9 @@
     name.parse().expect("an id")
 }
 
-fn ask(step: Step) -> Ask {
+fn ask(step: Step) -> Query {
     let parts = [("5c1e07a2", 13_300), ("91bd3f06", 410), ("e4402b7d", 250)];
-    Ask {
+    Query {
         service: "tryckassistent".parse().expect("an id"),
         data_centre: "zaal-hofvijver".parse().expect("an id"),
         terms: Terms {
@@ -34,7 +34,7 @@
             objective: Some(Duration::from_micros(812_345)),
             left: Duration::from_millis(5_000),
             patience: Duration::from_millis(6_400),
-            returned: true,
+            is_retry: true,
             size: 1.5,
         },
         work: Work { chain: Chain::new("m", parts.into_iter()), prompt: 13_960, output: 60 },
@@ -45,14 +45,14 @@
 
 fn placement(plan: Plan) -> Placement {
     let fetch = Some(runner("i-1"));
-    Placement { plan, first: 0.25, read: 0.125, wait: 0.0, fresh: 4_096, fetch }
+    Placement { plan, first: 0.25, read: 0.125, wait: 0.0, prefill_tokens: 4_096, fetch }
 }
 
 fn full_report() -> Report {
     let load = Load { requests: [90; 4], backlog: [9_000; 4], unread: [9; 4], tokens: 700_000 };
-    let part = Part { key: ChainKey(u64::MAX), alone: ChainKey(u64::MAX), tokens: 40_000 };
-    let reading = |n| Reading { runner: Tag(n), part, progress: Progress::Read };
-    let lesson = Lesson::Reading { predicted: 0.5, reading: 0.125, seen: 0.25 };
+    let part = Part { key: ChainKey(u64::MAX), standalone_key: ChainKey(u64::MAX), tokens: 40_000 };
+    let reading = |n| PrefillReport { runner: Tag(n), part, progress: Progress::Prefilled };
+    let lesson = Observation::Prefill { predicted: 0.5, prefill: 0.125, seen: 0.25 };
     Report {
         node: "edge-zaal-hofvijver-17".parse().expect("an id"),
         loads: (0..MOST_LOADS as u64).map(|n| (Tag(n), load)).collect(),
@@ -70,7 +70,7 @@
 
 #[test]
 fn decode_question_round_trip() {
-    let go_on = Step::GoOn { reader: runner("i-2"), class: Class::LATE };
+    let go_on = Step::Continue { reader: runner("i-2"), class: Class::LATE };
     let steps = [Firmness::New, Firmness::HasRun, Firmness::Streaming].map(Step::Start);
     for step in steps {
         let node = "edge-zaal-hofvijver-17".parse().expect("an id");
@@ -98,7 +98,7 @@
         None,
         Some(Decision::NoRunner),
         Some(Decision::RateLimited(Duration::from_millis(250))),
-        Some(Decision::GoesOn(runner("i-9"))),
+        Some(Decision::Continue(runner("i-9"))),
         Some(Decision::Late(whole.clone())),
         Some(Decision::Placed { placement: whole, class: Class::LATE }),
         Some(Decision::Placed { placement: split, class: Class::of_rank(0) }),
@@ -112,7 +112,7 @@
 fn decode_report_round_trip() {
     round_trip(&Schedule::Report(full_report()));
     let outcomes = [Outcome::Answered, Outcome::Failed, Outcome::Broken, Outcome::Gone];
-    let lessons = outcomes.map(Lesson::Outcome).into_iter().chain([Lesson::Stream(0.5)]);
+    let lessons = outcomes.map(Observation::Outcome).into_iter().chain([Observation::Stream(0.5)]);
     let lessons = lessons.map(|lesson| (Tag(1), lesson)).collect();
     round_trip(&Schedule::Report(Report { lessons, ..full_report() }));
 }
@@ -121,7 +121,7 @@
 fn decode_end_round_trip() {
     let request = Fingerprint::of(&[b"a brief"]);
     for begun in [false, true] {
-        let end = End { life: Tag(u64::MAX), reach: Reach { events: 9, begun } };
+        let end = RunnerEnd { life: Tag(u64::MAX), reach: RunProgress { events: 9, begun } };
         round_trip(&Schedule::Ended { number: 1 << 40, request, end });
     }
     round_trip(&Schedule::Counted { number: 1 << 40, ends: 3 });
@@ -153,7 +153,7 @@
 #[test]
 fn decode_lesson_no_number_not_taken() {
     for seen in [f64::NAN, f64::INFINITY, -1.0, 1e9] {
-        let lessons = vec![(Tag(1), Lesson::Reading { predicted: 0.5, reading: 0.125, seen })];
+        let lessons = vec![(Tag(1), Observation::Prefill { predicted: 0.5, prefill: 0.125, seen })];
         let report = Report { lessons, ..full_report() };
         assert!(Schedule::decode(&Schedule::Report(report).encode()).is_err(), "{seen}");
     }
