--- a/lib/src/fleet/fanout.rs
+++ b/lib/src/fleet/fanout.rs
@@ -55,16 +55,16 @@
     /// responses to requesters that no longer need to wait. `bytes` is the size of the next copies.
     pub fn end(&mut self, receiver: Option<SocketAddr>, bytes: usize) -> Vec<(W, Response)> {
         self.sending = self.sending.saturating_sub(1);
-        let mut turns = Vec::new();
+        let mut responses = Vec::new();
         let free = max_concurrent(bytes).saturating_sub(self.sending).min(self.waiting.len());
         self.sending += free;
-        turns.extend(self.waiting.drain(..free).map(|waiter| (waiter, Response::Send)));
+        responses.extend(self.waiting.drain(..free).map(|waiter| (waiter, Response::Send)));
         if let Some(receiver) = receiver {
             let stay = self.waiting.len() / 2;
             let go = self.waiting.drain(stay..);
-            turns.extend(go.map(|waiter| (waiter, Response::Redirect(receiver))));
+            responses.extend(go.map(|waiter| (waiter, Response::Redirect(receiver))));
         }
-        turns
+        responses
     }
 
     /// Removes requesters that no longer wait.
--- a/lib/src/fleet/placement.rs
+++ b/lib/src/fleet/placement.rs
@@ -107,16 +107,16 @@
     load: Load,
 }
 
-fn candidates<'a>(register: &'a Register, question: &Criteria<'a>) -> Vec<Candidate<'a>> {
-    let not_skipped = |r: &&Runner| !question.skip.contains(&r.entry.id);
-    let now = question.now;
+fn candidates<'a>(register: &'a Register, criteria: &Criteria<'a>) -> Vec<Candidate<'a>> {
+    let not_skipped = |r: &&Runner| !criteria.skip.contains(&r.entry.id);
+    let now = criteria.now;
     let usable = |r: &&Runner| {
-        let has_reserved = question.continues && r.limit.has_reserved(now);
+        let has_reserved = criteria.continues && r.limit.has_reserved(now);
         r.accepts(now) || has_reserved && r.takes_work(now) && r.back_off.is_over(now)
     };
-    let all = || register.of(question.service).filter(not_skipped);
-    let with_load = |runner: &'a Runner| Candidate { runner, load: runner.load(question.now) };
-    let in_pool = |r: &&Runner| question.pool.is_none_or(|pool| r.pool == pool);
+    let all = || register.of(criteria.service).filter(not_skipped);
+    let with_load = |runner: &'a Runner| Candidate { runner, load: runner.load(criteria.now) };
+    let in_pool = |r: &&Runner| criteria.pool.is_none_or(|pool| r.pool == pool);
     let mut eligible: Vec<Candidate<'a>> =
         all().filter(in_pool).filter(usable).map(with_load).collect();
     if eligible.is_empty() {
@@ -124,15 +124,15 @@
     }
     if eligible.is_empty() {
         // A runner that is being probed after failures is better than a refusal.
-        let open = |r: &&Runner| r.is_last_resort() && r.closed(question.now).is_none();
+        let open = |r: &&Runner| r.is_last_resort() && r.closed(criteria.now).is_none();
         return all().filter(open).map(with_load).collect();
     }
     eligible
 }
 
 impl Candidate<'_> {
-    fn cost(&self, question: &Criteria<'_>, draw: f64) -> f64 {
-        let distance = if self.runner.entry.data_centre == *question.data_centre {
+    fn cost(&self, criteria: &Criteria<'_>, draw: f64) -> f64 {
+        let distance = if self.runner.entry.data_centre == *criteria.data_centre {
             0.0
         } else {
             CROSS_DATA_CENTRE_COST
@@ -194,12 +194,12 @@
 /// closed to new requests for now.
 fn find_cache_holder<'b>(
     register: &'b Register,
-    question: &Criteria<'b>,
+    criteria: &Criteria<'b>,
     work: &Work,
     now: Instant,
 ) -> Option<CacheHolder<'b>> {
-    let in_pool = |r: &&Runner| question.pool.is_none_or(|pool| r.pool == pool);
-    let sound = register.of(question.service).filter(in_pool).filter(|r| r.takes_work(now));
+    let in_pool = |r: &&Runner| criteria.pool.is_none_or(|pool| r.pool == pool);
+    let sound = register.of(criteria.service).filter(in_pool).filter(|r| r.takes_work(now));
     let kept =
         sound.map(|runner| CacheHolder { runner, tokens: runner.cache.fetchable(&work.chain) });
     kept.filter(|holder| holder.tokens > 0).max_by_key(|holder| holder.tokens)
@@ -214,12 +214,12 @@
 
 fn estimate_prefill<'a, 'b>(
     at: &'b Candidate<'a>,
-    question: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     inputs: &'b PrefillInputs<'b>,
     draw: f64,
 ) -> PrefillEstimate<'a, 'b> {
     let work = inputs.work;
-    let mut cached = at.runner.cache.cached(&work.chain, question.now).min(work.prompt);
+    let mut cached = at.runner.cache.cached(&work.chain, criteria.now).min(work.prompt);
     let (mut fetch, mut fetching) = (None, 0.0);
     if let Some(holder) = &inputs.cache_holder
         && holder.runner.entry.id != at.runner.entry.id
@@ -232,9 +232,9 @@
     }
     let prefill_tokens = work.prompt - cached;
     let time = at.runner.prefill_time(&at.load, prefill_tokens, cached) + fetching;
-    let wait = at.runner.wait(&at.load, question.class);
+    let wait = at.runner.wait(&at.load, criteria.class);
     let read = wait + time + startup_latency();
-    let rank = read + time * QUEUEING_WEIGHT + at.cost(question, draw);
+    let rank = read + time * QUEUEING_WEIGHT + at.cost(criteria, draw);
     PrefillEstimate { at, read, wait, prefill_tokens, fetch, rank }
 }
 
@@ -283,12 +283,12 @@
 
 fn assign_roles<'a, 'b>(
     all: &'b [Candidate<'a>],
-    question: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     engine: &Engine,
     work: &Work,
 ) -> Roles<'a, 'b> {
     // The order is the same on all nodes that see the same runners, whatever their number.
-    let service = place(0, question.service.as_str().as_bytes());
+    let service = place(0, criteria.service.as_str().as_bytes());
     let of_stage = |stage| {
         let mut matching: Vec<&Candidate<'_>> =
             all.iter().filter(|c| c.runner.entry.stage == Some(stage)).collect();
@@ -312,7 +312,7 @@
     if whole.is_empty() && late.is_empty() {
         whole.clone_from(&decode);
     }
-    let open = |c: &&Candidate<'_>| c.has_queue_room(question.class, engine);
+    let open = |c: &&Candidate<'_>| c.has_queue_room(criteria.class, engine);
     retain_if_any(&mut decode, open);
     retain_if_any(&mut whole, open);
     Roles { decode, whole, prefill, late }
@@ -355,41 +355,41 @@
 /// Chooses the runners for a generation. Returns `None` if no runner of the service can run it.
 pub fn place_generation<R: Rng>(
     register: &Register,
-    question: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     engine: &Engine,
     work: &Work,
     rng: &mut R,
 ) -> Option<Placement> {
-    let all = candidates(register, question);
-    let mut roles = assign_roles(&all, question, engine, work);
-    if question.class == Class::LATE {
+    let all = candidates(register, criteria);
+    let mut roles = assign_roles(&all, criteria, engine, work);
+    if criteria.class == Class::LATE {
         roles.drop_full_queues(Class::LATE, engine);
     }
-    let prefill_candidates = prefill_candidates(&roles, question.class);
+    let prefill_candidates = prefill_candidates(&roles, criteria.class);
     let affinity_runners =
         affinity_runners(prefill_candidates.iter().map(|(candidate, _)| *candidate), work);
     let inputs = PrefillInputs {
         work,
         engine,
-        cache_holder: find_cache_holder(register, question, work, question.now),
+        cache_holder: find_cache_holder(register, criteria, work, criteria.now),
     };
     let best_prefill = prefill_candidates
         .iter()
         .map(|(c, cost)| {
-            let mut estimate = estimate_prefill(c, question, &inputs, rng.random());
+            let mut estimate = estimate_prefill(c, criteria, &inputs, rng.random());
             estimate.rank += cost - affinity_bonus(&affinity_runners, &estimate, &inputs);
             estimate
         })
         .min_by(|a, b| a.rank.total_cmp(&b.rank));
     let split = best_prefill
-        .and_then(|prefill| split(&prefill, &roles.decode, question, engine, work, rng));
+        .and_then(|prefill| split(&prefill, &roles.decode, criteria, engine, work, rng));
     let whole = roles
         .whole
         .iter()
         .map(|c| {
-            let estimate = estimate_prefill(c, question, &inputs, rng.random());
+            let estimate = estimate_prefill(c, criteria, &inputs, rng.random());
             let first =
-                c.first_event() + c.runner.wait_for_slot(&c.load, question.class, engine.slots);
+                c.first_event() + c.runner.wait_for_slot(&c.load, criteria.class, engine.slots);
             (estimate.rank + first, estimate.read + first, estimate)
         })
         .min_by(|a, b| a.0.total_cmp(&b.0));
@@ -406,14 +406,14 @@
 fn split<R: Rng>(
     prefill: &PrefillEstimate<'_, '_>,
     decode: &[&Candidate<'_>],
-    question: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     engine: &Engine,
     work: &Work,
     rng: &mut R,
 ) -> Option<(f64, Placement)> {
     let from = &prefill.at.runner.entry;
     let (rank, first, decode_runner) =
-        soonest_decode_runner(&from.data_centre, decode, question, engine, work, rng)?;
+        soonest_decode_runner(&from.data_centre, decode, criteria, engine, work, rng)?;
     let plan = Plan::Split { prefill: from.id.clone(), decode: decode_runner.clone() };
     Some((prefill.rank + rank, prefill.placement(plan, prefill.read + first)))
 }
@@ -423,17 +423,17 @@
 fn soonest_decode_runner<'a, R: Rng>(
     from: &DataCentre,
     decode: &[&Candidate<'a>],
-    question: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     engine: &Engine,
     work: &Work,
     rng: &mut R,
 ) -> Option<(f64, f64, &'a RunnerId)> {
     let ranked = decode.iter().map(|c| {
         let near = c.runner.entry.data_centre == *from;
-        let wait = c.runner.wait(&c.load, question.class)
-            + c.runner.wait_for_slot(&c.load, question.class, engine.slots);
+        let wait = c.runner.wait(&c.load, criteria.class)
+            + c.runner.wait_for_slot(&c.load, criteria.class, engine.slots);
         let first = wait + c.first_event() + engine.transfer_time(work.prompt, near);
-        (first + c.cost(question, rng.random()), first, &c.runner.entry.id)
+        (first + c.cost(criteria, rng.random()), first, &c.runner.entry.id)
     });
     ranked.min_by(|a, b| a.0.total_cmp(&b.0))
 }
@@ -442,17 +442,17 @@
 /// several seconds, in which the runner planned for decoding may have started to drain.
 pub fn place_decode<R: Rng>(
     register: &Register,
-    question: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     engine: &Engine,
     work: &Work,
     prefill_runner: &RunnerId,
     rng: &mut R,
 ) -> Option<RunnerId> {
-    let all = candidates(register, question);
-    let roles = assign_roles(&all, question, engine, work);
+    let all = candidates(register, criteria);
+    let roles = assign_roles(&all, criteria, engine, work);
     let from = &register.get(prefill_runner)?.entry.data_centre;
     let decode_runners = if roles.decode.is_empty() { &roles.whole } else { &roles.decode };
-    soonest_decode_runner(from, decode_runners, question, engine, work, rng)
+    soonest_decode_runner(from, decode_runners, criteria, engine, work, rng)
         .map(|(.., id)| id.clone())
 }
 
@@ -503,17 +503,17 @@
 /// Chooses the runner for a plain request. Returns `None` if the service has no available runner.
 pub fn place_plain<R: Rng>(
     register: &Register,
-    question: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     rng: &mut R,
 ) -> Option<Plain> {
-    let all = candidates(register, question);
+    let all = candidates(register, criteria);
     let ranked = all.iter().map(|c| {
         let slots = f64::from(c.runner.entry.slots.max(1));
         let ahead = (f64::from(c.load.total()) + 1.0 - slots).max(0.0);
         let answer = c.runner.answer_time * (1.0 + ahead / slots);
         // Among equal runners the least utilized one is chosen, so that bursts spread.
         let fullness = f64::from(c.load.total()) / slots * c.runner.answer_time;
-        (answer + fullness + c.cost(question, rng.random()), answer, c)
+        (answer + fullness + c.cost(criteria, rng.random()), answer, c)
     });
     let (_, answer, best) = ranked.min_by(|a, b| a.0.total_cmp(&b.0))?;
     Some(Plain { runner: best.runner.entry.id.clone(), answer })
--- a/lib/src/fleet/register.rs
+++ b/lib/src/fleet/register.rs
@@ -238,8 +238,8 @@
     }
 
     /// The runner of a registration, mutably, if that registration is still current.
-    pub fn registered_mut(&mut self, stay: &Registration) -> Option<&mut Runner> {
-        self.runners.get_mut(&stay.id).filter(|runner| runner.is_current(stay))
+    pub fn registered_mut(&mut self, registration: &Registration) -> Option<&mut Runner> {
+        self.runners.get_mut(&registration.id).filter(|runner| runner.is_current(registration))
     }
 
     /// All runners.
@@ -271,28 +271,28 @@
 
     /// Records that work starts at a runner. Returns the registration to which it is attributed, or
     /// `None` if the runner is not known.
-    pub fn begin(&mut self, id: &RunnerId, share: WorkCost, now: Instant) -> Option<Registration> {
+    pub fn begin(&mut self, id: &RunnerId, cost: WorkCost, now: Instant) -> Option<Registration> {
         let runner = self.runners.get_mut(id)?;
         runner.health.note_sent(now);
-        runner.own.add(&share.load());
+        runner.own.add(&cost.load());
         Some(runner.registration())
     }
 
     /// Records that the prompt of outstanding work has been prefilled.
-    pub fn note_read(&mut self, stay: &Registration, share: WorkCost) {
-        let Some(runner) = self.registered_mut(stay) else { return };
-        let backlog = &mut runner.own.backlog[share.class.index()];
-        *backlog = backlog.saturating_sub(share.prefill_tokens);
-        let unread = &mut runner.own.unread[share.class.index()];
+    pub fn note_read(&mut self, registration: &Registration, cost: WorkCost) {
+        let Some(runner) = self.registered_mut(registration) else { return };
+        let backlog = &mut runner.own.backlog[cost.class.index()];
+        *backlog = backlog.saturating_sub(cost.prefill_tokens);
+        let unread = &mut runner.own.unread[cost.class.index()];
         *unread = unread.saturating_sub(1);
     }
 
     /// Records that work has ended.
-    pub fn end(&mut self, stay: &Registration, share: WorkCost) {
-        let Some(runner) = self.registered_mut(stay) else { return };
-        let requests = &mut runner.own.requests[share.class.index()];
+    pub fn end(&mut self, registration: &Registration, cost: WorkCost) {
+        let Some(runner) = self.registered_mut(registration) else { return };
+        let requests = &mut runner.own.requests[cost.class.index()];
         *requests = requests.saturating_sub(1);
-        runner.own.tokens = runner.own.tokens.saturating_sub(share.footprint);
+        runner.own.tokens = runner.own.tokens.saturating_sub(cost.footprint);
     }
 
     /// Replaces the outstanding work that another node has reported for runners.
@@ -305,17 +305,17 @@
     }
 
     /// Counts work that this node has placed for another, until that node reports it.
-    pub fn note_placed(&mut self, node: &NodeId, id: &RunnerId, share: WorkCost, now: Instant) {
+    pub fn note_placed(&mut self, node: &NodeId, id: &RunnerId, cost: WorkCost, now: Instant) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.health.note_sent(now);
-            runner.others.add(node, share.load(), now);
+            runner.others.add(node, cost.load(), now);
         }
     }
 
     /// Applies another node's report of the prefill progress of a part.
-    pub fn apply_prefill_report(&mut self, reading: PrefillReport, now: Instant) {
-        if let Some(runner) = self.by_tag_mut(reading.runner) {
-            runner.cache.note_part(reading.part, reading.progress, now);
+    pub fn apply_prefill_report(&mut self, report: PrefillReport, now: Instant) {
+        if let Some(runner) = self.by_tag_mut(report.runner) {
+            runner.cache.note_part(report.part, report.progress, now);
         }
     }
 
--- a/lib/src/fleet/runner.rs
+++ b/lib/src/fleet/runner.rs
@@ -189,9 +189,9 @@
         Registration { id: self.entry.id.clone(), born: self.entry.born, number: self.number }
     }
 
-    /// Whether `stay` is the current registration.
-    pub fn is_current(&self, stay: &Registration) -> bool {
-        self.number == stay.number
+    /// Whether `registration` is the current registration.
+    pub fn is_current(&self, registration: &Registration) -> bool {
+        self.number == registration.number
     }
 
     /// Whether it is eligible for new work.
--- a/lib/src/fleet/scheduler.rs
+++ b/lib/src/fleet/scheduler.rs
@@ -143,36 +143,36 @@
 /// Makes the decision from what `register` knows of the pool.
 pub fn decide<R: Rng>(
     register: &Register,
-    ask: &Query,
+    query: &Query,
     engine: &Engine,
     now: Instant,
     rng: &mut R,
 ) -> Decision {
-    let pool = Some(register.pool_of(&ask.service, &ask.work));
-    let continues = matches!(ask.step, Step::Continue { .. });
-    let question = |class| Criteria {
+    let pool = Some(register.pool_of(&query.service, &query.work));
+    let continues = matches!(query.step, Step::Continue { .. });
+    let criteria = |class| Criteria {
         continues,
-        service: &ask.service,
+        service: &query.service,
         pool,
         class,
-        data_centre: &ask.data_centre,
-        skip: &ask.skip,
+        data_centre: &query.data_centre,
+        skip: &query.skip,
         now,
     };
     let none = || {
-        match register.closed(&ask.service, now) {
+        match register.closed(&query.service, now) {
             Some(Closed::RateLimit(wait)) => Decision::RateLimited(wait),
             // The back-off of this node from a runner does not apply to other nodes.
             Some(Closed::BackOff(_)) | None => Decision::NoRunner,
         }
     };
-    let firmness = match &ask.step {
+    let firmness = match &query.step {
         Step::Continue { reader, class } => {
             let next = placement::place_decode(
                 register,
-                &question(*class),
+                &criteria(*class),
                 engine,
-                &ask.work,
+                &query.work,
                 reader,
                 rng,
             );
@@ -181,8 +181,8 @@
         Step::Start(firmness) => *firmness,
     };
     let mut place =
-        |class| placement::place_generation(register, &question(class), engine, &ask.work, rng);
-    let terms = &ask.terms;
+        |class| placement::place_generation(register, &criteria(class), engine, &query.work, rng);
+    let terms = &query.terms;
     let Some(placement) = place(terms.class) else { return none() };
     if firmness == Firmness::Streaming || terms.on_time(placement.first) {
         return Decision::Placed { placement, class: terms.class };
@@ -200,18 +200,18 @@
 pub fn note(
     register: &mut Register,
     node: &NodeId,
-    ask: &Query,
+    query: &Query,
     decision: &Decision,
     engine: &Engine,
     now: Instant,
 ) {
-    let Some((id, share)) = decision.cost(&ask.work, &ask.step) else { return };
-    register.note_placed(node, id, share, now);
-    if let Step::Start(_) = ask.step
+    let Some((id, cost)) = decision.cost(&query.work, &query.step) else { return };
+    register.note_placed(node, id, cost, now);
+    if let Step::Start(_) = query.step
         && let Some(runner) = register.get_mut(id)
     {
         runner.cache.set_memory(engine.memory);
-        runner.cache.note(&ask.work.chain, Progress::Started, now);
+        runner.cache.note(&query.work.chain, Progress::Started, now);
     }
 }
 
@@ -235,7 +235,7 @@
 }
 
 impl Placement {
-    /// The lesson from a first event, or a whole prompt, that was predicted to take `predicted`
+    /// The observation from a first event, or a whole prompt, that was predicted to take `predicted`
     /// seconds and took `seen` seconds.
     pub fn observation(&self, predicted: f64, seen: f64) -> Observation {
         let prefill = (self.read - self.wait - startup_latency()).max(0.0);
@@ -245,8 +245,8 @@
 
 impl Runner {
     /// Updates the estimates of the runner.
-    pub fn learn(&mut self, lesson: Observation, now: Instant) {
-        match lesson {
+    pub fn learn(&mut self, observation: Observation, now: Instant) {
+        match observation {
             Observation::Prefill { predicted, prefill, seen } => {
                 self.pace.learn(predicted, prefill, seen);
             }
--- a/lib/tests/back_off.rs
+++ b/lib/tests/back_off.rs
@@ -8,7 +8,7 @@
 const S: Duration = Duration::from_secs(1);
 
 #[test]
-fn read_seconds_with_fractions() {
+fn parse_seconds_with_fractions() {
     assert_eq!(parse("3"), Ok(3 * S));
     assert_eq!(parse("0.25"), Ok(S / 4));
     assert_eq!(parse("0"), Ok(Duration::ZERO));
@@ -16,7 +16,7 @@
 
 /// Guards against losing a runner for hours by one answer.
 #[test]
-fn read_long_bounded() {
+fn parse_long_bounded() {
     assert_eq!(parse("99999999999999999999"), Ok(MAX_BACK_OFF));
     assert_eq!(parse(&"9".repeat(3_000)), Err(DecimalError::TooLong(3_000)));
     for text in ["", "-1", "NaN", "inf", "1e9", "Wed, 21 Oct 2026"] {
--- a/lib/tests/fanout.rs
+++ b/lib/tests/fanout.rs
@@ -79,9 +79,9 @@
             if whole {
                 self.has.insert(receiver);
             }
-            let turns = self.fanouts[sender].end(whole.then(|| address(receiver)), LARGE);
-            for (asker, turn) in turns {
-                match turn {
+            let responses = self.fanouts[sender].end(whole.then(|| address(receiver)), LARGE);
+            for (asker, response) in responses {
+                match response {
                     Response::Send => self.begin(sender, asker),
                     Response::Redirect(at) => self.ask(asker, node(at)),
                 }
@@ -146,9 +146,9 @@
                        responded: &mut BTreeSet<usize>,
                        whole: bool| {
             let Some(receiver) = given.pop_front() else { return };
-            for (asker, turn) in fanout.end(whole.then(|| address(receiver)), LARGE) {
+            for (asker, response) in fanout.end(whole.then(|| address(receiver)), LARGE) {
                 assert!(responded.insert(asker), "{asker} got two responses");
-                if turn == Response::Send {
+                if response == Response::Send {
                     given.push_back(asker);
                 }
             }
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -84,7 +84,7 @@
 
 fn choose(register: &Register, class: Class, work: &Work, now: Instant) -> Option<Placement> {
     let (service, home) = (service(), home());
-    let question = Criteria {
+    let criteria = Criteria {
         service: &service,
         pool: None,
         class,
@@ -94,7 +94,7 @@
         now,
     };
     let mut rng = StdRng::seed_from_u64(1);
-    placement::place_generation(register, &question, &ENGINE, work, &mut rng)
+    placement::place_generation(register, &criteria, &ENGINE, work, &mut rng)
 }
 
 fn route(host: &str, prefix: &str) -> Route {
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn register_doubted_comes_back_or_goes() {
+fn register_missing_comes_back_or_goes() {
     let start = Instant::now();
     let mut register = Register::default();
     register.apply(entry("a", None, 1));
@@ -303,7 +303,7 @@
 /// removal was in doubt after an outage, and another node, which did not know of it, sent its old
 /// entry, which was taken for a sign of the runner's return.
 #[test]
-fn register_doubted_old_entry_again_goes() {
+fn register_missing_old_entry_again_goes() {
     let start = Instant::now();
     let mut register = Register::default();
     register.apply(entry("a", None, 5));
@@ -336,13 +336,13 @@
 fn load_shares_begin_and_end_even() {
     let now = Instant::now();
     let mut register = engines(1, 0);
-    let share = WorkCost { class: Class::of_rank(1), prefill_tokens: 500, footprint: 900 };
-    let stay = register.begin(&id("p0"), share, now).expect("known");
+    let cost = WorkCost { class: Class::of_rank(1), prefill_tokens: 500, footprint: 900 };
+    let registration = register.begin(&id("p0"), cost, now).expect("known");
     let load = register.get(&id("p0")).expect("known").own;
     assert_eq!((load.total(), load.tokens, load.tokens_ahead(Class::LATE)), (1, 900, 500));
     assert_eq!(load.tokens_ahead(Class::of_rank(0)), 0);
-    register.note_read(&stay, share);
-    register.end(&stay, share);
+    register.note_read(&registration, cost);
+    register.end(&registration, cost);
     assert_eq!(register.get(&id("p0")).expect("known").own, Load::default());
 }
 
@@ -549,7 +549,7 @@
     let (service, home) = (service(), home());
     let now = Instant::now();
     let class = Class::of_rank(0);
-    let question = Criteria {
+    let criteria = Criteria {
         service: &service,
         pool: None,
         class,
@@ -560,7 +560,7 @@
     };
     let placed = |seed| {
         let mut rng = StdRng::seed_from_u64(seed);
-        placement::place_generation(&register, &question, &ENGINE, &work, &mut rng)
+        placement::place_generation(&register, &criteria, &ENGINE, &work, &mut rng)
             .expect("a place")
             .plan
     };
@@ -587,12 +587,12 @@
             Plan::Whole { runner } => runner.clone(),
             Plan::Split { prefill, .. } => prefill.clone(),
         };
-        let share = WorkCost {
+        let cost = WorkCost {
             class: Class::LATE,
             prefill_tokens: placed.prefill_tokens,
             footprint: work.footprint(),
         };
-        register.begin(&reader, share, now);
+        register.begin(&reader, cost, now);
         late.push(reader);
     }
     late.sort();
@@ -644,7 +644,7 @@
     register.apply(Entry { state: State::Draining, ..entry("d0", Some(Stage::Decode), 2) });
     let (service, home) = (service(), home());
     let class = Class::of_rank(0);
-    let question = Criteria {
+    let criteria = Criteria {
         service: &service,
         pool: None,
         class,
@@ -657,7 +657,7 @@
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let chosen =
-            placement::place_decode(&register, &question, &ENGINE, &work, &id("p0"), &mut rng);
+            placement::place_decode(&register, &criteria, &ENGINE, &work, &id("p0"), &mut rng);
         assert_eq!(chosen, Some(id("d1")));
     }
 }
@@ -674,7 +674,7 @@
     let (service, home, class) = (service(), home(), Class::of_rank(0));
     let mut rng = StdRng::seed_from_u64(2);
     for _ in 0..90 {
-        let question = Criteria {
+        let criteria = Criteria {
             service: &service,
             pool: None,
             class,
@@ -685,9 +685,9 @@
         };
         let work = work("a", 300, 100);
         let chosen =
-            placement::place_decode(&register, &question, &small, &work, &id("p0"), &mut rng);
-        let share = WorkCost { class, prefill_tokens: 0, footprint: 400 };
-        register.begin(&chosen.expect("a place"), share, now);
+            placement::place_decode(&register, &criteria, &small, &work, &id("p0"), &mut rng);
+        let cost = WorkCost { class, prefill_tokens: 0, footprint: 400 };
+        register.begin(&chosen.expect("a place"), cost, now);
     }
     let loads = (0..6).map(|at| register.get(&id(&format!("d{at}"))).expect("known").own.total());
     assert!(loads.clone().all(|load| load <= 18), "{:?}", loads.collect::<Vec<_>>());
@@ -701,7 +701,7 @@
     let mut register = engines(2, 4);
     let small = Engine { slots: 4, ..ENGINE };
     let (service, home) = (service(), home());
-    let question = |class| Criteria {
+    let criteria = |class| Criteria {
         service: &service,
         pool: None,
         class,
@@ -715,7 +715,7 @@
     let mut sent = 0;
     let mut rng = StdRng::seed_from_u64(2);
     while let Some(placed) =
-        placement::place_generation(&register, &question(Class::LATE), &small, &work, &mut rng)
+        placement::place_generation(&register, &criteria(Class::LATE), &small, &work, &mut rng)
     {
         let (Plan::Split { decode, .. } | Plan::Whole { runner: decode }) = placed.plan;
         register.begin(&decode, late, now);
@@ -725,14 +725,14 @@
     assert_eq!(sent, 4 * 8, "two for each slot");
     let urgent = Class::of_rank(0);
     assert!(
-        placement::place_generation(&register, &question(urgent), &small, &work, &mut rng)
+        placement::place_generation(&register, &criteria(urgent), &small, &work, &mut rng)
             .is_some()
     );
     // Work whose prompt has been prefilled continues nevertheless.
     let reader = id("p0");
     let on = placement::place_decode(
         &register,
-        &question(Class::LATE),
+        &criteria(Class::LATE),
         &small,
         &work,
         &reader,
@@ -749,8 +749,8 @@
     let class = Class::of_rank(0);
     let waits = |prompts: u64| {
         let mut register = engines(1, 0);
-        let share = WorkCost { class, prefill_tokens: 6_000 / prompts, footprint: 1 };
-        (0..prompts).for_each(|_| drop(register.begin(&id("p0"), share, now)));
+        let cost = WorkCost { class, prefill_tokens: 6_000 / prompts, footprint: 1 };
+        (0..prompts).for_each(|_| drop(register.begin(&id("p0"), cost, now)));
         let runner = register.get(&id("p0")).expect("known");
         runner.wait(&runner.load(now), class)
     };
@@ -785,7 +785,7 @@
     }
     let (service, home) = (service(), home());
     let class = Class::of_rank(0);
-    let question = Criteria {
+    let criteria = Criteria {
         service: &service,
         pool: None,
         class,
@@ -796,7 +796,7 @@
     };
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let chosen = placement::place_plain(&register, &question, &mut rng).expect("a runner");
+        let chosen = placement::place_plain(&register, &criteria, &mut rng).expect("a runner");
         assert_eq!(chosen.runner, id("b"));
     }
 }
@@ -866,8 +866,8 @@
     let mut register = engines(3, 3);
     let work = work("manual", 13_000, 3_000);
     register.get_mut(&id("p1")).expect("known").cache.note(&work.chain, Progress::Prefilled, now);
-    let share = WorkCost { class: Class::of_rank(0), prefill_tokens: 60_000, footprint: 60_000 };
-    register.begin(&id("p1"), share, now);
+    let cost = WorkCost { class: Class::of_rank(0), prefill_tokens: 60_000, footprint: 60_000 };
+    register.begin(&id("p1"), cost, now);
     let own = Work { prompt: work.prompt, ..work.clone() };
     let placed = choose(&register, Class::of_rank(0), &own, now).expect("a place");
     assert!(!matches!(&placed.plan, Plan::Split { prefill, .. } if *prefill == id("p1")));
@@ -881,8 +881,8 @@
     let mut register = engines(2, 2);
     let work = work("short", 500, 100);
     register.get_mut(&id("p1")).expect("known").cache.note(&work.chain, Progress::Prefilled, now);
-    let share = WorkCost { class: Class::of_rank(0), prefill_tokens: 60_000, footprint: 60_000 };
-    register.begin(&id("p1"), share, now);
+    let cost = WorkCost { class: Class::of_rank(0), prefill_tokens: 60_000, footprint: 60_000 };
+    register.begin(&id("p1"), cost, now);
     let placed = choose(&register, Class::of_rank(0), &work, now).expect("a place");
     assert_eq!(placed.fetch, None);
 }
@@ -897,12 +897,12 @@
     let first = work("manual", 13_000, 3_000);
     let placed = choose(&register, Class::of_rank(2), &first, now).expect("a place");
     let Plan::Split { prefill, .. } = placed.plan else { panic!("{placed:?}") };
-    let share = WorkCost {
+    let cost = WorkCost {
         class: Class::of_rank(2),
         prefill_tokens: placed.prefill_tokens,
         footprint: 16_000,
     };
-    register.begin(&prefill, share, now);
+    register.begin(&prefill, cost, now);
     let runner = register.get_mut(&prefill).expect("known");
     runner.cache.note(&first.chain, Progress::Started, now);
     let second = work("manual", 13_000, 2_000);
@@ -967,26 +967,26 @@
 fn generation_late_runners_busy_idle_used() {
     let now = Instant::now();
     let mut register = engines(9, 3);
-    let mut readers = Vec::new();
+    let mut prefill_runners = Vec::new();
     for n in 0..12 {
         let work = work(&format!("late{n}"), 40_000, 10_000);
         let placed = choose(&register, Class::LATE, &work, now).expect("a place");
         let Plan::Split { prefill, .. } = placed.plan else { panic!("{placed:?}") };
-        let share = WorkCost {
+        let cost = WorkCost {
             class: Class::LATE,
             prefill_tokens: placed.prefill_tokens,
             footprint: 50_000,
         };
-        register.begin(&prefill, share, now);
-        readers.push(prefill);
+        register.begin(&prefill, cost, now);
+        prefill_runners.push(prefill);
     }
     let distinct = |some: &[RunnerId]| some.iter().collect::<std::collections::HashSet<_>>().len();
     assert_eq!(
-        distinct(&readers[..6]),
+        distinct(&prefill_runners[..6]),
         6,
-        "no prompt waits while idle runners are available: {readers:?}"
+        "no prompt waits while idle runners are available: {prefill_runners:?}"
     );
-    assert_eq!(distinct(&readers), 6, "three runners stay free: {readers:?}");
+    assert_eq!(distinct(&prefill_runners), 6, "three runners stay free: {prefill_runners:?}");
 }
 
 /// Of prompts believed to have been cached for more than eight seconds, six in ten were prefilled
@@ -994,7 +994,7 @@
 /// their own, which evicted the shared prompt, but reported only shared parts, so the runner's
 /// memory was assumed to fill at a third of the actual rate.
 #[test]
-fn take_reading_own_parts_evict_shared() {
+fn apply_prefill_report_own_parts_evict_shared() {
     let now = Instant::now();
     let mut register = engines(1, 1);
     let runner = register.get_mut(&id("p0")).expect("known");
@@ -1004,12 +1004,12 @@
     for n in 0..10 {
         let other = work(&format!("doc{}", n % 2), 2_000, 4_000 + n).chain;
         for part in &other.0 {
-            let reading = PrefillReport {
+            let report = PrefillReport {
                 runner: Tag::of(&id("p0"), None),
                 part: *part,
                 progress: Progress::Prefilled,
             };
-            register.apply_prefill_report(reading, now + S * (1 + n as u32));
+            register.apply_prefill_report(report, now + S * (1 + n as u32));
         }
     }
     let runner = register.get(&id("p0")).expect("known");
--- a/lib/tests/life_model.rs
+++ b/lib/tests/life_model.rs
@@ -20,7 +20,7 @@
 const NODES: usize = 2;
 /// The number of events explored from each start.
 const DEPTH: usize = 5;
-const SHARE: WorkCost = WorkCost { class: Class::LATE, prefill_tokens: 10, footprint: 20 };
+const COST: WorkCost = WorkCost { class: Class::LATE, prefill_tokens: 10, footprint: 20 };
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
@@ -59,14 +59,14 @@
 /// Work in progress, with the incarnation that its node knew when it started.
 #[derive(Clone)]
 struct Work {
-    stay: Registration,
+    registration: Registration,
     born: Born,
 }
 
 #[derive(Clone)]
 struct Report {
     loads: Vec<(Tag, Load)>,
-    readings: Vec<PrefillReport>,
+    prefills: Vec<PrefillReport>,
     /// The incarnations of the sender's work in progress, one entry for each piece of work.
     truth: Vec<Born>,
 }
@@ -78,7 +78,7 @@
     written: Vec<Entry>,
     nodes: [Register; NODES],
     work: [Vec<Work>; NODES],
-    readings: Vec<PrefillReport>,
+    prefills: Vec<PrefillReport>,
     sent: Vec<Report>,
     heard: Vec<Born>,
     /// The incarnations that have prefilled the prompt.
@@ -103,7 +103,7 @@
             written: Vec::new(),
             nodes: [Register::default(), Register::default()],
             work: [Vec::new(), Vec::new()],
-            readings: Vec::new(),
+            prefills: Vec::new(),
             sent: Vec::new(),
             heard: Vec::new(),
             read: HashSet::new(),
@@ -170,9 +170,9 @@
             }
             Event::Begin(at) => {
                 let born = self.known_incarnation(at);
-                let stay = self.nodes[at].begin(&id(), SHARE, self.now);
-                if let (Some(born), Some(stay)) = (born, stay) {
-                    self.work[at].push(Work { stay, born });
+                let registration = self.nodes[at].begin(&id(), COST, self.now);
+                if let (Some(born), Some(registration)) = (born, registration) {
+                    self.work[at].push(Work { registration, born });
                 }
             }
             Event::End(at) => self.end(at),
@@ -180,7 +180,7 @@
                 let report = Report {
                     // A node reports each incarnation in which it has worked, also after its end.
                     loads: self.written.iter().map(|entry| self.own_in(entry.tag())).collect(),
-                    readings: std::mem::take(&mut self.readings),
+                    prefills: std::mem::take(&mut self.prefills),
                     truth: self.work[0].iter().map(|work| work.born).collect(),
                 };
                 self.sent.push(report);
@@ -190,8 +190,8 @@
                     let report = self.sent.remove(0);
                     let node: NodeId = "edge-1".parse().expect("an id");
                     self.nodes[1].take_report(&node, &report.loads, self.now);
-                    for reading in report.readings {
-                        self.nodes[1].apply_prefill_report(reading, self.now);
+                    for prefill in report.prefills {
+                        self.nodes[1].apply_prefill_report(prefill, self.now);
                     }
                     self.heard = report.truth;
                 }
@@ -206,15 +206,15 @@
         let work = self.work[at].remove(0);
         self.read.insert(work.born);
         let (register, now) = (&mut self.nodes[at], self.now);
-        register.note_read(&work.stay, SHARE);
-        if let Some(runner) = register.registered_mut(&work.stay) {
+        register.note_read(&work.registration, COST);
+        if let Some(runner) = register.registered_mut(&work.registration) {
             runner.cache.note(&chain(), Progress::Prefilled, now);
         }
-        register.end(&work.stay, SHARE);
+        register.end(&work.registration, COST);
         if at == 0 {
-            let runner = Tag::of(&work.stay.id, work.stay.born);
+            let runner = Tag::of(&work.registration.id, work.registration.born);
             let part = chain().0[0];
-            self.readings.push(PrefillReport { runner, part, progress: Progress::Prefilled });
+            self.prefills.push(PrefillReport { runner, part, progress: Progress::Prefilled });
         }
     }
 
--- a/lib/tests/limit.rs
+++ b/lib/tests/limit.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn take_notice_older_nothing() {
+fn take_announcement_older_nothing() {
     let (mut limit, now) = (Limit::default(), Instant::now() + 10 * MS);
     limit.note_answer(Some(rate("2")), now, now);
     limit.note_answer(None, now + MS, now + 2 * MS);
@@ -83,7 +83,7 @@
 
 /// Guards against a limit that two nodes announce to each other for ever.
 #[test]
-fn take_notice_same_rate_not_renewed() {
+fn take_announcement_same_rate_not_renewed() {
     let (mut limit, now) = (Limit::default(), Instant::now());
     limit.note_answer(Some(rate("2")), now, now);
     assert_eq!(
--- a/lib/tests/quarantine.rs
+++ b/lib/tests/quarantine.rs
@@ -159,7 +159,7 @@
 /// Many callers send the same request all day, so it is running whenever a runner ends, and some
 /// node has answered it since.
 #[test]
-fn objects_answered_since_first_end() {
+fn contradicts_answered_since_first_end() {
     let (mut node, now) = (Node::default(), Instant::now());
     let mut other = Quarantine::default();
     other.note_answered(request(1), now + SECOND);
@@ -310,9 +310,10 @@
     /// Simulates the ten milliseconds after `at`.
     fn step(&mut self, at: Duration) {
         let now = self.began + at;
-        let news: Vec<Vec<Entry>> = self.nodes.iter_mut().map(Quarantine::take_updates).collect();
+        let updates: Vec<Vec<Entry>> =
+            self.nodes.iter_mut().map(Quarantine::take_updates).collect();
         let beats = at.as_millis().is_multiple_of(200);
-        for (from, entries) in news.iter().enumerate() {
+        for (from, entries) in updates.iter().enumerate() {
             for to in self.watchers[from].clone() {
                 let draw = [from.to_le_bytes(), to.to_le_bytes()].concat();
                 if place(at.as_millis() as u64, &draw).is_multiple_of(10) {
@@ -343,7 +344,7 @@
 
 /// The number of messages per node does not grow with the fleet.
 #[test]
-fn take_news_at_all_sizes_reaches_all() {
+fn take_updates_at_all_sizes_reaches_all() {
     for count in [2, 6, 70, 295, 550] {
         let mut fleet = Fleet::new(count);
         let mut at = Duration::ZERO;
--- a/lib/tests/roster.rs
+++ b/lib/tests/roster.rs
@@ -244,7 +244,7 @@
 /// Hundreds of nodes that restarted together read all entries of the store. Half of the nodes are
 /// killed and restart; updates about their new incarnations pass along the watchers alone.
 #[test]
-fn take_record_half_start_again_all_know() {
+fn apply_record_half_start_again_all_know() {
     let mut fleet = Fleet::new(60);
     fleet.run(MS * 500);
     for at in (0..60).step_by(2) {
@@ -301,7 +301,7 @@
 /// After the end of a partition, nodes stayed apart: a third of the nodes was cut off and
 /// considered silent, and neither side sent heartbeats to the other any more.
 #[test]
-fn take_beat_partition_healed_all_present() {
+fn apply_heartbeat_partition_healed_all_present() {
     let mut fleet = Fleet::new(30);
     fleet.run(MS * 500);
     // Each node is cut off by itself and hears no other.
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn take_record_older_changes_nothing() {
+fn apply_record_older_changes_nothing() {
     let now = Instant::now();
     let mut roster = Roster::new(contact(0, 1));
     assert!(roster.apply_record(&record(1, 3), now));
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn take_record_reported_silent_refutes() {
+fn apply_record_reported_silent_refutes() {
     let now = Instant::now();
     let mut roster = Roster::new(contact(0, 1));
     let before = roster.me().serial;
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn introduce_not_present_until_heard() {
+fn add_unheard_not_present_until_heard() {
     let now = Instant::now();
     let mut roster = Roster::new(contact(0, 1));
     assert!(roster.add_unheard(contact(1, 1), now));
@@ -402,7 +402,7 @@
 
 /// Guards against two sides of a partition that each use the whole of a shared allowance.
 #[test]
-fn part_partitioned_sides_add_up() {
+fn present_fraction_partitioned_sides_add_up() {
     let now = Instant::now();
     let side = |me: usize, there: std::ops::Range<usize>| {
         let mut roster = Roster::new(contact(me, 1));
--- a/lib/tests/scheduler.rs
+++ b/lib/tests/scheduler.rs
@@ -72,7 +72,7 @@
     register.runners().map(|r| (r.entry.id.clone(), r.pool)).collect()
 }
 
-fn ask(prompt: &str, shared: u64, own: u64) -> Query {
+fn query(prompt: &str, shared: u64, own: u64) -> Query {
     let own_id = format!("{prompt}-own");
     let parts = [(prompt, shared), (own_id.as_str(), own)];
     Query {
@@ -92,8 +92,8 @@
     }
 }
 
-fn decide(register: &Register, ask: &Query, now: Instant, seed: u64) -> Decision {
-    scheduler::decide(register, ask, &ENGINE, now, &mut StdRng::seed_from_u64(seed))
+fn decide(register: &Register, query: &Query, now: Instant, seed: u64) -> Decision {
+    scheduler::decide(register, query, &ENGINE, now, &mut StdRng::seed_from_u64(seed))
 }
 
 /// The runner that prefills the prompt.
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn divide_each_stage_in_equal_parts() {
+fn assign_pools_each_stage_in_equal_parts() {
     for runners in [1, 9, 24, 25, 71, 160, 1_600] {
         let register = fleet(0..runners);
         let count = register.pools(&service());
@@ -128,7 +128,7 @@
 /// divided anew and most of them moved to other pools, whose schedulers do not know what they have
 /// cached.
 #[test]
-fn divide_one_runner_gone_few_move() {
+fn assign_pools_one_runner_gone_few_move() {
     let before = pools(&fleet(0..160));
     for gone in 0..160 {
         let after = pools(&fleet((0..160).filter(|at| *at != gone)));
@@ -160,23 +160,24 @@
         placed.iter().for_each(|id| *counts.entry(id).or_default() += 1);
         counts.values().copied().max().unwrap_or_default()
     };
-    let asks: Vec<Query> = (0..requests).map(|n| ask(&format!("p{n}"), 2_000, 1_000)).collect();
+    let queries: Vec<Query> =
+        (0..requests).map(|n| query(&format!("p{n}"), 2_000, 1_000)).collect();
     let mut known = fleet(0..runners);
-    let by_scheduler: Vec<RunnerId> = asks
+    let by_scheduler: Vec<RunnerId> = queries
         .iter()
         .enumerate()
-        .map(|(n, ask)| {
-            let decision = decide(&known, ask, now, n as u64);
-            scheduler::note(&mut known, &node(n), ask, &decision, &ENGINE, now);
+        .map(|(n, query)| {
+            let decision = decide(&known, query, now, n as u64);
+            scheduler::note(&mut known, &node(n), query, &decision, &ENGINE, now);
             prefill_runner(&decision)
         })
         .collect();
     // Each node decides by itself and does not know the others' decisions.
     let unknown = fleet(0..runners);
-    let alone: Vec<RunnerId> = asks
+    let alone: Vec<RunnerId> = queries
         .iter()
         .enumerate()
-        .map(|(n, ask)| prefill_runner(&decide(&unknown, ask, now, n as u64)))
+        .map(|(n, query)| prefill_runner(&decide(&unknown, query, now, n as u64)))
         .collect();
     let readers = by_scheduler.iter().collect::<BTreeSet<_>>().len();
     let mean = requests as f64 / readers as f64;
@@ -191,7 +192,7 @@
 fn note_prompt_started_next_same_runner() {
     let now = Instant::now();
     let mut register = fleet(0..24);
-    let (first, second) = (ask("manual", 13_000, 300), ask("manual", 13_000, 500));
+    let (first, second) = (query("manual", 13_000, 300), query("manual", 13_000, 500));
     let decision = decide(&register, &first, now, 1);
     scheduler::note(&mut register, &node(1), &first, &decision, &ENGINE, now);
     let next = decide(&register, &second, now + MS * 20, 2);
@@ -206,14 +207,14 @@
 fn take_report_in_place_of_what_was_placed() {
     let now = Instant::now();
     let mut register = fleet(0..3);
-    let asked = ask("a", 1_000, 1_000);
-    let decision = decide(&register, &asked, now, 1);
+    let query = query("a", 1_000, 1_000);
+    let decision = decide(&register, &query, now, 1);
     let id = prefill_runner(&decision);
     let tag = Tag::of(&id, None);
     let total = |register: &Register| register.get(&id).expect("known").load(now).total();
     // The reply is lost: the node asks again, and the work is counted twice.
-    scheduler::note(&mut register, &node(1), &asked, &decision, &ENGINE, now);
-    scheduler::note(&mut register, &node(1), &asked, &decision, &ENGINE, now);
+    scheduler::note(&mut register, &node(1), &query, &decision, &ENGINE, now);
+    scheduler::note(&mut register, &node(1), &query, &decision, &ENGINE, now);
     assert_eq!(total(&register), 2);
     let mut one = Load { tokens: 2_000, ..Load::default() };
     one.requests[1] = 1;
@@ -232,28 +233,28 @@
 fn decide_none_of_the_pool_left_another_pool_serves() {
     let now = Instant::now();
     let mut register = fleet(0..60);
-    let asked = ask("a", 1_000, 1_000);
-    let pool = register.pool_of(&asked.service, &asked.work);
+    let query = query("a", 1_000, 1_000);
+    let pool = register.pool_of(&query.service, &query.work);
     let of_pool: Vec<RunnerId> =
         register.runners().filter(|r| r.pool == pool).map(|r| r.entry.id.clone()).collect();
     for id in &of_pool {
         register.get_mut(id).expect("known").learn(Observation::Outcome(Outcome::Gone), now);
     }
-    assert!(!of_pool.contains(&prefill_runner(&decide(&register, &asked, now, 1))));
+    assert!(!of_pool.contains(&prefill_runner(&decide(&register, &query, now, 1))));
 }
 
 #[test]
 fn decide_too_late_work_refused_at_once() {
     let now = Instant::now();
     let mut register = fleet(0..3);
-    let flood = ask("flood", 200_000, 200_000);
+    let flood = query("flood", 200_000, 200_000);
     for n in 0..40 {
         let firm = Query { step: Step::Start(Firmness::HasRun), ..flood.clone() };
         let decision = decide(&register, &firm, now, n);
         scheduler::note(&mut register, &node(1), &firm, &decision, &ENGINE, now);
     }
-    assert!(matches!(decide(&register, &ask("a", 9_000, 9_000), now, 1), Decision::Late(_)));
-    let firm = Query { step: Step::Start(Firmness::HasRun), ..ask("a", 9_000, 9_000) };
+    assert!(matches!(decide(&register, &query("a", 9_000, 9_000), now, 1), Decision::Late(_)));
+    let firm = Query { step: Step::Start(Firmness::HasRun), ..query("a", 9_000, 9_000) };
     let Decision::Placed { class, .. } = decide(&register, &firm, now, 1) else {
         panic!("a request that has run is placed as late work rather than refused");
     };
--- a/lib/tests/suspect.rs
+++ b/lib/tests/suspect.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn excuse_ends_of_another_taken_off() {
+fn discount_ends_of_another_taken_off() {
     let (mut suspects, now) = (Suspects::default(), Instant::now());
     for life in 1..=3 {
         suspects.note(request(1), end(life, 0), now);
@@ -106,7 +106,7 @@
 /// All nodes choose the same two nodes, whatever the order in which they know the others; when the
 /// first is lost, the second keeps counting.
 #[test]
-fn counting_first_lost_second_goes_on() {
+fn choose_counting_nodes_first_lost_second_goes_on() {
     for count in [1, 2, 6, 550] {
         let all = nodes(count);
         let both = choose_counting_nodes(&request(7), all.iter());
@@ -121,7 +121,7 @@
 
 /// No node counts much more than its share.
 #[test]
-fn counting_many_requests_spread() {
+fn choose_counting_nodes_many_requests_spread() {
     let all = nodes(550);
     let mut counts = std::collections::HashMap::new();
     for n in 0..11_000 {
