--- a/lib/src/fleet/placement.rs
+++ b/lib/src/fleet/placement.rs
@@ -45,11 +45,11 @@
     /// The chosen runners.
     pub plan: Plan,
     /// Predicted time to the first event, in seconds from now.
-    pub first: f64,
+    pub first_event: f64,
     /// Predicted time until the prompt has been prefilled, in seconds from now.
-    pub read: f64,
+    pub prefill_end: f64,
     /// Predicted time until prefill starts, in seconds from now.
-    pub wait: f64,
+    pub prefill_start: f64,
     /// Prompt tokens to prefill.
     pub prefill_tokens: u64,
     /// The runner from which to fetch the KV cache of the prompt, if that saves prefill.
@@ -167,9 +167,9 @@
 struct PrefillEstimate<'a, 'b> {
     at: &'b Candidate<'a>,
     /// Time until the prompt has been prefilled, in seconds.
-    read: f64,
+    prefill_end: f64,
     /// Time until prefill starts, in seconds.
-    wait: f64,
+    prefill_start: f64,
     prefill_tokens: u64,
     fetch: Option<&'b RunnerId>,
     /// The cost by which candidates are compared, in seconds.
@@ -177,9 +177,16 @@
 }
 
 impl PrefillEstimate<'_, '_> {
-    fn placement(&self, plan: Plan, first: f64) -> Placement {
-        let Self { read, wait, prefill_tokens, .. } = *self;
-        Placement { plan, first, read, wait, prefill_tokens, fetch: self.fetch.cloned() }
+    fn placement(&self, plan: Plan, first_event: f64) -> Placement {
+        let Self { prefill_end, prefill_start, prefill_tokens, .. } = *self;
+        Placement {
+            plan,
+            first_event,
+            prefill_end,
+            prefill_start,
+            prefill_tokens,
+            fetch: self.fetch.cloned(),
+        }
     }
 }
 
@@ -232,10 +239,10 @@
     }
     let prefill_tokens = work.prompt - cached;
     let time = at.runner.prefill_time(&at.load, prefill_tokens, cached) + fetching;
-    let wait = at.runner.wait(&at.load, criteria.class);
-    let read = wait + time + startup_latency();
-    let rank = read + time * QUEUEING_WEIGHT + at.cost(criteria, draw);
-    PrefillEstimate { at, read, wait, prefill_tokens, fetch, rank }
+    let prefill_start = at.runner.wait(&at.load, criteria.class);
+    let prefill_end = prefill_start + time + startup_latency();
+    let rank = prefill_end + time * QUEUEING_WEIGHT + at.cost(criteria, draw);
+    PrefillEstimate { at, prefill_end, prefill_start, prefill_tokens, fetch, rank }
 }
 
 /// The candidates of a service by role.
@@ -390,7 +397,7 @@
             let estimate = estimate_prefill(c, criteria, &inputs, rng.random());
             let first =
                 c.first_event() + c.runner.wait_for_slot(&c.load, criteria.class, engine.slots);
-            (estimate.rank + first, estimate.read + first, estimate)
+            (estimate.rank + first, estimate.prefill_end + first, estimate)
         })
         .min_by(|a, b| a.0.total_cmp(&b.0));
     let whole = whole.map(|(rank, first, estimate)| {
@@ -415,7 +422,7 @@
     let (rank, first, decode_runner) =
         soonest_decode_runner(&from.data_centre, decode, criteria, engine, work, rng)?;
     let plan = Plan::Split { prefill: from.id.clone(), decode: decode_runner.clone() };
-    Some((prefill.rank + rank, prefill.placement(plan, prefill.read + first)))
+    Some((prefill.rank + rank, prefill.placement(plan, prefill.prefill_end + first)))
 }
 
 /// Returns the runner that can continue soonest from a prompt prefilled in data centre `from`, with
--- a/lib/src/fleet/quarantine/mod.rs
+++ b/lib/src/fleet/quarantine/mod.rs
@@ -117,12 +117,12 @@
             request,
             serial: known.map_or(0, |entry| entry.serial).saturating_add(1),
             stage: Stage::Proposed,
-            ends: suspect.ends().iter().map(|end| end.life).collect(),
-            begun: suspect.ends().iter().filter(|end| end.reach.begun).count() as u32,
+            ends: suspect.ends().iter().map(|end| end.incarnation).collect(),
+            begun: suspect.ends().iter().filter(|end| end.progress.begun).count() as u32,
             first: suspect.first(),
             since: now,
         };
-        self.take(entry.clone(), now).then_some(entry)
+        self.apply_entry(entry.clone(), now).then_some(entry)
     }
 
     fn proposed(&self, now: Instant) -> impl Iterator<Item = &Entry> + Clone {
@@ -166,11 +166,11 @@
     /// already or was not proposed.
     pub fn set(&mut self, request: &Fingerprint, stage: Stage, now: Instant) -> Option<Entry> {
         let entry = Entry { stage, since: now, ..self.get(request)?.clone() };
-        self.take(entry.clone(), now).then_some(entry)
+        self.apply_entry(entry.clone(), now).then_some(entry)
     }
 
     /// Applies an entry. Returns whether it is new, in which case it is passed on.
-    pub fn take(&mut self, entry: Entry, now: Instant) -> bool {
+    pub fn apply_entry(&mut self, entry: Entry, now: Instant) -> bool {
         if now.saturating_duration_since(entry.since) >= RETENTION {
             return false;
         }
--- a/lib/src/fleet/register.rs
+++ b/lib/src/fleet/register.rs
@@ -279,7 +279,7 @@
     }
 
     /// Records that the prompt of outstanding work has been prefilled.
-    pub fn note_read(&mut self, registration: &Registration, cost: WorkCost) {
+    pub fn note_prefilled(&mut self, registration: &Registration, cost: WorkCost) {
         let Some(runner) = self.registered_mut(registration) else { return };
         let backlog = &mut runner.own.backlog[cost.class.index()];
         *backlog = backlog.saturating_sub(cost.prefill_tokens);
@@ -296,7 +296,7 @@
     }
 
     /// Replaces the outstanding work that another node has reported for runners.
-    pub fn take_report(&mut self, node: &NodeId, loads: &[(Tag, Load)], now: Instant) {
+    pub fn apply_load_report(&mut self, node: &NodeId, loads: &[(Tag, Load)], now: Instant) {
         for (tag, load) in loads {
             if let Some(runner) = self.by_tag_mut(*tag) {
                 runner.others.take(node, *load, now);
@@ -329,7 +329,7 @@
     }
 
     /// The tags of the runners at which this node has outstanding work.
-    pub fn busy(&self) -> impl Iterator<Item = Tag> {
+    pub fn busy_tags(&self) -> impl Iterator<Item = Tag> {
         self.runners.values().filter(|r| !r.own.is_empty()).map(|r| r.entry.tag())
     }
 }
--- a/lib/src/fleet/roster.rs
+++ b/lib/src/fleet/roster.rs
@@ -174,7 +174,7 @@
     }
 
     /// Sets the state of this node. Returns whether it has changed and must be sent.
-    pub fn set_me(&mut self, standing: Standing, served: bool) -> bool {
+    pub fn set_own_state(&mut self, standing: Standing, served: bool) -> bool {
         if (self.me.standing, self.me.served) == (standing, served) {
             return false;
         }
@@ -386,7 +386,7 @@
     }
 
     /// The addresses of nodes that are silent or only known by name, which may have returned.
-    pub fn lost(&self) -> impl Iterator<Item = SocketAddr> {
+    pub fn silent_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.members.values().filter(|m| m.record.silent).map(|m| m.record.contact.peer)
     }
 
@@ -430,7 +430,7 @@
     }
 
     /// The nodes that accept callers.
-    pub fn fronts(&self) -> Vec<&Contact> {
+    pub fn ready_contacts(&self) -> Vec<&Contact> {
         let ready = self.present().filter(|m| m.record.standing == Standing::Ready);
         ready.map(|m| &m.record.contact).collect()
     }
--- a/lib/src/fleet/scheduler.rs
+++ b/lib/src/fleet/scheduler.rs
@@ -64,7 +64,7 @@
     /// On which runner the request continues after prefill.
     Continue {
         /// The runner that prefilled the prompt.
-        reader: RunnerId,
+        prefill_runner: RunnerId,
         /// The class in which the request was started.
         class: Class,
     },
@@ -167,13 +167,13 @@
         }
     };
     let firmness = match &query.step {
-        Step::Continue { reader, class } => {
+        Step::Continue { prefill_runner, class } => {
             let next = placement::place_decode(
                 register,
                 &criteria(*class),
                 engine,
                 &query.work,
-                reader,
+                prefill_runner,
                 rng,
             );
             return next.map_or_else(none, Decision::Continue);
@@ -184,10 +184,12 @@
         |class| placement::place_generation(register, &criteria(class), engine, &query.work, rng);
     let terms = &query.terms;
     let Some(placement) = place(terms.class) else { return none() };
-    if firmness == Firmness::Streaming || terms.on_time(placement.first) {
+    if firmness == Firmness::Streaming || terms.on_time(placement.first_event) {
         return Decision::Placed { placement, class: terms.class };
     }
-    let bearable = |p: &Placement| firmness != Firmness::New || terms.is_useful(p.first, p.wait);
+    let bearable = |p: &Placement| {
+        firmness != Firmness::New || terms.is_useful(p.first_event, p.prefill_start)
+    };
     match place(Class::LATE).filter(bearable) {
         Some(placement) => Decision::Placed { placement, class: Class::LATE },
         None => Decision::Late(placement),
@@ -238,7 +240,7 @@
     /// The observation from a first event, or a whole prompt, that was predicted to take `predicted`
     /// seconds and took `seen` seconds.
     pub fn observation(&self, predicted: f64, seen: f64) -> Observation {
-        let prefill = (self.read - self.wait - startup_latency()).max(0.0);
+        let prefill = (self.prefill_end - self.prefill_start - startup_latency()).max(0.0);
         Observation::Prefill { predicted, prefill, seen }
     }
 }
--- a/lib/src/fleet/suspect.rs
+++ b/lib/src/fleet/suspect.rs
@@ -52,9 +52,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RunnerEnd {
     /// The incarnation of the runner.
-    pub life: Tag,
+    pub incarnation: Tag,
     /// The progress of the request.
-    pub reach: RunProgress,
+    pub progress: RunProgress,
 }
 
 /// The ends under one request.
@@ -82,18 +82,19 @@
 
     fn note(&mut self, end: RunnerEnd, now: Instant) {
         self.last = now;
-        if let Some(known) = self.ends.iter_mut().find(|known| known.life == end.life) {
+        if let Some(known) = self.ends.iter_mut().find(|known| known.incarnation == end.incarnation)
+        {
             // Two runs of the request were there; the furthest progress counts.
-            known.reach.events = known.reach.events.max(end.reach.events);
-            known.reach.begun |= end.reach.begun;
+            known.progress.events = known.progress.events.max(end.progress.events);
+            known.progress.begun |= end.progress.begun;
             return;
         }
-        let furthest = self.ends.iter().map(|known| known.reach.events).max().unwrap_or(0);
-        if end.reach.events + MIN_PROGRESS <= furthest {
+        let furthest = self.ends.iter().map(|known| known.progress.events).max().unwrap_or(0);
+        if end.progress.events + MIN_PROGRESS <= furthest {
             // It has progressed past this point elsewhere.
             return;
         }
-        self.ends.retain(|known| known.reach.events + MIN_PROGRESS > end.reach.events);
+        self.ends.retain(|known| known.progress.events + MIN_PROGRESS > end.progress.events);
         if self.ends.is_empty() {
             self.first = now;
         }
@@ -145,7 +146,7 @@
     pub fn discount(&mut self, lives: &[Tag], but: &Fingerprint) {
         for (request, suspect) in &mut self.0 {
             if request != but {
-                suspect.ends.retain(|end| !lives.contains(&end.life));
+                suspect.ends.retain(|end| !lives.contains(&end.incarnation));
             }
         }
         self.0.retain(|_, suspect| !suspect.ends.is_empty());
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -341,7 +341,7 @@
     let load = register.get(&id("p0")).expect("known").own;
     assert_eq!((load.total(), load.tokens, load.tokens_ahead(Class::LATE)), (1, 900, 500));
     assert_eq!(load.tokens_ahead(Class::of_rank(0)), 0);
-    register.note_read(&registration, cost);
+    register.note_prefilled(&registration, cost);
     register.end(&registration, cost);
     assert_eq!(register.get(&id("p0")).expect("known").own, Load::default());
 }
@@ -538,7 +538,7 @@
     register.get_mut(&id("p1")).expect("known").cache.note(&work.chain, Progress::Prefilled, now);
     let placed = choose(&register, Class::of_rank(2), &work, now).expect("a place");
     assert!(matches!(&placed.plan, Plan::Split { prefill, .. } if *prefill == id("p1")));
-    assert!(placed.prefill_tokens == 0 && placed.first < 0.1, "{placed:?}");
+    assert!(placed.prefill_tokens == 0 && placed.first_event < 0.1, "{placed:?}");
 }
 
 /// All nodes start an uncached chain on the same runner, whatever their random draws.
@@ -606,7 +606,7 @@
             !late.contains(prefill) && !late.contains(decode),
             "{placed:?} shares a runner with late work: {late:?}"
         );
-        assert!(placed.first < 0.15, "{placed:?}");
+        assert!(placed.first_event < 0.15, "{placed:?}");
     }
 }
 
@@ -872,7 +872,7 @@
     let placed = choose(&register, Class::of_rank(0), &own, now).expect("a place");
     assert!(!matches!(&placed.plan, Plan::Split { prefill, .. } if *prefill == id("p1")));
     assert_eq!((placed.fetch.clone(), placed.prefill_tokens), (Some(id("p1")), 0));
-    assert!(placed.first < 0.15, "{placed:?}");
+    assert!(placed.first_event < 0.15, "{placed:?}");
 }
 
 #[test]
--- a/lib/tests/life_model.rs
+++ b/lib/tests/life_model.rs
@@ -189,7 +189,7 @@
                 if !self.sent.is_empty() {
                     let report = self.sent.remove(0);
                     let node: NodeId = "edge-1".parse().expect("an id");
-                    self.nodes[1].take_report(&node, &report.loads, self.now);
+                    self.nodes[1].apply_load_report(&node, &report.loads, self.now);
                     for prefill in report.prefills {
                         self.nodes[1].apply_prefill_report(prefill, self.now);
                     }
@@ -206,7 +206,7 @@
         let work = self.work[at].remove(0);
         self.read.insert(work.born);
         let (register, now) = (&mut self.nodes[at], self.now);
-        register.note_read(&work.registration, COST);
+        register.note_prefilled(&work.registration, COST);
         if let Some(runner) = register.registered_mut(&work.registration) {
             runner.cache.note(&chain(), Progress::Prefilled, now);
         }
--- a/lib/tests/quarantine.rs
+++ b/lib/tests/quarantine.rs
@@ -31,9 +31,9 @@
 impl Node {
     /// Records that a request was running when these runners ended.
     fn ended(&mut self, n: u64, lives: &[u64], begun: bool, now: Instant) -> Option<Entry> {
-        let reach = RunProgress { events: 0, begun };
+        let progress = RunProgress { events: 0, begun };
         for life in lives {
-            self.suspects.note(request(n), RunnerEnd { life: Tag(*life), reach }, now);
+            self.suspects.note(request(n), RunnerEnd { incarnation: Tag(*life), progress }, now);
         }
         let suspect = self.suspects.get(&request(n)).expect("just noted");
         self.quarantine.propose(request(n), suspect, now)
@@ -212,11 +212,11 @@
     let proposed = node.ended(1, &[1, 2, 3], true, now).expect("proposed");
     let confirmed = node.quarantine.set(&request(1), Stage::Confirmed, now).expect("new");
     let mut other = Quarantine::default();
-    assert!(other.take(confirmed.clone(), now));
-    assert!(!other.take(proposed, now), "the proposal is superseded");
-    assert!(!other.take(confirmed, now));
+    assert!(other.apply_entry(confirmed.clone(), now));
+    assert!(!other.apply_entry(proposed, now), "the proposal is superseded");
+    assert!(!other.apply_entry(confirmed, now));
     let cleared = other.set(&request(1), Stage::Cleared, now).expect("new");
-    assert!(node.quarantine.take(cleared, now));
+    assert!(node.quarantine.apply_entry(cleared, now));
     assert_eq!(node.quarantine.standing(&request(1), now), Standing::Free);
 }
 
@@ -238,7 +238,7 @@
     node.confirm(1, now);
     let last = node.quarantine.get(&request(1)).expect("it is refused").clone();
     let last = Entry { serial: u32::MAX, stage: Stage::Cleared, ..last };
-    assert!(node.quarantine.take(last, now));
+    assert!(node.quarantine.apply_entry(last, now));
     assert_eq!(node.ended(1, &[21, 22, 23], true, now), None);
 }
 
@@ -257,7 +257,7 @@
             first: at,
             since: at,
         };
-        node.quarantine.take(entry, at);
+        node.quarantine.apply_entry(entry, at);
     }
     assert!(node.quarantine.entries().count() <= 1_024);
     assert_eq!(node.quarantine.standing(&request(1), now), Standing::Refused);
@@ -321,7 +321,7 @@
                 }
                 self.sent += u32::from(!entries.is_empty());
                 for entry in entries {
-                    self.nodes[to].take(entry.clone(), now);
+                    self.nodes[to].apply_entry(entry.clone(), now);
                 }
                 let digest = self.nodes[from].digest(now);
                 if beats && self.nodes[to].note_digest(&name(from), digest, now) {
@@ -336,7 +336,7 @@
         for (from, to) in [(one, other), (other, one)] {
             let all: Vec<Entry> = self.nodes[from].entries().cloned().collect();
             for entry in all {
-                self.nodes[to].take(entry, now);
+                self.nodes[to].apply_entry(entry, now);
             }
         }
     }
@@ -378,7 +378,7 @@
     assert!(!other.note_digest(&name, digest, now), "the entry may still arrive");
     assert!(other.note_digest(&name, digest, now + SECOND));
     for entry in node.quarantine.entries() {
-        other.take(entry.clone(), now + SECOND);
+        other.apply_entry(entry.clone(), now + SECOND);
     }
     assert!(!other.note_digest(&name, digest, now + 3 * SECOND));
 }
--- a/lib/tests/roster.rs
+++ b/lib/tests/roster.rs
@@ -72,7 +72,7 @@
             (0..count).map(|at| Some(Roster::new(contact(at, 1)))).collect();
         for (at, node) in nodes.iter_mut().enumerate() {
             let node = node.as_mut().expect("all nodes are present");
-            node.set_me(Standing::Ready, true);
+            node.set_own_state(Standing::Ready, true);
             for other in (0..count).filter(|other| *other != at) {
                 node.apply_record(&record(other, 2), now);
             }
@@ -257,14 +257,14 @@
         for record in fleet.nodes[1].as_ref().expect("the node is present").records() {
             node.apply_record(&record, fleet.now);
         }
-        node.set_me(Standing::Ready, true);
+        node.set_own_state(Standing::Ready, true);
         let me = node.me().clone();
         fleet.nodes[at] = Some(node);
         let now = fleet.now;
         fleet.nodes[1].as_mut().expect("the node is present").apply_record(&me, now);
     }
     fleet.until(MS * 4_000, |fleet| (0..60).all(|at| fleet.knowing(at) >= 59));
-    let fronts = fleet.present().map(|node| node.fronts().len()).min();
+    let fronts = fleet.present().map(|node| node.ready_contacts().len()).min();
     assert_eq!(fronts, Some(59));
 }
 
@@ -273,11 +273,11 @@
 fn set_me_leaving_each_passes_it_on_few_times() {
     let mut fleet = Fleet::new(300);
     fleet.run(MS * 500);
-    fleet.nodes[7].as_mut().expect("the node is present").set_me(Standing::Leaving, true);
-    let leaving = |fleet: &Fleet| fleet.present().all(|node| node.fronts().len() <= 299);
+    fleet.nodes[7].as_mut().expect("the node is present").set_own_state(Standing::Leaving, true);
+    let leaving = |fleet: &Fleet| fleet.present().all(|node| node.ready_contacts().len() <= 299);
     let took = fleet.until(MS * 1_000, |fleet| {
         let id = contact(7, 1).id;
-        let sent_there = |node: &Roster| node.fronts().iter().any(|front| front.id == id);
+        let sent_there = |node: &Roster| node.ready_contacts().iter().any(|front| front.id == id);
         leaving(fleet) && fleet.present().filter(|node| sent_there(node)).count() == 0
     });
     assert!(took <= MS * 100, "{took:?}");
@@ -310,7 +310,7 @@
     fleet.cut.clear();
     // A node occasionally contacts nodes that it does not consider present.
     let greeted: Vec<SocketAddr> =
-        fleet.nodes[20].as_ref().expect("the node is present").lost().collect();
+        fleet.nodes[20].as_ref().expect("the node is present").silent_addresses().collect();
     assert_eq!(greeted.len(), 10);
     fleet.until(MS * 6_000, |fleet| (0..30).all(|at| fleet.knowing(at) >= 29));
 }
@@ -360,10 +360,10 @@
     let now = Instant::now();
     let mut roster = Roster::new(contact(0, 1));
     assert!(roster.add_unheard(contact(1, 1), now));
-    assert!(roster.fronts().is_empty() && roster.ids().count() == 0);
-    assert_eq!(roster.lost().collect::<Vec<_>>(), [address(1)]);
+    assert!(roster.ready_contacts().is_empty() && roster.ids().count() == 0);
+    assert_eq!(roster.silent_addresses().collect::<Vec<_>>(), [address(1)]);
     assert!(roster.apply_heartbeat(&record(1, 1), Status::default(), now));
-    assert_eq!(roster.fronts().len(), 1);
+    assert_eq!(roster.ready_contacts().len(), 1);
 }
 
 /// No node followed the store after the nodes that did were killed, as they were still counted.
--- a/lib/tests/scheduler.rs
+++ b/lib/tests/scheduler.rs
@@ -219,12 +219,12 @@
     let mut one = Load { tokens: 2_000, ..Load::default() };
     one.requests[1] = 1;
     for _ in 0..2 {
-        register.take_report(&node(1), &[(tag, one)], now);
+        register.apply_load_report(&node(1), &[(tag, one)], now);
         assert_eq!(total(&register), 1, "the report replaces what was counted");
     }
-    register.take_report(&node(2), &[(tag, one)], now);
+    register.apply_load_report(&node(2), &[(tag, one)], now);
     assert_eq!(total(&register), 2);
-    register.take_report(&node(1), &[(tag, Load::default())], now);
+    register.apply_load_report(&node(1), &[(tag, Load::default())], now);
     assert_eq!(total(&register), 1);
     assert_eq!(register.get(&id).expect("known").load(now + MS * 2_000).total(), 0);
 }
--- a/lib/tests/suspect.rs
+++ b/lib/tests/suspect.rs
@@ -14,7 +14,7 @@
 }
 
 fn end(life: u64, events: u64) -> RunnerEnd {
-    RunnerEnd { life: Tag(life), reach: RunProgress { events, begun: true } }
+    RunnerEnd { incarnation: Tag(life), progress: RunProgress { events, begun: true } }
 }
 
 fn noted(ends: &[(u64, u64)]) -> usize {
--- a/node/src/limit/mod.rs
+++ b/node/src/limit/mod.rs
@@ -89,7 +89,7 @@
 
     fn grantor(&self, service: &ServiceId, pool: Pool) -> Grantor {
         let roster = lock(&self.roster);
-        let (me, others) = (roster.me(), roster.fronts());
+        let (me, others) = (roster.me(), roster.ready_contacts());
         let mine = (me.standing == Standing::Ready).then_some(&me.contact.id);
         let ids = others.iter().map(|contact| &contact.id).chain(mine);
         let first = scheduler::holder(service, pool, ids);
--- a/node/src/serve/beat.rs
+++ b/node/src/serve/beat.rs
@@ -58,7 +58,7 @@
             let status = shared.status();
             let now = shared.clock.now();
             let mut roster = shared.roster();
-            roster.set_me(status.standing, status.served);
+            roster.set_own_state(status.standing, status.served);
             let asked = roster.tick(now);
             let records = roster.take_updates();
             let watchers = roster.watchers().to_vec();
@@ -101,7 +101,7 @@
     for id in roster.forget(now, FORGET) {
         log::info!(node:% = id; "node forgotten");
     }
-    shared.metrics.nodes.set(roster.fronts().len() as i64);
+    shared.metrics.nodes.set(roster.ready_contacts().len() as i64);
     let has_signals = shared.limiter.has_news() || shared.drains.has_news();
     if roster.has_updates() || quarantine::news::has_news(shared) || has_signals {
         shared.beat_now.notify_one();
@@ -164,7 +164,7 @@
 async fn greet(shared: &Shared, socket: &UdpSocket) {
     let target = {
         let roster = shared.roster();
-        roster.lost().chain(shared.settings.other_seeds()).choose(&mut *shared.rng())
+        roster.silent_addresses().chain(shared.settings.other_seeds()).choose(&mut *shared.rng())
     };
     if let Some(target) = target {
         ask(shared, socket, &[target]).await;
--- a/node/src/serve/duty.rs
+++ b/node/src/serve/duty.rs
@@ -85,7 +85,7 @@
     if !shared.is_ready() || shared.doubt().is_some() {
         return None;
     }
-    let nodes = shared.roster().fronts().len() + 1;
+    let nodes = shared.roster().ready_contacts().len() + 1;
     let scaled = configuration.services().filter_map(|service| {
         let scaling = service.scaling.clone()?;
         let mut supply = vec![Supply::default(); scaling.prices.len()];
--- a/node/src/serve/generation/admit.rs
+++ b/node/src/serve/generation/admit.rs
@@ -51,7 +51,7 @@
         class: Class,
         reader: &RunnerId,
     ) -> Result<RunnerId, Stop> {
-        match self.decide(Step::Continue { reader: reader.clone(), class }).await {
+        match self.decide(Step::Continue { prefill_runner: reader.clone(), class }).await {
             Some(Decision::Continue(runner)) => Ok(runner),
             Some(Decision::RateLimited(wait)) => Err(Stop::Refuse(self.refuse_limited(wait))),
             _ => Err(Stop::Refuse(self.give_up(Reason::NoRunner))),
@@ -106,13 +106,13 @@
     fn refuse_late(&self, placement: &Placement) -> Refusal {
         let terms = self.request.terms(self.shared.clock.now());
         log::info!(
-            request:% = self.request.id, first_ms = millis(placement.first),
-            read_ms = millis(placement.read), fresh = placement.prefill_tokens,
+            request:% = self.request.id, first_ms = millis(placement.first_event),
+            read_ms = millis(placement.prefill_end), fresh = placement.prefill_tokens,
             left_ms = terms.left.as_millis() as u64,
             objective_ms = terms.objective.map(|o| o.as_millis() as u64);
             "gate refuses"
         );
-        let after = terms.retry_delay(placement.first, &mut *self.shared.rng());
+        let after = terms.retry_delay(placement.first_event, &mut *self.shared.rng());
         match self.give_up(Reason::Late) {
             Refusal::NotRun(reason, _) => Refusal::NotRun(reason, after),
             other => other,
--- a/node/src/serve/generation/mod.rs
+++ b/node/src/serve/generation/mod.rs
@@ -227,7 +227,7 @@
         log::info!(
             request:% = self.request.id, plan = self.plan, class = class.index(),
             prefill = prefill(&placement.plan), decode = decode(&placement.plan),
-            first_ms = millis(placement.first), fresh = placement.prefill_tokens,
+            first_ms = millis(placement.first_event), fresh = placement.prefill_tokens,
             fetch = placement.fetch.as_ref().map_or("", RunnerId::as_str), prompt = self.work.prompt,
             fingerprint:% = self.request.fingerprint, attempt = self.calls + 1; "placed"
         );
--- a/node/src/serve/generation/read.rs
+++ b/node/src/serve/generation/read.rs
@@ -81,7 +81,7 @@
         let Some(address) = self.address(id) else { return Ok(None) };
         let fetch = placement.fetch.as_ref().and_then(|source| self.address(source));
         let outgoing = self.outgoing(id, Ask::Read, share.class, left, fetch);
-        let limit = timeout::prefill(share.class, placement.read, left);
+        let limit = timeout::prefill(share.class, placement.prefill_end, left);
         self.note_cached(&ticket, Progress::Started);
         let request_id = self.request.id.clone();
         let reading = async {
@@ -92,7 +92,7 @@
         };
         let result = tokio::select! {
             () = self.caller.left() => {
-                ticket.learn_in_vain(placement, placement.read);
+                ticket.learn_in_vain(placement, placement.prefill_end);
                 return Err(Stop::CallerLeft);
             }
             result = timeout(limit, reading) => result,
@@ -105,11 +105,11 @@
                 ticket.conclude(Outcome::Answered);
                 log::info!(
                     request:% = self.request.id, runner:% = id, fresh = placement.prefill_tokens,
-                    predicted_ms = millis(placement.read),
+                    predicted_ms = millis(placement.prefill_end),
                     held_ms = ticket.held().as_millis() as u64; "prompt read"
                 );
                 let held = ticket.held().as_secs_f64();
-                ticket.learn(placement.observation(placement.read, held));
+                ticket.learn(placement.observation(placement.prefill_end, held));
                 self.note_cached(&ticket, Progress::Prefilled);
                 Ok(Some(handle))
             }
--- a/node/src/serve/generation/stream.rs
+++ b/node/src/serve/generation/stream.rs
@@ -58,7 +58,7 @@
         let outgoing = self.outgoing(id, step, share.class, left, fetch);
         // A run that may be repeated is not left with a runner that gives no sign of life.
         let limit =
-            if self.may_run_again() { left.min(self.silence(placement.first)) } else { left };
+            if self.may_run_again() { left.min(self.silence(placement.first_event)) } else { left };
         self.runs += 1;
         self.arrivals += 1;
         let target = ticket.target(address);
@@ -66,7 +66,7 @@
         let sent = tokio::select! {
             () = self.caller.left() => {
                 if is_whole {
-                    ticket.learn_in_vain(placement, placement.first);
+                    ticket.learn_in_vain(placement, placement.first_event);
                 }
                 return Ok(Came::CallerLeft);
             }
@@ -173,7 +173,7 @@
             let next = tokio::select! {
                 () = self.caller.left() => {
                     if let Some(placement) = placement.filter(|_| first) {
-                        ticket.learn_in_vain(placement, placement.first);
+                        ticket.learn_in_vain(placement, placement.first_event);
                     }
                     return Ok(Came::CallerLeft);
                 }
@@ -214,7 +214,7 @@
                     ticket.note_read();
                     if let Some(placement) = placement {
                         let held = ticket.held().as_secs_f64();
-                        ticket.learn(placement.observation(placement.first, held));
+                        ticket.learn(placement.observation(placement.first_event, held));
                     }
                     self.note_cached(ticket, Progress::Prefilled);
                 }
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -167,7 +167,7 @@
     }
     {
         let roster = shared.roster();
-        addresses.extend(roster.fronts().iter().map(|contact| contact.front));
+        addresses.extend(roster.ready_contacts().iter().map(|contact| contact.front));
     }
     addresses.truncate(MOST_ADDRESSES);
     if addresses.is_empty() {
@@ -204,7 +204,7 @@
         register.runners().map(line).collect()
     };
     let nodes: Vec<String> =
-        shared.roster().fronts().iter().map(|contact| contact.id.to_string()).collect();
+        shared.roster().ready_contacts().iter().map(|contact| contact.id.to_string()).collect();
     serde_json::json!({
         "node": shared.me.id, "standing": format!("{:?}", status.standing),
         "configuration": status.version, "register": status.register.to_string(), "store_era": shared.history.era(),
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -108,7 +108,7 @@
 
     /// The changes that the demand calls for, by service.
     fn wishes(&self, configuration: &Configuration, now: Instant) -> Vec<(ServiceId, Change)> {
-        let nodes = self.shared.roster().fronts().len() + 1;
+        let nodes = self.shared.roster().ready_contacts().len() + 1;
         let mut wishes = Vec::new();
         for service in configuration.services() {
             let Some(engine) = service.engine else { continue };
--- a/node/src/serve/quarantine/count.rs
+++ b/node/src/serve/quarantine/count.rs
@@ -32,10 +32,12 @@
     shared: &Shared,
     ticket: &Ticket,
     request: &Request,
-    reach: RunProgress,
+    progress: RunProgress,
 ) -> usize {
-    let Some(life) = crash::detect(shared, ticket, request, reach).await else { return 0 };
-    let end = RunnerEnd { life, reach };
+    let Some(incarnation) = crash::detect(shared, ticket, request, progress).await else {
+        return 0;
+    };
+    let end = RunnerEnd { incarnation, progress };
     let fingerprint = request.fingerprint;
     let here = count(shared, fingerprint, end);
     let peers = counting_nodes(shared, &fingerprint).into_iter().flatten();
@@ -112,7 +114,7 @@
     request: &Fingerprint,
 ) -> SmallVec<[Option<SocketAddr>; COUNTING_NODES]> {
     let roster = shared.roster();
-    let fronts = roster.fronts();
+    let fronts = roster.ready_contacts();
     let nodes = fronts.iter().map(|contact| &contact.id).chain([&shared.me.id]);
     let peer = |id: &NodeId| fronts.iter().find(|c| c.id == *id).map(|c| c.peer);
     choose_counting_nodes(request, nodes).into_iter().map(peer).collect()
--- a/node/src/serve/quarantine/news.rs
+++ b/node/src/serve/quarantine/news.rs
@@ -23,7 +23,7 @@
         let was = {
             let mut state = shared.keeper.state();
             let was = state.quarantine.get(&entry.request).map(|entry| entry.stage);
-            if !state.quarantine.take(entry.clone(), now) {
+            if !state.quarantine.apply_entry(entry.clone(), now) {
                 continue;
             }
             was
--- a/node/src/serve/quarantine/store.rs
+++ b/node/src/serve/quarantine/store.rs
@@ -31,7 +31,7 @@
     let now = shared.clock.now();
     for object in objects {
         match decode(&object.name, &object.content, now) {
-            Ok(entry) if shared.keeper.state().quarantine.take(entry.clone(), now) => {
+            Ok(entry) if shared.keeper.state().quarantine.apply_entry(entry.clone(), now) => {
                 heed(&shared, &entry);
                 note_stage(&shared, &entry, "kept by the store");
                 shared.beat_now.notify_one();
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -241,7 +241,7 @@
             ("newer", Ok(()))
         }
         // The others tell of a newer configuration as soon as one of them has it.
-        Checked::Unconfirmed if !shared.roster().fronts().is_empty() => {
+        Checked::Unconfirmed if !shared.roster().ready_contacts().is_empty() => {
             ("others", Err(Refusal::UnknownKey))
         }
         Checked::Earlier => {
--- a/node/src/serve/scheduler.rs
+++ b/node/src/serve/scheduler.rs
@@ -164,7 +164,7 @@
     };
     let found = {
         let roster = shared.roster();
-        let fronts = roster.fronts();
+        let fronts = roster.ready_contacts();
         let others = fronts.iter().filter(|contact| !passed_over.contains(&contact.id));
         let me = shared.is_ready().then_some(&shared.me);
         let nodes = others.copied().chain(me);
@@ -351,7 +351,7 @@
 fn take_report(shared: &Shared, report: &Report) {
     let now = shared.clock.now();
     let mut register = shared.register();
-    register.take_report(&report.node, &report.loads, now);
+    register.apply_load_report(&report.node, &report.loads, now);
     for reading in &report.readings {
         register.apply_prefill_report(*reading, now);
     }
@@ -373,7 +373,7 @@
                 if began.elapsed() >= ACQUAINTED {
                     take_over_own(&shared);
                 }
-                let busy: Vec<Tag> = shared.register().busy().collect();
+                let busy: Vec<Tag> = shared.register().busy_tags().collect();
                 shared.scheduling.state().news.changed.extend(busy);
             }
             () = shared.scheduling.wake.notified() => {}
--- a/node/src/serve/ticket.rs
+++ b/node/src/serve/ticket.rs
@@ -95,7 +95,7 @@
     /// Notes that the prompt has been read.
     pub fn note_read(&mut self) {
         if let Some(stay) = self.stay.as_ref().filter(|_| !self.read) {
-            self.shared.register().note_read(stay, self.share);
+            self.shared.register().note_prefilled(stay, self.share);
             self.shared.scheduling.note_change(Tag::of(&stay.id, stay.born));
         }
         self.read = true;
--- a/node/tests/scheduler.rs
+++ b/node/tests/scheduler.rs
@@ -57,8 +57,10 @@
 
 fn placed(runner: &RunnerId) -> Decision {
     let plan = Plan::Whole { runner: runner.clone() };
-    let (first, read, wait, prefill_tokens, fetch) = (0.05, 0.04, 0.0, 1_460, None);
-    let placement = Placement { plan, first, read, wait, prefill_tokens, fetch };
+    let (first_event, prefill_end, prefill_start, prefill_tokens, fetch) =
+        (0.05, 0.04, 0.0, 1_460, None);
+    let placement =
+        Placement { plan, first_event, prefill_end, prefill_start, prefill_tokens, fetch };
     Decision::Placed { placement, class: Class::of_rank(1) }
 }
 
@@ -118,7 +120,10 @@
     let shared = set.nodes[0].shared.clone();
     let conduct = conduct(&set.runners);
     let mut questions = add_false(&shared.me.id, shared.me.peer, conduct.clone()).await;
-    wait_until("the false scheduler is heard", async || shared.roster().fronts().len() == 1).await;
+    wait_until("the false scheduler is heard", async || {
+        shared.roster().ready_contacts().len() == 1
+    })
+    .await;
     // Longer than the node keeps who schedules the pool.
     sleep(Duration::from_millis(80)).await;
     for n in 0..6 {
@@ -183,7 +188,10 @@
     let leaving = decoder(&set.runners);
     let _questions =
         add_false(&shared.me.id, shared.me.peer, Conduct::Naming(leaving.clone())).await;
-    wait_until("the false scheduler is heard", async || shared.roster().fronts().len() == 1).await;
+    wait_until("the false scheduler is heard", async || {
+        shared.roster().ready_contacts().len() == 1
+    })
+    .await;
     set.runners[1].drain();
     wait_until("the node knows", async || {
         shared.register().get(&leaving).is_some_and(|r| !r.takes_work(shared.clock.now()))
@@ -223,7 +231,10 @@
     shared.limiter.take(&announced, "another node");
     let conduct = Conduct::Naming(decoder(&set.runners));
     let _questions = add_false(&shared.me.id, shared.me.peer, conduct).await;
-    wait_until("the false scheduler is heard", async || shared.roster().fronts().len() == 1).await;
+    wait_until("the false scheduler is heard", async || {
+        shared.roster().ready_contacts().len() == 1
+    })
+    .await;
     sleep(Duration::from_millis(80)).await;
     let before = limited.each_ref().map(|runner| runner.seen().len());
     for n in 0..6 {
--- a/node/tests/serve.rs
+++ b/node/tests/serve.rs
@@ -382,7 +382,7 @@
     wait_until("the stream runs", async || set.runners[0].running() == 1).await;
     let other = set.nodes[0].shared.clone();
     let stop = tokio::spawn(node.stop());
-    wait_until("the other node knows", async || other.roster().fronts().is_empty()).await;
+    wait_until("the other node knows", async || other.roster().ready_contacts().is_empty()).await;
     let late = set.caller.send(front, &Ask::new("/board/a", "r1")).await;
     assert_eq!(late.status, Some(StatusCode::OK), "a caller with an old answer is served");
     let told = stream.await.expect("the caller does not panic");
--- a/testutils/src/fleet/deployment.rs
+++ b/testutils/src/fleet/deployment.rs
@@ -300,7 +300,7 @@
         wait_until("all nodes are ready", async || {
             self.nodes.iter().all(|node| {
                 let shared = &node.shared;
-                let heard = shared.roster().fronts().len();
+                let heard = shared.roster().ready_contacts().len();
                 shared.is_ready()
                     && heard >= others
                     && shared.register().runners().count() == runners
--- a/wire/src/schedule.rs
+++ b/wire/src/schedule.rs
@@ -120,9 +120,9 @@
             Schedule::Ended { number, request, end } => pb::schedule::Body::Ended(pb::Ended {
                 number: *number,
                 request: request.as_bytes().to_vec(),
-                life: end.life.0,
-                events: end.reach.events,
-                begun: end.reach.begun,
+                life: end.incarnation.0,
+                events: end.progress.events,
+                begun: end.progress.begun,
             }),
             Schedule::Counted { number, ends } => {
                 pb::schedule::Body::Counted(pb::Counted { number: *number, ends: *ends })
@@ -163,12 +163,12 @@
             })),
             pb::schedule::Body::Ended(ended) => {
                 let request = ended.request.as_slice().try_into();
-                let reach =
+                let progress =
                     RunProgress { events: ended.events.min(MOST_EVENTS), begun: ended.begun };
                 Ok(Schedule::Ended {
                     number: ended.number,
                     request: request.map_err(|_| WireError::Value("request"))?,
-                    end: RunnerEnd { life: Tag(ended.life), reach },
+                    end: RunnerEnd { incarnation: Tag(ended.life), progress },
                 })
             }
             pb::schedule::Body::Counted(counted) => {
@@ -198,7 +198,9 @@
     let terms = &ask.terms;
     let (firmness, class, reader) = match &ask.step {
         Step::Start(firmness) => (*firmness, terms.class, None),
-        Step::Continue { reader, class } => (Firmness::New, *class, Some(reader.to_string())),
+        Step::Continue { prefill_runner, class } => {
+            (Firmness::New, *class, Some(prefill_runner.to_string()))
+        }
     };
     let part = |part: &Part| pb::Part {
         key: part.key.0,
@@ -251,7 +253,7 @@
         pb::Firmness::Streaming => Firmness::Streaming,
     };
     let step = match &question.reader {
-        Some(reader) => Step::Continue { reader: read_runner(reader)?, class },
+        Some(reader) => Step::Continue { prefill_runner: read_runner(reader)?, class },
         None => Step::Start(firmness),
     };
     let part = |part: &pb::Part| {
@@ -304,9 +306,9 @@
         class: class.index() as u32,
         prefill,
         decode,
-        first: placement.first,
-        read: placement.read,
-        wait: placement.wait,
+        first: placement.first_event,
+        read: placement.prefill_end,
+        wait: placement.prefill_start,
         fresh: placement.prefill_tokens,
         fetch: placement.fetch.as_ref().map(ToString::to_string).unwrap_or_default(),
     }
@@ -326,9 +328,10 @@
         "" => None,
         id => Some(read_runner(id)?),
     };
-    let [first, read, wait] = seconds;
+    let [first_event, prefill_end, prefill_start] = seconds;
     let prefill_tokens = placed.fresh.min(MOST_TOKENS);
-    let placement = Placement { plan, first, read, wait, prefill_tokens, fetch };
+    let placement =
+        Placement { plan, first_event, prefill_end, prefill_start, prefill_tokens, fetch };
     Ok((placement, read_class(placed.class)?))
 }
 
--- a/wire/tests/schedule.rs
+++ b/wire/tests/schedule.rs
@@ -45,7 +45,14 @@
 
 fn placement(plan: Plan) -> Placement {
     let fetch = Some(runner("i-1"));
-    Placement { plan, first: 0.25, read: 0.125, wait: 0.0, prefill_tokens: 4_096, fetch }
+    Placement {
+        plan,
+        first_event: 0.25,
+        prefill_end: 0.125,
+        prefill_start: 0.0,
+        prefill_tokens: 4_096,
+        fetch,
+    }
 }
 
 fn full_report() -> Report {
@@ -70,7 +77,7 @@
 
 #[test]
 fn decode_question_round_trip() {
-    let go_on = Step::Continue { reader: runner("i-2"), class: Class::LATE };
+    let go_on = Step::Continue { prefill_runner: runner("i-2"), class: Class::LATE };
     let steps = [Firmness::New, Firmness::HasRun, Firmness::Streaming].map(Step::Start);
     for step in steps {
         let node = "edge-zaal-hofvijver-17".parse().expect("an id");
@@ -121,7 +128,8 @@
 fn decode_end_round_trip() {
     let request = Fingerprint::of(&[b"a brief"]);
     for begun in [false, true] {
-        let end = RunnerEnd { life: Tag(u64::MAX), reach: RunProgress { events: 9, begun } };
+        let end =
+            RunnerEnd { incarnation: Tag(u64::MAX), progress: RunProgress { events: 9, begun } };
         round_trip(&Schedule::Ended { number: 1 << 40, request, end });
     }
     round_trip(&Schedule::Counted { number: 1 << 40, ends: 3 });
