--- a/lib/src/fleet/balance.rs
+++ b/lib/src/fleet/balance.rs
@@ -57,9 +57,9 @@
 }
 
 impl Demand {
-    /// Records a request with `fresh` prompt tokens to prefill.
-    pub fn note(&mut self, fresh: u64) {
-        self.tokens += fresh;
+    /// Records a request with `tokens` prompt tokens to prefill.
+    pub fn note(&mut self, tokens: u64) {
+        self.tokens += tokens;
     }
 
     /// Records the start of a stream that takes `tokens` of memory.
@@ -128,9 +128,9 @@
 
 /// Decides on a change. `nodes` is the number of nodes that see the same share of the demand,
 /// `memory` the memory of one runner in tokens.
-pub fn decide(division: StageCounts, demand: &Demand, nodes: usize, memory: u64) -> Option<Change> {
-    let switching = division.to_prefill + division.to_decode;
-    let all = division.prefill + division.decode + switching;
+pub fn decide(counts: StageCounts, demand: &Demand, nodes: usize, memory: u64) -> Option<Change> {
+    let switching = counts.to_prefill + counts.to_decode;
+    let all = counts.prefill + counts.decode + switching;
     if all <= MIN_DECODE || demand.rate <= 0.0 {
         return None;
     }
@@ -140,19 +140,19 @@
     let by_streams = demand.mean_streams * nodes / STREAMS_PER_RUNNER;
     let by_memory = demand.mean_held * nodes / (memory as f64 * MEMORY_FRACTION).max(1.0);
     let needed_decode = (by_streams.max(by_memory).ceil() as usize).max(MIN_DECODE);
-    let decode = division.decode + division.to_decode;
-    if needed_decode > decode && division.prefill > 1 {
+    let decode = counts.decode + counts.to_decode;
+    if needed_decode > decode && counts.prefill > 1 {
         // Without decode runners no request can be served, so the last change does not matter.
         let urgent = decode < MIN_DECODE;
         let missing = if urgent { MIN_DECODE - decode } else { 1 };
-        let count = missing.min(division.prefill - 1);
+        let count = missing.min(counts.prefill - 1);
         return Some(Change { to: Stage::Decode, count, urgent });
     }
     let floor = (all as f64 * MIN_DECODE_FRACTION).ceil() as usize;
     let needed_prefill = (demand.rate * nodes / PREFILL_RATE).ceil() as usize;
     let wanted = needed_prefill.min(all.saturating_sub(needed_decode.max(floor)));
-    let spare = division.decode.saturating_sub(needed_decode.max(floor));
-    let have = division.prefill + division.to_prefill;
+    let spare = counts.decode.saturating_sub(needed_decode.max(floor));
+    let have = counts.prefill + counts.to_prefill;
     let count = wanted.saturating_sub(have).min(free).min(spare);
     (count > 0).then_some(Change { to: Stage::Prefill, count, urgent: false })
 }
--- a/lib/src/fleet/engine.rs
+++ b/lib/src/fleet/engine.rs
@@ -61,16 +61,18 @@
 /// idle engine after a prompt prefilled elsewhere, less the transfer).
 const TRANSFER_SETUP: f64 = 0.010;
 
-/// How long an engine takes to prefill `fresh` tokens after `cached` ones, in seconds.
-pub fn prefill_time(stage: Stage, fresh: u64, cached: u64, running: u32) -> f64 {
-    let (fresh, cached) = (fresh as f64, cached as f64);
-    let pairs = fresh * (cached + fresh / 2.0) / 1e6;
+/// How long an engine takes to prefill `uncached` tokens after `cached` ones, in seconds.
+pub fn prefill_time(stage: Stage, uncached: u64, cached: u64, running: u32) -> f64 {
+    let (uncached, cached) = (uncached as f64, cached as f64);
+    let pairs = uncached * (cached + uncached / 2.0) / 1e6;
     let attention = pairs * ATTENTION_PER_MILLION_PAIRS;
     match stage {
-        Stage::Prefill => fresh / PREFILL_RATE + attention + (fresh / CHUNK).ceil() * MIN_STEP,
+        Stage::Prefill => {
+            uncached / PREFILL_RATE + attention + (uncached / CHUNK).ceil() * MIN_STEP
+        }
         Stage::Decode => {
-            let steps = (fresh / DECODE_CHUNK).ceil() * step_time(running);
-            (fresh / PREFILL_RATE + attention) * DECODE_SLOWDOWN + steps
+            let steps = (uncached / DECODE_CHUNK).ceil() * step_time(running);
+            (uncached / PREFILL_RATE + attention) * DECODE_SLOWDOWN + steps
         }
     }
 }
--- a/lib/src/fleet/health.rs
+++ b/lib/src/fleet/health.rs
@@ -40,7 +40,7 @@
     probe_at: Option<Instant>,
     pause: Duration,
     gone: bool,
-    last_life: Option<Instant>,
+    last_seen: Option<Instant>,
 }
 
 impl Record {
@@ -52,13 +52,13 @@
                 self.probe_at = None;
                 self.pause = Duration::ZERO;
                 self.failure_rate -= self.failure_rate * FAILURE_RATE_GAIN;
-                self.last_life = Some(now);
+                self.last_seen = Some(now);
             }
             // A failure that the runner reports shows that it is alive: it lowers the runner's
             // share of work, and only silence or malformed answers lead to probing.
             Outcome::Failed => {
                 self.failure_rate += (1.0 - self.failure_rate) * FAILURE_RATE_GAIN;
-                self.last_life = Some(now);
+                self.last_seen = Some(now);
             }
             Outcome::Broken => {
                 self.failure_rate += (1.0 - self.failure_rate) * FAILURE_RATE_GAIN;
@@ -74,12 +74,12 @@
 
     /// Records a sign of life, such as an event of a stream.
     pub fn note_alive(&mut self, now: Instant) {
-        self.last_life = Some(now);
+        self.last_seen = Some(now);
     }
 
     /// When the runner last showed a sign of life.
     pub fn last_seen(&self) -> Option<Instant> {
-        self.last_life
+        self.last_seen
     }
 
     /// Whether the runner may get new work.
--- a/lib/src/fleet/limit.rs
+++ b/lib/src/fleet/limit.rs
@@ -127,7 +127,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Limit {
     /// The last announcement; `None` if the runner has never announced a limit.
-    notice: Option<Announcement>,
+    announcement: Option<Announcement>,
     /// The bucket from which this node grants permits, if it has granted any.
     bucket: Option<Bucket>,
     /// Expiry times of the tokens reserved for requests that have been placed.
@@ -150,12 +150,12 @@
 impl Limit {
     /// The rate; `None` if there is no limit.
     pub fn rate(&self) -> Option<Rate> {
-        self.notice.and_then(|notice| notice.rate)
+        self.announcement.and_then(|last| last.rate)
     }
 
     /// The last announcement; `None` if the runner has never announced a limit.
     pub fn announcement(&self) -> Option<Announcement> {
-        self.notice
+        self.announcement
     }
 
     /// Whether a request may be sent, as far as this node knows without asking for a permit.
@@ -185,7 +185,7 @@
         sent: Instant,
         now: Instant,
     ) -> Option<Change> {
-        let Some(last) = self.notice else {
+        let Some(last) = self.announcement else {
             announced?;
             return self.set(Announcement { rate: announced, at: now });
         };
@@ -201,23 +201,23 @@
     }
 
     /// Applies an announcement that another node has received.
-    pub fn take_announcement(&mut self, notice: Announcement) -> Option<Change> {
+    pub fn take_announcement(&mut self, announcement: Announcement) -> Option<Change> {
         // An announcement that is passed back and forth would look newer by the time it was under
         // way.
-        let is_new = notice.rate != self.rate();
-        let is_newer = self.notice.is_none_or(|last| notice.at > last.at);
-        if is_new && is_newer { self.set(notice) } else { None }
+        let is_new = announcement.rate != self.rate();
+        let is_newer = self.announcement.is_none_or(|last| announcement.at > last.at);
+        if is_new && is_newer { self.set(announcement) } else { None }
     }
 
-    fn set(&mut self, notice: Announcement) -> Option<Change> {
+    fn set(&mut self, announcement: Announcement) -> Option<Change> {
         let was = self.rate();
-        self.notice = Some(notice);
-        if notice.rate == was {
+        self.announcement = Some(announcement);
+        if announcement.rate == was {
             return None;
         }
         (self.closed_until, self.waiting) = (None, 0.0);
         self.reserved.clear();
-        Some(notice.rate.map_or(Change::Lifted, Change::Set))
+        Some(announcement.rate.map_or(Change::Lifted, Change::Set))
     }
 
     /// Records that an answer announced a limit that could not be parsed. Returns whether it is the
--- a/lib/src/fleet/load.rs
+++ b/lib/src/fleet/load.rs
@@ -118,7 +118,7 @@
 
 impl RemoteLoads {
     /// Replaces the last report of a node.
-    pub fn take(&mut self, node: &NodeId, load: Load, now: Instant) {
+    pub fn replace(&mut self, node: &NodeId, load: Load, now: Instant) {
         self.reports.retain(|r| r.node != *node);
         if !load.is_empty() {
             self.reports.push(Report { node: node.clone(), load, received_at: now });
--- a/lib/src/fleet/register.rs
+++ b/lib/src/fleet/register.rs
@@ -299,7 +299,7 @@
     pub fn apply_load_report(&mut self, node: &NodeId, loads: &[(Tag, Load)], now: Instant) {
         for (tag, load) in loads {
             if let Some(runner) = self.by_tag_mut(*tag) {
-                runner.others.take(node, *load, now);
+                runner.others.replace(node, *load, now);
             }
         }
     }
--- a/lib/src/fleet/runner.rs
+++ b/lib/src/fleet/runner.rs
@@ -258,10 +258,10 @@
         tokens as f64 / self.prefill_rate() + steps
     }
 
-    /// The prefill time of `fresh` tokens after `cached` ones, in seconds.
-    pub fn prefill_time(&self, load: &Load, fresh: u64, cached: u64) -> f64 {
+    /// The prefill time of `uncached` tokens after `cached` ones, in seconds.
+    pub fn prefill_time(&self, load: &Load, uncached: u64, cached: u64) -> f64 {
         let Some(stage) = self.entry.stage else { return 0.0 };
-        prefill_time(stage, fresh, cached, load.total()) * self.pace.factor()
+        prefill_time(stage, uncached, cached, load.total()) * self.pace.factor()
     }
 
     /// The duration of one step, in seconds.
--- a/lib/src/fleet/suspect.rs
+++ b/lib/src/fleet/suspect.rs
@@ -143,10 +143,10 @@
     }
 
     /// Removes ends that one request accounts for from all other requests.
-    pub fn discount(&mut self, lives: &[Tag], but: &Fingerprint) {
+    pub fn discount(&mut self, incarnations: &[Tag], but: &Fingerprint) {
         for (request, suspect) in &mut self.0 {
             if request != but {
-                suspect.ends.retain(|end| !lives.contains(&end.incarnation));
+                suspect.ends.retain(|end| !incarnations.contains(&end.incarnation));
             }
         }
         self.0.retain(|_, suspect| !suspect.ends.is_empty());
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -354,7 +354,7 @@
     backlog[0] = 10_000;
     let load = Load { requests: [2, 0, 0, 0], backlog, unread: [1, 0, 0, 0], tokens: 1 };
     let node = "edge-1".parse().expect("an id");
-    others.take(&node, load, start);
+    others.replace(&node, load, start);
     assert_eq!(others.sum(start, 50_000.0).backlog[0], 10_000);
     assert_eq!(others.sum(start + MS * 20, 50_000.0).backlog[0], 9_000);
     assert_eq!(
@@ -364,7 +364,7 @@
     );
     // Prompts that wait behind it count in full, however old the report is.
     let waits = Load { backlog: [6_000, 0, 0, 0], ..load };
-    others.take(&"edge-2".parse().expect("an id"), waits, start);
+    others.replace(&"edge-2".parse().expect("an id"), waits, start);
     assert_eq!(others.sum(start + S, 50_000.0).backlog[0], 16_000 - 4_000);
     assert_eq!(
         others.sum(start + S * 2, 50_000.0),
--- a/lib/tests/quarantine.rs
+++ b/lib/tests/quarantine.rs
@@ -30,10 +30,14 @@
 
 impl Node {
     /// Records that a request was running when these runners ended.
-    fn ended(&mut self, n: u64, lives: &[u64], begun: bool, now: Instant) -> Option<Entry> {
+    fn ended(&mut self, n: u64, incarnations: &[u64], begun: bool, now: Instant) -> Option<Entry> {
         let progress = RunProgress { events: 0, begun };
-        for life in lives {
-            self.suspects.note(request(n), RunnerEnd { incarnation: Tag(*life), progress }, now);
+        for incarnation in incarnations {
+            self.suspects.note(
+                request(n),
+                RunnerEnd { incarnation: Tag(*incarnation), progress },
+                now,
+            );
         }
         let suspect = self.suspects.get(&request(n)).expect("just noted");
         self.quarantine.propose(request(n), suspect, now)
