--- a/lib/src/fleet/engine.rs
+++ b/lib/src/fleet/engine.rs
@@ -40,14 +40,14 @@
 
 /// The shortest step of an engine, in seconds (reference sheets: 3.41 ms).
 const MIN_STEP: f64 = 0.003_41;
-/// The time that each running request adds to a step, in seconds (fitted to the pauses under light
+/// The time that each running request adds to a step, in seconds (from the pauses under light
 /// load).
 const STEP_PER_REQUEST: f64 = 0.000_1;
 /// Prefill rate, in tokens per second (reference sheets: 112 per millisecond).
 const PREFILL_RATE: f64 = 112_000.0;
 /// The size of a prefill chunk, in tokens (reference sheets).
 const CHUNK: f64 = 1_024.0;
-/// The time that attention over a long context adds, in seconds per million token pairs (fitted to
+/// The time that attention over a long context adds, in seconds per million token pairs (from
 /// the times to first token under light load).
 const ATTENTION_PER_MILLION_PAIRS: f64 = 0.000_22;
 /// How much slower a decode runner prefills (platform protocol: half the speed).
@@ -119,11 +119,12 @@
 pub struct Pace(f64);
 
 /// The gain of the pace for a prompt whose prefill is long: half of a lasting change is learned
-/// after seven answers. The gain of a shorter prefill is reduced in proportion to [`FULL_GAIN_PREFILL`],
-/// as most of its error stems from the wait and the startup latency. With the same gain for all, a
-/// runner that had stalled once counted as slow and its neighbours were overloaded (a worth of 0.42
-/// instead of 0.58 on a fleet of 20 runners that lost a third of them); with a low gain for all,
-/// long prompts were started on slow engines where no caller could wait for them.
+/// after seven answers. The gain of a shorter prefill is reduced in proportion to
+/// [`FULL_GAIN_PREFILL`], as most of its error stems from the wait and the startup latency. With
+/// the same gain for all, a runner that had stalled once counted as slow and its neighbours were
+/// overloaded (a worth of 0.42 instead of 0.58 on a fleet of 20 runners that lost a third of them);
+/// with a low gain for all, long prompts were started on slow engines where no caller could wait
+/// for them.
 const PACE_GAIN: f64 = 0.1;
 /// The prefill time from which an answer has the full gain, in seconds: several times the startup
 /// latency and a usual wait.
--- a/lib/src/fleet/placement.rs
+++ b/lib/src/fleet/placement.rs
@@ -445,8 +445,8 @@
     ranked.min_by(|a, b| a.0.total_cmp(&b.0))
 }
 
-/// Chooses the runner that continues from a prompt prefilled by `prefill_runner`. Prefill takes up to
-/// several seconds, in which the runner planned for decoding may have started to drain.
+/// Chooses the runner that continues from a prompt prefilled by `prefill_runner`. Prefill takes up
+/// to several seconds, in which the runner planned for decoding may have started to drain.
 pub fn place_decode<R: Rng>(
     register: &Register,
     criteria: &Criteria<'_>,
--- a/lib/src/fleet/scheduler.rs
+++ b/lib/src/fleet/scheduler.rs
@@ -217,7 +217,7 @@
     }
 }
 
-/// What the end of a piece of work tells about its runner.
+/// What the end of a piece of work shows about its runner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
     /// The duration of a prefill, in seconds.
@@ -237,8 +237,8 @@
 }
 
 impl Placement {
-    /// The observation from a first event, or a whole prompt, that was predicted to take `predicted`
-    /// seconds and took `seen` seconds.
+    /// The observation from a first event, or a whole prompt, that was predicted to take
+    /// `predicted` seconds and took `seen` seconds.
     pub fn observation(&self, predicted: f64, seen: f64) -> Observation {
         let prefill = (self.prefill_end - self.prefill_start - startup_latency()).max(0.0);
         Observation::Prefill { predicted, prefill, seen }
