--- a/node/src/account/mod.rs
+++ b/node/src/account/mod.rs
@@ -126,7 +126,7 @@
         Ok(changes) => {
             let put = changes.changes.into_iter().filter_map(|change| match change {
                 Change::Put(object) => Some(object),
-                Change::Gone(_) => None,
+                Change::Removed(_) => None,
             });
             (put.collect::<Vec<_>>(), changes.as_of)
         }
--- a/node/src/dispatch/mod.rs
+++ b/node/src/dispatch/mod.rs
@@ -9,7 +9,7 @@
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::fleet::runner::Stay;
 use sardinepick_lib::id::RunnerId;
-use sardinepick_platform::answer::speaks_for;
+use sardinepick_platform::answer::is_from;
 use sardinepick_platform::signal::{back_off, is_leaving, rate_limit};
 
 use crate::back_off::BackOffs;
@@ -59,7 +59,7 @@
         let sent = self.clock.now();
         let answer = self.connections.send(address, request, CONNECT_LIMIT).await?;
         let headers = &answer.head.headers;
-        if let Some(stay) = stay.filter(|_| speaks_for(headers, runner, id)) {
+        if let Some(stay) = stay.filter(|_| is_from(headers, runner, id)) {
             self.limiter.note_answer(stay, id, sent, rate_limit(headers));
             if is_leaving(headers) {
                 self.drains.note_answer(stay, id);
--- a/node/src/duty/tenure.rs
+++ b/node/src/duty/tenure.rs
@@ -7,8 +7,8 @@
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::{Epoch, Incarnation, NodeId};
 use sardinepick_lib::lease::{Action, Holder, Lease, Record, Term, Written};
-use sardinepick_platform::duty::LEASES;
-use sardinepick_platform::store::{Object, Refused};
+use sardinepick_platform::duty::LEASE_KIND;
+use sardinepick_platform::store::{Object, ResponseError};
 use smol_str::SmolStr;
 
 use crate::history::Tracker;
@@ -159,7 +159,7 @@
     }
 
     async fn read(&self) {
-        let result = self.store.get(Purpose::Lease, LEASES, LEASE).await;
+        let result = self.store.get(Purpose::Lease, LEASE_KIND, LEASE).await;
         let now = self.clock.now();
         let mut state = self.state();
         self.note_era(&mut state.lease);
@@ -181,15 +181,16 @@
     async fn write(&self, expected: Option<Point>, record: &Record) {
         let content = serde_json::json!(record);
         let result = match expected {
-            None => self.store.create(Purpose::Lease, LEASES, LEASE, &content).await,
-            Some(was) => self.store.replace(Purpose::Lease, LEASES, LEASE, was, &content).await,
+            None => self.store.create(Purpose::Lease, LEASE_KIND, LEASE, &content).await,
+            Some(was) => self.store.replace(Purpose::Lease, LEASE_KIND, LEASE, was, &content).await,
         };
         let now = self.clock.now();
         let mut state = self.state();
         let written = match result {
             Ok(object) => Written::Done(object.at),
             Err(StoreError::Refused {
-                refused: Refused::Conflict(_) | Refused::Missing, ..
+                refused: ResponseError::Conflict(_) | ResponseError::NotFound,
+                ..
             }) => Written::Conflict,
             Err(error) => {
                 log::info!(error:% = error; "lease not known to be written");
--- a/node/src/peer/gossip.rs
+++ b/node/src/peer/gossip.rs
@@ -10,7 +10,7 @@
 use sardinepick_lib::member::{Outgoing, Status};
 use sardinepick_lib::{role, supply};
 use sardinepick_wire::gossip::{Datagram, Reserve};
-use sardinepick_wire::load::{LOADS, Load, RunnerHash};
+use sardinepick_wire::load::{Load, MAX_LOADS_PER_DATAGRAM, RunnerHash};
 use tokio::net::UdpSocket;
 use tokio::time::{MissedTickBehavior, interval};
 
@@ -136,7 +136,7 @@
 }
 
 fn take_reserve(node: &Node, reserve: &Reserve) {
-    let span = reserve.span.min(LONGEST_RESERVE);
+    let span = reserve.duration.min(LONGEST_RESERVE);
     for pool in node.pools() {
         for (runner, _) in pool.runners() {
             if reserve.runners.contains(&RunnerHash::from(&runner)) {
@@ -154,7 +154,7 @@
     let nodes: Vec<Name> = node.members().active().cloned().collect();
     let mut sharing = Vec::new();
     supply::sharers(runner, &nodes, &mut sharing);
-    let reserve = Reserve { runners: vec![RunnerHash::from(runner)], span };
+    let reserve = Reserve { runners: vec![RunnerHash::from(runner)], duration: span };
     take_reserve(node, &reserve);
     let Some(socket) = node.socket() else { return };
     for other in sharing {
@@ -263,7 +263,7 @@
     }
     for (name, loads) in by_node {
         let Some(to) = node.peer_address(&name) else { continue };
-        for part in loads.chunks(LOADS) {
+        for part in loads.chunks(MAX_LOADS_PER_DATAGRAM) {
             send(node, socket, to, &Datagram::Loads(part.to_vec())).await;
         }
     }
--- a/node/src/scale/mod.rs
+++ b/node/src/scale/mod.rs
@@ -8,7 +8,7 @@
 use sardinepick_lib::id::ServiceId;
 use sardinepick_lib::scale::need::{CapacityEstimator, Policy};
 use sardinepick_lib::scale::plan::{Kind, Order, Planner, Scaling, Supply};
-use sardinepick_platform::duty::{Demand, Reply, order_runners};
+use sardinepick_platform::duty::{DesiredCount, Reply, order_runners};
 use tokio::time::sleep;
 
 use crate::duty::caller::{Caller, Outcome};
@@ -107,7 +107,7 @@
     ) {
         let data_centre = &service.scaling.prices[order.data_centre].0;
         let supply = service.supply[order.data_centre];
-        let demand = Demand {
+        let demand = DesiredCount {
             service: &service.name,
             data_centre,
             count: order.count,
--- a/node/src/serve/beat.rs
+++ b/node/src/serve/beat.rs
@@ -8,7 +8,7 @@
 use sardinepick_lib::fleet::mark::Mark;
 use sardinepick_lib::fleet::quarantine::MOST_TOLD;
 use sardinepick_lib::fleet::roster::{PERIOD, Record, Standing, Status};
-use sardinepick_wire::beat::{Beat, MOST_BYTES};
+use sardinepick_wire::beat::{Heartbeat, MAX_DATAGRAM_BYTES};
 use sardinepick_wire::fleet as pb;
 use sardinepick_wire::{schedule, usage};
 use tokio::net::UdpSocket;
@@ -63,24 +63,24 @@
             let records = roster.take_news();
             let watchers = roster.watchers().to_vec();
             drop(roster);
-            let beat = Beat { records, ..beat(&shared, status) };
+            let beat = Heartbeat { records, ..beat(&shared, status) };
             (beat, watchers, asked)
         };
         let told = news.is_some();
         if told {
             let some = watchers.iter().copied().sample(&mut *shared.rng(), NEWS_WATCHERS);
-            let told = Beat { news, records: Vec::new(), ..beat.clone() };
+            let told = Heartbeat { news, records: Vec::new(), ..beat.clone() };
             beat_all(&shared, &socket, &told, &some).await;
         }
         let quarantined = quarantine::news::next(&shared);
         if !quarantined.is_empty() {
-            let told = Beat { quarantined, records: Vec::new(), ..beat.clone() };
+            let told = Heartbeat { quarantined, records: Vec::new(), ..beat.clone() };
             beat_all(&shared, &socket, &told, &watchers).await;
         }
         let again = due && count.is_multiple_of(GREETING);
         let (limits, leaving) = (shared.limiter.next(again), shared.drains.next(again));
         if !limits.is_empty() || !leaving.is_empty() {
-            let told = Beat { limits, leaving, records: Vec::new(), ..beat.clone() };
+            let told = Heartbeat { limits, leaving, records: Vec::new(), ..beat.clone() };
             beat_all(&shared, &socket, &told, &watchers).await;
         }
         if due || !told || !beat.records.is_empty() {
@@ -124,9 +124,9 @@
     little.then(|| peer::news(&changed, since))
 }
 
-fn beat(shared: &Shared, status: Status) -> Beat {
+fn beat(shared: &Shared, status: Status) -> Heartbeat {
     let roster = shared.roster();
-    Beat {
+    Heartbeat {
         sender: roster.me().clone(),
         status,
         answer: false,
@@ -142,7 +142,7 @@
     }
 }
 
-async fn beat_all(shared: &Shared, socket: &UdpSocket, beat: &Beat, targets: &[SocketAddr]) {
+async fn beat_all(shared: &Shared, socket: &UdpSocket, beat: &Heartbeat, targets: &[SocketAddr]) {
     if targets.is_empty() {
         return;
     }
@@ -173,23 +173,23 @@
 
 /// Asks nodes for a beat.
 pub async fn ask(shared: &Shared, socket: &UdpSocket, targets: &[SocketAddr]) {
-    let beat = Beat { answer: true, ..beat(shared, shared.status()) };
+    let beat = Heartbeat { answer: true, ..beat(shared, shared.status()) };
     beat_all(shared, socket, &beat, targets).await;
 }
 
 /// Takes beats until the process ends.
 pub async fn receive(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
-    let mut buffer = [0; MOST_BYTES * 2];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES * 2];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => {
                 let bytes = &buffer[..length];
                 match bytes.first() {
-                    Some(&schedule::MARK) => {
+                    Some(&schedule::DATAGRAM_TYPE) => {
                         scheduler::take(&shared, from, bytes).await;
                         continue;
                     }
-                    Some(&usage::MARK) => {
+                    Some(&usage::DATAGRAM_TYPE) => {
                         shared.usage.take(&socket, from, bytes, &shared.metrics).await;
                         continue;
                     }
@@ -197,7 +197,7 @@
                 }
                 let counter = shared.metrics.beat_bytes.with_label_values(&["received"]);
                 counter.inc_by(length as u64);
-                match Beat::decode(bytes, shared.history.era()) {
+                match Heartbeat::decode(bytes, shared.history.era()) {
                     Ok(beat) => take(&shared, &socket, &beat).await,
                     Err(error) => log::warn!(peer:% = from, error:% = error; "beat is not taken"),
                 }
@@ -207,7 +207,7 @@
     }
 }
 
-async fn take(shared: &Arc<Shared>, socket: &UdpSocket, told: &Beat) {
+async fn take(shared: &Arc<Shared>, socket: &UdpSocket, told: &Heartbeat) {
     if told.sender.contact.id == shared.me.id {
         return;
     }
@@ -248,12 +248,12 @@
         // Whoever asks may know nobody else yet.
         let mut records = shared.roster().some(&mut *shared.rng());
         records.extend(mistaken);
-        let answer = Beat { records, ..beat(shared, mine) };
+        let answer = Heartbeat { records, ..beat(shared, mine) };
         let peer = told.sender.contact.peer;
         transmit(shared, socket, &answer.encode(), peer).await;
         // It must not send to runners what ends them until it has compared lists.
         for quarantined in quarantine::news::all(shared).chunks(MOST_TOLD).take(MOST_MESSAGES) {
-            let more = Beat { quarantined: quarantined.to_vec(), ..beat(shared, mine) };
+            let more = Heartbeat { quarantined: quarantined.to_vec(), ..beat(shared, mine) };
             transmit(shared, socket, &more.encode(), peer).await;
         }
     }
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/follow.rs
@@ -17,7 +17,7 @@
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::RunnerId;
 use sardinepick_platform::config::{self, decode, without_keys};
-use sardinepick_platform::discovery::{RUNNERS, decode_runner};
+use sardinepick_platform::discovery::{RUNNER_KIND, decode_runner};
 use sardinepick_platform::store::{Change, Object};
 use smol_str::SmolStr;
 use tokio::time::{Instant, sleep, sleep_until};
@@ -49,7 +49,7 @@
                 brought.map(|brought| {
                     let objects = brought.changes.into_iter().filter_map(|change| match change {
                         Change::Put(object) => Some(object),
-                        Change::Gone(_) => None,
+                        Change::Removed(_) => None,
                     });
                     (objects.collect(), brought.as_of)
                 })
@@ -126,14 +126,14 @@
         follower.wait_for_duty().await;
         let result = match follower.from {
             None => {
-                let listed = follower.list(Purpose::Register, RUNNERS).await;
+                let listed = follower.list(Purpose::Register, RUNNER_KIND).await;
                 listed.map(|(entries, as_of)| (listed_difference(&shared, entries, as_of), as_of))
             }
             Some(from) => {
                 let purpose = Purpose::RegisterWatch;
                 sleep_until(next).await;
                 next = Instant::now() + TOGETHER;
-                let brought = follower.watch(purpose, RUNNERS, from).await;
+                let brought = follower.watch(purpose, RUNNER_KIND, from).await;
                 brought.map(|brought| (difference(brought.changes, brought.as_of), brought.as_of))
             }
         };
@@ -244,7 +244,7 @@
             }
             // What it last wrote is taken first: whether a runner that is gone had said that it leaves
             // decides whether it is doubted, or gone at once.
-            Change::Gone(name) => difference.gone.push(name),
+            Change::Removed(name) => difference.gone.push(name),
         }
     }
     difference
--- a/node/src/serve/generation/mod.rs
+++ b/node/src/serve/generation/mod.rs
@@ -20,7 +20,7 @@
 use sardinepick_lib::fleet::place::{Placement, Plan};
 use sardinepick_lib::fleet::register::Share;
 use sardinepick_lib::id::RunnerId;
-use sardinepick_platform::runner::{self, Call, Step as Ask};
+use sardinepick_platform::runner::{self, Call, CallKind};
 use smallvec::SmallVec;
 use smol_str::SmolStr;
 use tokio::sync::{mpsc, oneshot};
@@ -236,7 +236,7 @@
                 let share =
                     Share { class, fresh: placement.fresh, footprint: self.work.footprint() };
                 let runner = runner.clone();
-                self.run_at(&runner, Ask::Run, share, &placement).await
+                self.run_at(&runner, CallKind::Run, share, &placement).await
             }
             Plan::Split { prefill, .. } => {
                 let prefill = prefill.clone();
@@ -260,7 +260,8 @@
         let share = Share { class, fresh: 0, footprint: self.work.footprint() };
         let came = loop {
             let decode = self.place_decode(class, prefill).await?;
-            match self.run_at(&decode, Ask::RunFrom(handle.clone()), share, placement).await {
+            match self.run_at(&decode, CallKind::RunFromKv(handle.clone()), share, placement).await
+            {
                 // What has been read waits for another runner.
                 Ok(Came::Denied) if self.calls < MOST_CALLS => {}
                 came => break came,
@@ -280,7 +281,7 @@
     fn outgoing(
         &self,
         id: &RunnerId,
-        step: Ask,
+        step: CallKind,
         class: Class,
         left: Duration,
         fetch: Option<SocketAddr>,
@@ -288,12 +289,12 @@
         let request = &self.request;
         let call = Call {
             runner: id,
-            left,
+            remaining: left,
             account: request.account.as_ref(),
-            urgency: Some(urgency(class)),
-            step,
+            priority: Some(urgency(class)),
+            kind: step,
             last_event: self.last_event.as_deref(),
-            fetch,
+            fetch_from: fetch,
         };
         let body = request.body.clone();
         runner::request(&request.method, &request.uri, &request.headers, body, &call)
--- a/node/src/serve/generation/read.rs
+++ b/node/src/serve/generation/read.rs
@@ -12,9 +12,9 @@
 use sardinepick_lib::fleet::register::{Reading, Share};
 use sardinepick_lib::fleet::runner::Tag;
 use sardinepick_lib::id::RunnerId;
-use sardinepick_platform::answer::{Verdict, judge};
+use sardinepick_platform::answer::{Verdict, classify};
 use sardinepick_platform::error::FormatError;
-use sardinepick_platform::runner::{self, Handle, Step as Ask, read_handle as decode_handle};
+use sardinepick_platform::runner::{self, CallKind, KvHandle, read_handle as decode_handle};
 use thiserror::Error;
 use tokio::time::timeout;
 
@@ -73,14 +73,14 @@
         id: &RunnerId,
         share: Share,
         placement: &Placement,
-    ) -> Result<Option<Handle>, Stop> {
+    ) -> Result<Option<KvHandle>, Stop> {
         self.pay()?;
         let left = self.request.left(self.shared.clock.now());
         let mut ticket = Ticket::new(&self.shared, id, Step::Read, share);
         self.calls += 1;
         let Some(address) = self.address(id) else { return Ok(None) };
         let fetch = placement.fetch.as_ref().and_then(|source| self.address(source));
-        let outgoing = self.outgoing(id, Ask::Read, share.class, left, fetch);
+        let outgoing = self.outgoing(id, CallKind::Prefill, share.class, left, fetch);
         let limit = patience::reading(share.class, placement.read, left);
         self.note_cached(&ticket, Progress::Begun);
         let request_id = self.request.id.clone();
@@ -156,10 +156,10 @@
     request: &str,
     address: SocketAddr,
     answer: Answer,
-) -> Result<Handle, ReadError> {
+) -> Result<KvHandle, ReadError> {
     let status = answer.head.status;
-    let verdict = judge(status, &answer.head.headers, runner, request);
-    if verdict == Verdict::Foreign && status.is_success() {
+    let verdict = classify(status, &answer.head.headers, runner, request);
+    if verdict == Verdict::Mismatched && status.is_success() {
         return Err(ReadError::Foreign);
     }
     let (_, body) = answer.read(LARGEST).await?;
@@ -174,11 +174,11 @@
 pub(super) struct SpareHandle {
     shared: Arc<Shared>,
     runner: RunnerId,
-    handle: Option<Handle>,
+    handle: Option<KvHandle>,
 }
 
 impl SpareHandle {
-    pub(super) fn new(shared: &Arc<Shared>, runner: &RunnerId, handle: Handle) -> Self {
+    pub(super) fn new(shared: &Arc<Shared>, runner: &RunnerId, handle: KvHandle) -> Self {
         Self { shared: shared.clone(), runner: runner.clone(), handle: Some(handle) }
     }
 
--- a/node/src/serve/generation/stream.rs
+++ b/node/src/serve/generation/stream.rs
@@ -18,8 +18,8 @@
 use sardinepick_lib::fleet::scheduler::Lesson;
 use sardinepick_lib::fleet::suspect::Reach;
 use sardinepick_lib::id::{RunnerId, ServiceId};
-use sardinepick_platform::answer::{Verdict, is_stream, judge};
-use sardinepick_platform::runner::Step as Ask;
+use sardinepick_platform::answer::{Verdict, classify, is_stream};
+use sardinepick_platform::runner::CallKind;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 use tokio_stream::wrappers::ReceiverStream;
@@ -39,7 +39,7 @@
     pub(super) async fn run_at(
         &mut self,
         id: &RunnerId,
-        step: Ask,
+        step: CallKind,
         share: Share,
         placement: &Placement,
     ) -> Result<Came, Stop> {
@@ -49,7 +49,7 @@
         let mut ticket = Ticket::new(&self.shared, id, Step::Run, share);
         self.calls += 1;
         let Some(address) = self.address(id) else { return Ok(Came::NotRun) };
-        let is_whole = step == Ask::Run;
+        let is_whole = step == CallKind::Run;
         let fetch = placement.fetch.as_ref().filter(|_| is_whole);
         let fetch = fetch.and_then(|source| self.address(source));
         if is_whole {
@@ -100,7 +100,7 @@
                 return Ok(if over { Came::Late } else { Came::Broken });
             }
         };
-        match judge(answer.head.status, &answer.head.headers, id, &self.request.id) {
+        match classify(answer.head.status, &answer.head.headers, id, &self.request.id) {
             Verdict::Ran if answer.head.status.is_success() && is_stream(&answer.head.headers) => {
                 let placement = is_whole.then_some(placement);
                 self.stream(&mut ticket, answer, placement).await
@@ -117,7 +117,7 @@
                 answer.discard(LARGEST).await;
                 Ok(Came::NotRun)
             }
-            Verdict::Foreign => {
+            Verdict::Mismatched => {
                 ticket.conclude(Outcome::Broken);
                 log::warn!(request:% = self.request.id, runner:% = id; "answer to another request");
                 Ok(Came::Broken)
--- a/node/src/serve/inventory.rs
+++ b/node/src/serve/inventory.rs
@@ -15,7 +15,7 @@
 use sardinepick_lib::fleet::pool::Pool;
 use sardinepick_lib::fleet::runner::{Entry, Stay};
 use sardinepick_lib::id::ServiceId;
-use sardinepick_platform::runner::{Kept, ask_kept, read_kept};
+use sardinepick_platform::runner::{CachedPrefix, list_cached, read_cached};
 use tokio::time::timeout;
 
 use crate::serve::connection::CONNECT_LIMIT;
@@ -49,14 +49,14 @@
 
 async fn ask(shared: Arc<Shared>, entry: Entry, stay: Stay) {
     let asked = async {
-        let request = ask_kept(&entry.id, entry.address);
+        let request = list_cached(&entry.id, entry.address);
         let sent = shared.connections.send(entry.address, request, CONNECT_LIMIT);
         let answer = sent.await.map_err(|e| e.to_string())?;
         let (head, body) = answer.read(LARGEST).await.map_err(|e| e.to_string())?;
         if !head.status.is_success() {
             return Err(format!("status {}", head.status));
         }
-        read_kept(&body).map_err(|e| e.to_string())
+        read_cached(&body).map_err(|e| e.to_string())
     };
     let late = |_| Err(format!("no answer within {ANSWER_LIMIT:?}"));
     match timeout(ANSWER_LIMIT, asked).await.unwrap_or_else(late) {
@@ -65,7 +65,7 @@
     }
 }
 
-fn take(shared: &Shared, stay: &Stay, mut kept: Vec<Kept>) {
+fn take(shared: &Shared, stay: &Stay, mut kept: Vec<CachedPrefix>) {
     let parts = kept.len();
     kept.retain(|kept| kept.tokens >= LEAST_TOKENS);
     kept.sort_by_key(|kept| std::cmp::Reverse(kept.tokens));
--- a/node/src/serve/join.rs
+++ b/node/src/serve/join.rs
@@ -12,8 +12,8 @@
 use rand::RngExt as _;
 use rand::seq::SliceRandom as _;
 use sardinepick_lib::fleet::outage::pause;
-use sardinepick_platform::discovery::{NODES, decode_node, encode_node};
-use sardinepick_wire::beat::{nodes, read_nodes};
+use sardinepick_platform::discovery::{NODE_KIND, decode_node, encode_node};
+use sardinepick_wire::beat::{decode_nodes, encode_nodes};
 use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
@@ -60,7 +60,7 @@
 
 async fn try_compare(shared: &Shared, peer: SocketAddr) -> Result<usize, JoinError> {
     let mut client = rpc::connect(peer).await?;
-    let mine = nodes(&shared.roster().records(), quarantine::news::all(shared));
+    let mine = encode_nodes(&shared.roster().records(), quarantine::news::all(shared));
     let answer = timeout(SILENCE, client.meet(mine)).await;
     let answer = answer.map_err(|_| RpcError::Silent { peer })?;
     let answer = answer.map_err(|s| RpcError::Refused { peer, status: Box::new(s) })?;
@@ -69,7 +69,7 @@
         detail: error.to_string(),
     };
     let answer = answer.into_inner();
-    let records = read_nodes(&answer).map_err(useless)?;
+    let records = decode_nodes(&answer).map_err(useless)?;
     quarantine::news::take(shared, &answer.quarantined, &peer.to_string());
     let now = shared.clock.now();
     let mut roster = shared.roster();
@@ -153,7 +153,7 @@
 }
 
 async fn try_ask_listed(shared: &Shared) -> Result<bool, StoreError> {
-    let objects = shared.store.first_page(Purpose::Nodes, NODES).await?;
+    let objects = shared.store.first_page(Purpose::Nodes, NODE_KIND).await?;
     let mut peers = Vec::new();
     for object in &objects {
         match decode_node(&object.name, &object.content) {
@@ -183,5 +183,5 @@
 /// The store does not take it.
 pub async fn write_entry(shared: &Shared) -> Result<(), StoreError> {
     let content = encode_node(&shared.me);
-    shared.store.put(Purpose::NodeWrite, NODES, shared.me.id.as_str(), &content).await
+    shared.store.put(Purpose::NodeWrite, NODE_KIND, shared.me.id.as_str(), &content).await
 }
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -12,7 +12,7 @@
 use sardinepick_lib::account::directory::{Account, Directory};
 use sardinepick_lib::fleet::roster::Standing;
 use sardinepick_lib::id::Window;
-use sardinepick_platform::caller::{LOOKUP, READINESS, lookup_answer, read_lookup};
+use sardinepick_platform::caller::{LOOKUP_PATH, READINESS_PATH, lookup_response, read_lookup};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
@@ -116,11 +116,11 @@
 async fn answer(shared: &Arc<Shared>, port: Port, request: Request<Incoming>) -> Response<Body> {
     let mut response = match port {
         Port::Front => request::answer(shared, request).await,
-        Port::Ready if request.uri().path() == READINESS => {
+        Port::Ready if request.uri().path() == READINESS_PATH => {
             let ready = shared.is_ready();
             empty(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
         }
-        Port::Lookup if request.uri().path() == LOOKUP => lookup(shared, &request),
+        Port::Lookup if request.uri().path() == LOOKUP_PATH => lookup(shared, &request),
         Port::Metrics if request.uri().path() == "/metrics" => {
             Response::new(whole(shared.metrics.text()))
         }
@@ -174,7 +174,7 @@
         log::info!(host:% = lookup.host; "look-up without an address");
         return empty(StatusCode::SERVICE_UNAVAILABLE);
     }
-    json(lookup_answer(&addresses, VALIDITY.min(shared.settings.longest_validity)))
+    json(lookup_response(&addresses, VALIDITY.min(shared.settings.longest_validity)))
 }
 
 /// What the node believes, for people.
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -14,7 +14,9 @@
 use sardinepick_lib::fleet::route::Configuration;
 use sardinepick_lib::fleet::runner::{Entry, Runner, Tag};
 use sardinepick_lib::id::{Born, Epoch, RunnerId, ServiceId};
-use sardinepick_platform::order::{Order, Reply, Report, ask, read_report, reply, request};
+use sardinepick_platform::order::{
+    Order, Reply, Report, read_report, reply, request, request_report,
+};
 use tokio::time::{sleep, timeout};
 
 use crate::serve::connection::CONNECT_LIMIT;
@@ -245,7 +247,7 @@
 
     async fn ask(&self, entry: &Entry) -> Result<Report, String> {
         let asked = async {
-            let outgoing = ask(&entry.id, entry.address);
+            let outgoing = request_report(&entry.id, entry.address);
             let sent = self.shared.connections.send(entry.address, outgoing, CONNECT_LIMIT);
             let answer = sent.await.map_err(|e| e.to_string())?;
             let (head, body) = answer.read(LARGEST).await.map_err(|e| e.to_string())?;
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -14,11 +14,11 @@
 use sardinepick_lib::fleet::runner::Tag;
 use sardinepick_lib::history::Era;
 use sardinepick_platform::store::Object;
-use sardinepick_wire::beat::{nodes, read_nodes};
+use sardinepick_wire::beat::{decode_nodes, encode_nodes};
 use sardinepick_wire::error::WireError;
 use sardinepick_wire::fleet as pb;
 use sardinepick_wire::fleet::fleet_server::{Fleet, FleetServer};
-use sardinepick_wire::limit::{announced, read_all};
+use sardinepick_wire::limit::{decode_limits, encode_limit};
 use sardinepick_wire::mark::{read_mark, read_point};
 use smol_str::SmolStr;
 use tokio::net::TcpListener;
@@ -89,7 +89,7 @@
     async fn meet(&self, request: Request<pb::Nodes>) -> Result<Response<pb::Nodes>, Status> {
         let told = request.into_inner();
         let records =
-            read_nodes(&told).map_err(|error| Status::invalid_argument(error.to_string()))?;
+            decode_nodes(&told).map_err(|error| Status::invalid_argument(error.to_string()))?;
         let now = self.shared.clock.now();
         let mut roster = self.shared.roster();
         take_records(&mut roster, &records, now);
@@ -99,7 +99,7 @@
         let records = roster.records();
         drop(roster);
         quarantine::news::take(&self.shared, &told.quarantined, "that compares");
-        Ok(Response::new(nodes(&records, quarantine::news::all(&self.shared))))
+        Ok(Response::new(encode_nodes(&records, quarantine::news::all(&self.shared))))
     }
 
     type CopyStream = ReceiverStream<Result<pb::CopyPart, Status>>;
@@ -196,7 +196,7 @@
 fn with_signals(shared: &Shared, part: pb::Knowledge) -> pb::Knowledge {
     let limits = shared.limiter.all();
     pb::Knowledge {
-        rate_limits: limits.iter().map(announced).collect(),
+        rate_limits: limits.iter().map(encode_limit).collect(),
         leaving: shared.drains.all().into_iter().map(|tag| tag.0).collect(),
         ..part
     }
@@ -335,7 +335,7 @@
             told.gone = part.gone.into_iter().map(SmolStr::new).collect();
             told.doubted = part.doubted.into_iter().map(SmolStr::new).collect();
             (told.mark, told.whole) = (mark, part.whole);
-            let limits = read_all(&part.rate_limits).unwrap_or_else(|error| {
+            let limits = decode_limits(&part.rate_limits).unwrap_or_else(|error| {
                 log::warn!(peer:% = peer, error:% = error; "rate limits of a node are not taken");
                 Vec::new()
             });
--- a/node/src/serve/plain.rs
+++ b/node/src/serve/plain.rs
@@ -13,8 +13,8 @@
 use sardinepick_lib::fleet::register::Share;
 use sardinepick_lib::fleet::suspect::{ENDS, Reach};
 use sardinepick_lib::id::RunnerId;
-use sardinepick_platform::answer::{Verdict, judge};
-use sardinepick_platform::runner::{Call, Step as Ask, request as call_request};
+use sardinepick_platform::answer::{Verdict, classify};
+use sardinepick_platform::runner::{Call, CallKind, request as call_request};
 use smallvec::SmallVec;
 use tokio::time::timeout;
 
@@ -205,12 +205,12 @@
         let request = self.request;
         let call = Call {
             runner: id,
-            left,
+            remaining: left,
             account: request.account.as_ref(),
-            urgency: None,
-            step: Ask::Run,
+            priority: None,
+            kind: CallKind::Run,
             last_event: None,
-            fetch: None,
+            fetch_from: None,
         };
         let outgoing = call_request(
             &request.method,
@@ -291,7 +291,7 @@
         answer: Answer,
     ) -> Result<Came, SendError> {
         let request = self.request;
-        let verdict = judge(answer.head.status, &answer.head.headers, id, &request.id);
+        let verdict = classify(answer.head.status, &answer.head.headers, id, &request.id);
         match verdict {
             Verdict::Ran => {}
             Verdict::OtherInstance | Verdict::NotRun => {
@@ -306,7 +306,7 @@
                 answer.discard(LARGEST).await;
                 return Ok(Came::NotRun { arrived: verdict == Verdict::NotRun });
             }
-            Verdict::Foreign => {
+            Verdict::Mismatched => {
                 log::warn!(request:% = request.id, runner:% = id; "answer to another request");
                 return Ok(Came::Doubt);
             }
--- a/node/src/serve/quarantine/news.rs
+++ b/node/src/serve/quarantine/news.rs
@@ -3,7 +3,7 @@
 use sardinepick_lib::fleet::quarantine::{Entry, Stage};
 use sardinepick_lib::id::NodeId;
 use sardinepick_wire::fleet as pb;
-use sardinepick_wire::quarantine::{quarantined, read_quarantined};
+use sardinepick_wire::quarantine::{decode_entries, encode_entries};
 
 use super::count::counts_first;
 use super::{heed, keep, note_stage, set};
@@ -12,7 +12,7 @@
 /// Takes what another node tells of requests that are not run.
 pub fn take(shared: &Shared, told: &[pb::Quarantined], from: &str) {
     let now = shared.clock.now();
-    let entries = match read_quarantined(told, now) {
+    let entries = match decode_entries(told, now) {
         Ok(entries) => entries,
         Err(error) => {
             log::warn!(node = from, error:% = error; "quarantine of a node is not taken");
@@ -45,7 +45,7 @@
 /// What has not been told to other nodes yet, as far as one message carries it.
 pub fn next(shared: &Shared) -> Vec<pb::Quarantined> {
     let news = shared.keeper.state().quarantine.take_news();
-    quarantined(&news, shared.clock.now())
+    encode_entries(&news, shared.clock.now())
 }
 
 /// Whether there is more to be told.
@@ -57,7 +57,7 @@
 pub fn all(shared: &Shared) -> Vec<pb::Quarantined> {
     let mut all: Vec<Entry> = shared.keeper.state().quarantine.entries().cloned().collect();
     all.sort_by_key(|entry| entry.stage != Stage::Confirmed);
-    quarantined(&all, shared.clock.now())
+    encode_entries(&all, shared.clock.now())
 }
 
 /// A digest of all that is known.
--- a/node/src/serve/quarantine/store.rs
+++ b/node/src/serve/quarantine/store.rs
@@ -8,7 +8,7 @@
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
 use sardinepick_lib::fleet::outage::pause;
 use sardinepick_lib::fleet::quarantine::Stage;
-use sardinepick_platform::quarantine::{QUARANTINE, decode, encode};
+use sardinepick_platform::quarantine::{QUARANTINE_KIND, decode, encode};
 use tokio::time::sleep;
 
 use super::{counts_first, heed, keep, note_stage};
@@ -20,7 +20,7 @@
     if shared.keeper.is_read.swap(true, Ordering::Relaxed) {
         return;
     }
-    let (objects, _) = match shared.store.list(Purpose::Quarantine, QUARANTINE).await {
+    let (objects, _) = match shared.store.list(Purpose::Quarantine, QUARANTINE_KIND).await {
         Ok(read) => read,
         Err(error) => {
             log::info!(error:% = error; "quarantine not read from the store");
@@ -100,8 +100,8 @@
     let name = request.to_string();
     match entry.filter(|entry| entry.stage == Stage::Confirmed) {
         Some(entry) => {
-            shared.store.put(Purpose::Quarantine, QUARANTINE, &name, &encode(&entry)).await
+            shared.store.put(Purpose::Quarantine, QUARANTINE_KIND, &name, &encode(&entry)).await
         }
-        None => shared.store.remove(Purpose::Quarantine, QUARANTINE, &name).await,
+        None => shared.store.remove(Purpose::Quarantine, QUARANTINE_KIND, &name).await,
     }
 }
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -16,7 +16,7 @@
 use sardinepick_lib::fleet::route::{Configuration, Route};
 use sardinepick_lib::fleet::runner::Closed;
 use sardinepick_lib::id::{AccountId, ServiceId};
-use sardinepick_platform::caller::{self, Ask};
+use sardinepick_platform::caller::{self, CallerHeaders};
 use sardinepick_platform::runner::forwarded;
 use smol_str::SmolStr;
 use tokio::time::timeout;
@@ -42,7 +42,7 @@
     /// The client account that it belongs to, if the configuration has accounts.
     pub account: Option<AccountId>,
     /// What the caller says of it.
-    pub ask: Ask,
+    pub ask: CallerHeaders,
     /// Its method.
     pub method: Method,
     /// Its path and query.
--- a/node/src/serve/scheduler.rs
+++ b/node/src/serve/scheduler.rs
@@ -18,7 +18,7 @@
     self, Ask, Decision, Lesson, PASSED_OVER, PATIENCE, SILENCES, Step, TRIES,
 };
 use sardinepick_lib::id::{NodeId, ServiceId};
-use sardinepick_wire::schedule::{MOST_LESSONS, MOST_LOADS, MOST_READINGS, Report, Schedule};
+use sardinepick_wire::schedule::{MAX_LESSONS, MAX_LOADS, MAX_READINGS, Report, Schedule};
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
@@ -415,15 +415,15 @@
         if !load.is_empty() {
             shared.scheduling.state().told.insert(tag, peer);
         }
-        add(peer, &|r| r.loads.len() >= MOST_LOADS, &|r| r.loads.push((tag, load)));
+        add(peer, &|r| r.loads.len() >= MAX_LOADS, &|r| r.loads.push((tag, load)));
     }
     for reading in news.readings {
         let Some(peer) = peer_of(reading.runner) else { continue };
-        add(peer, &|r| r.readings.len() >= MOST_READINGS, &|r| r.readings.push(reading));
+        add(peer, &|r| r.readings.len() >= MAX_READINGS, &|r| r.readings.push(reading));
     }
     for (tag, lesson) in news.lessons {
         let Some(peer) = peer_of(tag) else { continue };
-        add(peer, &|r| r.lessons.len() >= MOST_LESSONS, &|r| r.lessons.push((tag, lesson)));
+        add(peer, &|r| r.lessons.len() >= MAX_LESSONS, &|r| r.lessons.push((tag, lesson)));
     }
     let told = by_peer.into_iter();
     told.flat_map(|(peer, reports)| reports.into_iter().map(move |r| (peer, r))).collect()
--- a/node/src/serve/store.rs
+++ b/node/src/serve/store.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use sardinepick_lib::history::{Era, Point};
-use sardinepick_platform::store::{self, Changes, Object, Page, Refused};
+use sardinepick_platform::store::{self, Changes, Object, Page, ResponseError};
 use strum::{Display, IntoStaticStr};
 use thiserror::Error;
 use tokio::time::timeout;
@@ -25,7 +25,7 @@
         /// What the call was for.
         purpose: Purpose,
         /// The refusal.
-        refused: Refused,
+        refused: ResponseError,
     },
     /// The store did not answer.
     #[error("{purpose}: {source}")]
@@ -78,7 +78,7 @@
     /// Whether the store has forgotten the history that was asked for, or has another one by now.
     pub fn is_forgotten(&self) -> bool {
         match self {
-            StoreError::Refused { refused, .. } => *refused == Refused::Forgotten,
+            StoreError::Refused { refused, .. } => *refused == ResponseError::HistoryGone,
             StoreError::Crossed { .. } => true,
             _ => false,
         }
@@ -219,7 +219,8 @@
         content: &serde_json::Value,
     ) -> Result<(), StoreError> {
         let created = self.create(purpose, kind, name, content).await;
-        let Err(StoreError::Refused { refused: Refused::Conflict(Some(object)), .. }) = &created
+        let Err(StoreError::Refused { refused: ResponseError::Conflict(Some(object)), .. }) =
+            &created
         else {
             return created.map(|_| ());
         };
@@ -233,8 +234,8 @@
     pub async fn remove(&self, purpose: Purpose, kind: &str, name: &str) -> Result<(), StoreError> {
         let Some(object) = self.get(purpose, kind, name).await? else { return Ok(()) };
         let request = store::remove(self.address, kind, name, object.at);
-        match self.call(purpose, request, CALL_LIMIT, store::read_done).await {
-            Err(StoreError::Refused { refused: Refused::Missing, .. }) => Ok(()),
+        match self.call(purpose, request, CALL_LIMIT, store::read_removal).await {
+            Err(StoreError::Refused { refused: ResponseError::NotFound, .. }) => Ok(()),
             other => other,
         }
     }
@@ -252,7 +253,7 @@
         let request = store::get(self.address, kind, name);
         match self.call(purpose, request, CALL_LIMIT, store::read_object).await {
             Ok(object) => Ok(Some(object)),
-            Err(StoreError::Refused { refused: Refused::Missing, .. }) => Ok(None),
+            Err(StoreError::Refused { refused: ResponseError::NotFound, .. }) => Ok(None),
             Err(error) => Err(error),
         }
     }
@@ -289,7 +290,7 @@
         content: &serde_json::Value,
     ) -> Result<Object, StoreError> {
         if was.era != self.history.era() {
-            return Err(StoreError::Refused { purpose, refused: Refused::Conflict(None) });
+            return Err(StoreError::Refused { purpose, refused: ResponseError::Conflict(None) });
         }
         let request = store::replace(self.address, kind, name, was, content);
         let object = self.call(purpose, request, CALL_LIMIT, store::read_object).await?;
@@ -302,7 +303,7 @@
         purpose: Purpose,
         request: Request<Bytes>,
         limit: Duration,
-        read: impl Fn(Era, StatusCode, &[u8]) -> Result<T, Refused>,
+        read: impl Fn(Era, StatusCode, &[u8]) -> Result<T, ResponseError>,
     ) -> Result<T, StoreError> {
         let result =
             self.exchange(purpose, request, limit).await.and_then(|(era, status, body)| {
--- a/node/src/usage/report.rs
+++ b/node/src/usage/report.rs
@@ -10,8 +10,8 @@
 use sardinepick_lib::usage::ledger::{Ledger, Settled};
 use sardinepick_lib::usage::tally::RETAINED_WINDOWS;
 use sardinepick_lib::usage::window::Windows;
-use sardinepick_platform::duty::{Reply, USAGE, report_usage};
-use sardinepick_platform::store::Refused;
+use sardinepick_platform::duty::{Reply, USAGE_KIND, report_usage};
+use sardinepick_platform::store::ResponseError;
 use tokio::time::sleep;
 
 use super::Usage;
@@ -118,7 +118,7 @@
     /// Reads the ledger; none if the store does not give it. One of another writer says nothing of what
     /// has been reported, so nothing that ended before is.
     async fn read(&self, windows: Windows) -> Option<Known> {
-        let object = match self.store.get(Purpose::Usage, USAGE, LEDGER).await {
+        let object = match self.store.get(Purpose::Usage, USAGE_KIND, LEDGER).await {
             Ok(object) => object,
             Err(error) => {
                 log::info!(error:% = error; "settled usage not read");
@@ -160,7 +160,7 @@
     /// Has what this node knows of the ledger go on in another era of the store, in which a copy shows
     /// less of it. This node has held the duties all the while.
     async fn rebase(&self, known: &mut Known) -> Kept {
-        let object = match self.store.get(Purpose::Usage, USAGE, LEDGER).await {
+        let object = match self.store.get(Purpose::Usage, USAGE_KIND, LEDGER).await {
             Ok(object) => object,
             Err(error) => {
                 log::info!(error:% = error; "settled usage not read");
@@ -230,8 +230,10 @@
         next.era = Some(known.era);
         let content = serde_json::json!(next);
         let written = match known.at {
-            None => self.store.create(Purpose::Usage, USAGE, LEDGER, &content).await,
-            Some(was) => self.store.replace(Purpose::Usage, USAGE, LEDGER, was, &content).await,
+            None => self.store.create(Purpose::Usage, USAGE_KIND, LEDGER, &content).await,
+            Some(was) => {
+                self.store.replace(Purpose::Usage, USAGE_KIND, LEDGER, was, &content).await
+            }
         };
         match written {
             Ok(object) => {
@@ -243,7 +245,8 @@
                 Kept::Crossed
             }
             Err(StoreError::Refused {
-                refused: Refused::Conflict(_) | Refused::Missing, ..
+                refused: ResponseError::Conflict(_) | ResponseError::NotFound,
+                ..
             }) => {
                 log::info!(next:% = next.next; "another node has settled usage");
                 Kept::Unknown
--- a/node/tests/crash.rs
+++ b/node/tests/crash.rs
@@ -18,7 +18,7 @@
 use sardinepick_lib::id::RunnerId;
 use sardinepick_node::serve::quarantine;
 use sardinepick_node::serve::run::Running;
-use sardinepick_platform::quarantine::QUARANTINE;
+use sardinepick_platform::quarantine::QUARANTINE_KIND;
 use sardinepick_testutils::cluster::wait_until;
 use sardinepick_testutils::fleet::caller::{Ask, Told};
 use sardinepick_testutils::fleet::deployment::Deployment;
@@ -308,13 +308,13 @@
     former.add_supervised(None, 6, &ending(), AWAY).await;
     let former = former.with_nodes(2).await;
     ends_at_most_three(&former, "/board/a").await;
-    wait_until("the store keeps it", async || former.store.count(QUARANTINE) == 1).await;
+    wait_until("the store keeps it", async || former.store.count(QUARANTINE_KIND) == 1).await;
     let name = confirmed(&former.nodes[0]).expect("it is refused");
-    let kept = former.store.get(QUARANTINE, &name).expect("it is kept by its fingerprint");
+    let kept = former.store.get(QUARANTINE_KIND, &name).expect("it is kept by its fingerprint");
 
     let mut set = Deployment::new().await;
     set.add_supervised(None, 6, &ending(), AWAY).await;
-    set.store.put(QUARANTINE, &name, &kept);
+    set.store.put(QUARANTINE_KIND, &name, &kept);
     let set = set.with_nodes(2).await;
     let all_know = async || set.nodes.iter().all(|n| confirmed(n).as_ref() == Some(&name));
     wait_until("all know it", all_know).await;
@@ -323,7 +323,7 @@
     // What is released is kept no longer.
     let fingerprint = name.parse().expect("it is one");
     assert!(quarantine::release(&set.nodes[1].shared, &fingerprint));
-    wait_until("the store forgets it", async || set.store.count(QUARANTINE) == 0).await;
+    wait_until("the store forgets it", async || set.store.count(QUARANTINE_KIND) == 0).await;
 }
 
 /// The fingerprint of the request that a node refuses.
@@ -342,9 +342,9 @@
     let set = set.with_nodes(3).await;
     let copy = set.store.copy();
     ends_at_most_three(&set, "/board/a").await;
-    wait_until("the store keeps it", async || set.store.count(QUARANTINE) == 1).await;
+    wait_until("the store keeps it", async || set.store.count(QUARANTINE_KIND) == 1).await;
     let lost = set.store.come_back(&copy);
-    assert_eq!(set.store.count(QUARANTINE), 0);
+    assert_eq!(set.store.count(QUARANTINE_KIND), 0);
     set.store.write_again(&lost);
-    wait_until("the store has it again", async || set.store.count(QUARANTINE) == 1).await;
+    wait_until("the store has it again", async || set.store.count(QUARANTINE_KIND) == 1).await;
 }
--- a/node/tests/lives.rs
+++ b/node/tests/lives.rs
@@ -282,7 +282,7 @@
         at: Point::new(shared.history.era(), 1_000),
         content: entry.to_string().into(),
     };
-    let changes = vec![Change::Put(leaves), Change::Gone(runner.id.clone().into())];
+    let changes = vec![Change::Put(leaves), Change::Removed(runner.id.clone().into())];
     let doubt = Some(shared.clock.now() + Duration::from_secs(60));
     let as_of = Point::new(shared.history.era(), 1_001);
     take_difference(shared, difference(changes, as_of), doubt, "store");
--- a/testutils/src/fleet/beat.rs
+++ b/testutils/src/fleet/beat.rs
@@ -5,12 +5,12 @@
 use sardinepick_lib::fleet::mark::Mark;
 use sardinepick_lib::fleet::roster::{Contact, Record, Standing, Status};
 use sardinepick_lib::id::{ConfigVersion, Incarnation, NodeId};
-use sardinepick_wire::beat::Beat;
+use sardinepick_wire::beat::Heartbeat;
 
 use crate::fleet::deployment::HOME;
 
 /// The beat of a node that is reached at `address` for everything and has a configuration of `version`.
-pub fn ready(id: NodeId, address: SocketAddr, version: ConfigVersion) -> Beat {
+pub fn ready(id: NodeId, address: SocketAddr, version: ConfigVersion) -> Heartbeat {
     let contact = Contact {
         id,
         incarnation: Incarnation(1),
@@ -19,7 +19,7 @@
         peer: address,
     };
     let (standing, register, served) = (Standing::Ready, Mark::default(), true);
-    Beat {
+    Heartbeat {
         sender: Record { contact, standing, served, serial: 1, silent: false },
         status: Status { standing, version, register, served },
         answer: false,
--- a/testutils/src/measure/scale.rs
+++ b/testutils/src/measure/scale.rs
@@ -13,7 +13,7 @@
 use sardinepick_lib::supply;
 use sardinepick_lib::unit::{TokenRate, Tokens};
 use sardinepick_wire::gossip::Datagram;
-use sardinepick_wire::load::{LOADS, Load, RunnerHash};
+use sardinepick_wire::load::{Load, MAX_LOADS_PER_DATAGRAM, RunnerHash};
 use smol_str::{SmolStr, ToSmolStr};
 
 use super::figure::Figure;
@@ -138,7 +138,7 @@
     }
     let mut bytes = vec![0_usize; size.nodes];
     for ((from, to), loads) in sending {
-        for part in loads.chunks(LOADS) {
+        for part in loads.chunks(MAX_LOADS_PER_DATAGRAM) {
             let len = Datagram::Loads(part.to_vec()).encode().len() + HEADS;
             bytes[from] += len;
             bytes[to] += len;
--- a/wire/src/beat.rs
+++ b/wire/src/beat.rs
@@ -16,11 +16,11 @@
 use crate::mark::read_mark;
 
 /// The most bytes of a beat, so that it travels in one packet.
-pub const MOST_BYTES: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// One beat.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// What the sender says of itself.
     pub sender: Record,
     /// How it stands and what it knows.
@@ -47,7 +47,7 @@
     pub leaving: Vec<Tag>,
 }
 
-impl Beat {
+impl Heartbeat {
     /// The beat as bytes.
     pub fn encode(&self) -> Vec<u8> {
         let sender = record(&self.sender);
@@ -73,7 +73,7 @@
             quarantined: self.quarantined.clone(),
             time_ms: self.time.map_or(0, |time| u64::try_from(time.as_millis()).unwrap_or(0)),
             leaving: self.leaving.iter().map(|tag| tag.0).collect(),
-            rate_limits: self.limits.iter().map(limit::announced).collect(),
+            rate_limits: self.limits.iter().map(limit::encode_limit).collect(),
         };
         beat.encode_to_vec()
     }
@@ -113,13 +113,13 @@
             quarantined: beat.quarantined,
             time: (beat.time_ms > 0).then(|| Duration::from_millis(beat.time_ms)),
             leaving: beat.leaving.into_iter().map(Tag).collect(),
-            limits: limit::read_all(&beat.rate_limits)?,
+            limits: limit::decode_limits(&beat.rate_limits)?,
         })
     }
 }
 
 /// A list of nodes for the wire, and of requests that are not run.
-pub fn nodes(records: &[Record], quarantined: Vec<pb::Quarantined>) -> pb::Nodes {
+pub fn encode_nodes(records: &[Record], quarantined: Vec<pb::Quarantined>) -> pb::Nodes {
     pb::Nodes { records: records.iter().map(record).collect(), quarantined }
 }
 
@@ -127,7 +127,7 @@
 ///
 /// # Errors
 /// It says what it may not.
-pub fn read_nodes(nodes: &pb::Nodes) -> Result<Vec<Record>, WireError> {
+pub fn decode_nodes(nodes: &pb::Nodes) -> Result<Vec<Record>, WireError> {
     read_records(&nodes.records)
 }
 
--- a/wire/src/gossip.rs
+++ b/wire/src/gossip.rs
@@ -17,7 +17,7 @@
     /// The runners.
     pub runners: Vec<RunnerHash>,
     /// For how long.
-    pub span: Duration,
+    pub duration: Duration,
 }
 
 /// What a datagram carries.
@@ -41,7 +41,7 @@
             }),
             Datagram::Reserve(reserve) => pb::datagram::Body::Reserve(pb::Reserve {
                 runners: reserve.runners.iter().map(|r| r.0).collect(),
-                for_ms: u32::try_from(reserve.span.as_millis()).unwrap_or(u32::MAX),
+                for_ms: u32::try_from(reserve.duration.as_millis()).unwrap_or(u32::MAX),
             }),
         };
         pb::Datagram { body: Some(body) }.encode_to_vec()
@@ -60,7 +60,7 @@
             }
             pb::datagram::Body::Reserve(reserve) => Ok(Datagram::Reserve(Reserve {
                 runners: reserve.runners.into_iter().map(RunnerHash).collect(),
-                span: Duration::from_millis(u64::from(reserve.for_ms)),
+                duration: Duration::from_millis(u64::from(reserve.for_ms)),
             })),
             pb::datagram::Body::Loads(loads) => {
                 let loads = loads.loads.into_iter().map(TryInto::try_into);
--- a/wire/src/limit.rs
+++ b/wire/src/limit.rs
@@ -12,7 +12,7 @@
 const LONGEST_AGE: Duration = Duration::from_secs(86_400);
 
 /// What was announced, for the wire.
-pub fn announced(announced: &Announced) -> pb::RateLimit {
+pub fn encode_limit(announced: &Announced) -> pb::RateLimit {
     pb::RateLimit {
         runner: announced.runner.0,
         rate: announced.rate.map(Rate::per_second),
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// Its rate is none.
-pub fn read_announced(limit: &pb::RateLimit) -> Result<Announced, WireError> {
+pub fn decode_limit(limit: &pb::RateLimit) -> Result<Announced, WireError> {
     let rate = |per_second| Rate::new(per_second).ok_or(WireError::Value("rate"));
     Ok(Announced {
         runner: Tag(limit.runner),
@@ -37,6 +37,6 @@
 ///
 /// # Errors
 /// A rate is none.
-pub fn read_all(limits: &[pb::RateLimit]) -> Result<Vec<Announced>, WireError> {
-    limits.iter().map(read_announced).collect()
+pub fn decode_limits(limits: &[pb::RateLimit]) -> Result<Vec<Announced>, WireError> {
+    limits.iter().map(decode_limit).collect()
 }
--- a/wire/src/load.rs
+++ b/wire/src/load.rs
@@ -12,7 +12,7 @@
 use crate::generated as pb;
 
 /// How many loads go into one datagram, so that it stays below 1,400 bytes.
-pub const LOADS: usize = 24;
+pub const MAX_LOADS_PER_DATAGRAM: usize = 24;
 
 const RUNNER_SEED: u64 = 0x7275_6e6e;
 
--- a/wire/src/quarantine.rs
+++ b/wire/src/quarantine.rs
@@ -24,7 +24,7 @@
 }
 
 /// Entries for the wire.
-pub fn quarantined(entries: &[Entry], now: Instant) -> Vec<pb::Quarantined> {
+pub fn encode_entries(entries: &[Entry], now: Instant) -> Vec<pb::Quarantined> {
     let one = |entry: &Entry| pb::Quarantined {
         request: entry.request.as_bytes().to_vec(),
         serial: entry.serial,
@@ -47,10 +47,7 @@
 ///
 /// # Errors
 /// One says what it may not.
-pub fn read_quarantined(
-    entries: &[pb::Quarantined],
-    now: Instant,
-) -> Result<Vec<Entry>, WireError> {
+pub fn decode_entries(entries: &[pb::Quarantined], now: Instant) -> Result<Vec<Entry>, WireError> {
     let one = |entry: &pb::Quarantined| {
         let request = entry.request.as_slice().try_into();
         Ok(Entry {
--- a/wire/src/schedule.rs
+++ b/wire/src/schedule.rs
@@ -26,13 +26,13 @@
 use crate::limit;
 
 /// The first byte, which is not one of a field's number.
-pub const MARK: u8 = 0;
+pub const DATAGRAM_TYPE: u8 = 0;
 /// The most loads in one report, at up to 41 bytes each.
-pub const MOST_LOADS: usize = 16;
+pub const MAX_LOADS: usize = 16;
 /// The most readings in one report, at up to 25 bytes each.
-pub const MOST_READINGS: usize = 16;
+pub const MAX_READINGS: usize = 16;
 /// The most lessons in one report, at up to 21 bytes each.
-pub const MOST_LESSONS: usize = 12;
+pub const MAX_LESSONS: usize = 12;
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq)]
@@ -129,14 +129,14 @@
             }
             Schedule::Acquire { number, limit } => pb::schedule::Body::Acquire(pb::Acquire {
                 number: *number,
-                limit: Some(limit::announced(limit)),
+                limit: Some(limit::encode_limit(limit)),
             }),
             Schedule::Acquired { number, wait } => {
                 let wait_us = wait.map(micros);
                 pb::schedule::Body::Acquired(pb::Acquired { number: *number, wait_us })
             }
         };
-        let mut bytes = vec![MARK];
+        let mut bytes = vec![DATAGRAM_TYPE];
         let whole = pb::Schedule { body: Some(body) };
         whole.encode(&mut bytes).expect("a vector grows");
         bytes
@@ -147,7 +147,7 @@
     /// # Errors
     /// The bytes are not one, or it says what it may not.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
-        let Some((&MARK, bytes)) = bytes.split_first() else {
+        let Some((&DATAGRAM_TYPE, bytes)) = bytes.split_first() else {
             return Err(WireError::Missing("mark"));
         };
         let whole =
@@ -175,7 +175,7 @@
             }
             pb::schedule::Body::Acquire(acquire) => {
                 let limit = acquire.limit.ok_or(WireError::Missing("limit"))?;
-                let limit = limit::read_announced(&limit)?;
+                let limit = limit::decode_limit(&limit)?;
                 Ok(Schedule::Acquire { number: acquire.number, limit })
             }
             pb::schedule::Body::Acquired(acquired) => {
--- a/wire/src/usage.rs
+++ b/wire/src/usage.rs
@@ -10,7 +10,7 @@
 use crate::fleet as pb;
 
 /// The first byte, which is not one of a field's number.
-pub const MARK: u8 = 1;
+pub const DATAGRAM_TYPE: u8 = 1;
 
 /// What a datagram says.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -46,7 +46,7 @@
                 whole.complete = message.complete.0;
             }
         }
-        let mut bytes = vec![MARK];
+        let mut bytes = vec![DATAGRAM_TYPE];
         whole.encode(&mut bytes).expect("a vector grows");
         bytes
     }
@@ -56,7 +56,7 @@
     /// # Errors
     /// The bytes are not one, or it says what it may not.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
-        let Some((&MARK, bytes)) = bytes.split_first() else {
+        let Some((&DATAGRAM_TYPE, bytes)) = bytes.split_first() else {
             return Err(WireError::Missing("mark"));
         };
         let whole = pb::Usage::decode(bytes).map_err(|e| WireError::Decode(e.to_string()))?;
--- a/wire/tests/beat.rs
+++ b/wire/tests/beat.rs
@@ -13,9 +13,9 @@
 use sardinepick_lib::fleet::suspect::MOST_ENDS;
 use sardinepick_lib::history::{Era, LAST_ERA};
 use sardinepick_lib::id::{ConfigVersion, Incarnation};
-use sardinepick_wire::beat::{Beat, MOST_BYTES, nodes, read_nodes};
+use sardinepick_wire::beat::{Heartbeat, MAX_DATAGRAM_BYTES, decode_nodes, encode_nodes};
 use sardinepick_wire::fleet as pb;
-use sardinepick_wire::quarantine::{quarantined, read_quarantined};
+use sardinepick_wire::quarantine::{decode_entries, encode_entries};
 
 fn record(at: u32) -> Record {
     Record {
@@ -33,8 +33,8 @@
     }
 }
 
-fn beat(records: u32) -> Beat {
-    Beat {
+fn beat(records: u32) -> Heartbeat {
+    Heartbeat {
         sender: record(17),
         status: Status {
             standing: Standing::Ready,
@@ -62,17 +62,17 @@
     let gone = vec!["i-1".to_owned()];
     let news =
         pb::Knowledge { runners: vec![object], gone, mark: 9, since: 8, ..Default::default() };
-    let full = Beat { news: Some(news), ..beat(3) };
-    assert_eq!(Beat::decode(&full.encode(), Era(1)).expect("it is one"), full);
+    let full = Heartbeat { news: Some(news), ..beat(3) };
+    assert_eq!(Heartbeat::decode(&full.encode(), Era(1)).expect("it is one"), full);
     let records = full.records;
-    assert_eq!(read_nodes(&nodes(&records, Vec::new())).expect("they are nodes"), records);
+    assert_eq!(decode_nodes(&encode_nodes(&records, Vec::new())).expect("they are nodes"), records);
 }
 
 /// Symptom: a node is never heard. Cause: its beat is larger than a packet.
 #[test]
 fn encode_full_beat_one_packet() {
     let length = beat(MOST_RECORDS as u32).encode().len();
-    assert!(length <= MOST_BYTES, "{length}");
+    assert!(length <= MAX_DATAGRAM_BYTES, "{length}");
 }
 
 fn entry(n: u64, now: Instant) -> Entry {
@@ -93,25 +93,25 @@
 fn read_quarantined_full_beat_round_trip() {
     let now = Instant::now() + Duration::from_secs(86_400);
     let entries: Vec<Entry> = (0..MOST_TOLD as u64).map(|n| entry(n, now)).collect();
-    let full = Beat { quarantined: quarantined(&entries, now), ..beat(0) };
+    let full = Heartbeat { quarantined: encode_entries(&entries, now), ..beat(0) };
     let bytes = full.encode();
-    assert!(bytes.len() <= MOST_BYTES, "{}", bytes.len());
-    let read = Beat::decode(&bytes, Era(1)).expect("it is one");
-    assert_eq!(read_quarantined(&read.quarantined, now).expect("they are entries"), entries);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
+    let read = Heartbeat::decode(&bytes, Era(1)).expect("it is one");
+    assert_eq!(decode_entries(&read.quarantined, now).expect("they are entries"), entries);
 }
 
 #[test]
 fn read_quarantined_absurd_not_taken() {
     let now = Instant::now();
-    let good = quarantined(&[entry(1, now + Duration::from_secs(86_400))], now).remove(0);
+    let good = encode_entries(&[entry(1, now + Duration::from_secs(86_400))], now).remove(0);
     let short = pb::Quarantined { request: vec![1; 15], ..good.clone() };
     let stage = pb::Quarantined { stage: 9, ..good.clone() };
     for absurd in [short, stage] {
-        assert!(read_quarantined(&[absurd], now).is_err());
+        assert!(decode_entries(&[absurd], now).is_err());
     }
     let old = pb::Quarantined { first_ms: u64::MAX, since_ms: u64::MAX, ..good.clone() };
     let many = pb::Quarantined { ends: vec![1; 10_000], ..good };
-    let read = read_quarantined(&[old, many], now).expect("they are bounded");
+    let read = decode_entries(&[old, many], now).expect("they are bounded");
     assert!(read.iter().all(|entry| entry.ends.len() <= MOST_ENDS && entry.since <= now));
 }
 
@@ -124,10 +124,10 @@
         age: Duration::from_millis(80_000_000),
     };
     let leaving = (0..16).map(|n| Tag(u64::MAX - n)).collect();
-    let full = Beat { limits: (0..16).map(limit).collect(), leaving, ..beat(0) };
+    let full = Heartbeat { limits: (0..16).map(limit).collect(), leaving, ..beat(0) };
     let bytes = full.encode();
-    assert!(bytes.len() <= MOST_BYTES, "{}", bytes.len());
-    assert_eq!(Beat::decode(&bytes, Era(1)).expect("it is one"), full);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
+    assert_eq!(Heartbeat::decode(&bytes, Era(1)).expect("it is one"), full);
 }
 
 #[test]
@@ -136,14 +136,14 @@
         let limit = pb::RateLimit { runner: 1, rate: Some(rate), age_ms: u64::MAX };
         let sent = pb::Beat::decode(&beat(0).encode()[..]).expect("it is one");
         let sent = pb::Beat { rate_limits: vec![limit], ..sent };
-        assert!(Beat::decode(&sent.encode_to_vec(), Era(1)).is_err(), "{rate}");
+        assert!(Heartbeat::decode(&sent.encode_to_vec(), Era(1)).is_err(), "{rate}");
     }
 }
 
 proptest! {
     #[test]
     fn decode_any_bytes_no_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = Beat::decode(&bytes, Era(1));
+        let _ = Heartbeat::decode(&bytes, Era(1));
     }
 }
 
@@ -152,7 +152,7 @@
 #[test]
 fn decode_era_absent_or_absurd() {
     let sent = pb::Beat::decode(&*beat(0).encode()).expect("it is one");
-    let read = |era| Beat::decode(&pb::Beat { era, ..sent.clone() }.encode_to_vec(), Era(7));
+    let read = |era| Heartbeat::decode(&pb::Beat { era, ..sent.clone() }.encode_to_vec(), Era(7));
     let era = |era| read(era).expect("it is one").status.register.era;
     assert_eq!((era(None), era(Some(0)), era(Some(8))), (Era(7), Era(0), Era(8)));
     assert!(read(Some(LAST_ERA.0 + 1)).is_err());
@@ -164,7 +164,7 @@
     let length = |era| {
         let register = Mark { era: Era(era), order: 1 << 24 };
         let status = Status { register, ..beat(0).status };
-        Beat { status, ..beat(0) }.encode().len()
+        Heartbeat { status, ..beat(0) }.encode().len()
     };
     let without = pb::Beat { era: None, ..pb::Beat::decode(&*beat(0).encode()).expect("one") };
     let register = pb::Beat { register: 1 << 24, ..without };
--- a/wire/tests/schedule.rs
+++ b/wire/tests/schedule.rs
@@ -17,8 +17,8 @@
 use sardinepick_lib::fleet::suspect::{End, Reach};
 use sardinepick_lib::history::Era;
 use sardinepick_lib::id::RunnerId;
-use sardinepick_wire::beat::{Beat, MOST_BYTES};
-use sardinepick_wire::schedule::{MOST_LESSONS, MOST_LOADS, MOST_READINGS, Report, Schedule};
+use sardinepick_wire::beat::{Heartbeat, MAX_DATAGRAM_BYTES};
+use sardinepick_wire::schedule::{MAX_LESSONS, MAX_LOADS, MAX_READINGS, Report, Schedule};
 
 fn runner(name: &str) -> RunnerId {
     name.parse().expect("an id")
@@ -55,17 +55,17 @@
     let lesson = Lesson::Reading { predicted: 0.5, reading: 0.125, seen: 0.25 };
     Report {
         node: "edge-zaal-hofvijver-17".parse().expect("an id"),
-        loads: (0..MOST_LOADS as u64).map(|n| (Tag(n), load)).collect(),
-        readings: (0..MOST_READINGS as u64).map(reading).collect(),
-        lessons: (0..MOST_LESSONS as u64).map(|n| (Tag(n), lesson)).collect(),
+        loads: (0..MAX_LOADS as u64).map(|n| (Tag(n), load)).collect(),
+        readings: (0..MAX_READINGS as u64).map(reading).collect(),
+        lessons: (0..MAX_LESSONS as u64).map(|n| (Tag(n), lesson)).collect(),
     }
 }
 
 fn round_trip(schedule: &Schedule) {
     let bytes = schedule.encode();
-    assert!(bytes.len() <= MOST_BYTES, "{} bytes", bytes.len());
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
     assert_eq!(Schedule::decode(&bytes).expect("it is one"), *schedule);
-    assert!(Beat::decode(&bytes, Era(1)).is_err(), "a node that knows beats alone drops it");
+    assert!(Heartbeat::decode(&bytes, Era(1)).is_err(), "a node that knows beats alone drops it");
 }
 
 #[test]
