--- a/node/src/serve/beat.rs
+++ b/node/src/serve/beat.rs
@@ -69,7 +69,7 @@
         let told = news.is_some();
         if told {
             let some = watchers.iter().copied().sample(&mut *shared.rng(), NEWS_WATCHERS);
-            let told = Heartbeat { news, records: Vec::new(), ..beat.clone() };
+            let told = Heartbeat { register_update: news, records: Vec::new(), ..beat.clone() };
             beat_all(&shared, &socket, &told, &some).await;
         }
         let quarantined = quarantine::news::next(&shared);
@@ -87,7 +87,7 @@
             beat_all(&shared, &socket, &beat, &watchers).await;
         }
         beat.records.clear();
-        beat.answer = true;
+        beat.wants_reply = true;
         beat_all(&shared, &socket, &beat, &asked).await;
         look_after(&shared);
         sleep(TOGETHER).await;
@@ -129,12 +129,12 @@
     Heartbeat {
         sender: roster.me().clone(),
         status,
-        answer: false,
-        away: shared.away(),
-        digest: roster.digest(),
+        wants_reply: false,
+        switching: shared.away(),
+        roster_digest: roster.digest(),
         records: Vec::new(),
-        news: None,
-        quarantine: quarantine::news::digest(shared),
+        register_update: None,
+        quarantine_digest: quarantine::news::digest(shared),
         quarantined: Vec::new(),
         time: Some(shared.usage.time_at(shared.clock.now())),
         limits: Vec::new(),
@@ -173,7 +173,7 @@
 
 /// Asks nodes for a beat.
 pub async fn ask(shared: &Shared, socket: &UdpSocket, targets: &[SocketAddr]) {
-    let beat = Heartbeat { answer: true, ..beat(shared, shared.status()) };
+    let beat = Heartbeat { wants_reply: true, ..beat(shared, shared.status()) };
     beat_all(shared, socket, &beat, targets).await;
 }
 
@@ -217,7 +217,7 @@
         take_records(&mut roster, std::slice::from_ref(&told.sender), now);
         roster.take_beat(&told.sender, told.status, now);
         take_records(&mut roster, &told.records, now);
-        let differs = roster.note_digest(&told.sender.contact.id, told.digest, now);
+        let differs = roster.note_digest(&told.sender.contact.id, told.roster_digest, now);
         let mistaken = roster.is_mistaken(&told.sender).cloned();
         (roster.has_news(), mistaken, differs)
     };
@@ -225,15 +225,16 @@
     if let Some(time) = told.time {
         shared.usage.note_time(&told.sender.contact.id, time, now);
     }
-    shared.register().reserve(&told.away, now + RESERVED);
-    if let Some(news) = &told.news {
+    shared.register().reserve(&told.switching, now + RESERVED);
+    if let Some(news) = &told.register_update {
         peer::take_news(shared, news);
     }
     quarantine::news::take(shared, &told.quarantined, told.sender.contact.id.as_str());
     shared.limiter.take(&told.limits, told.sender.contact.id.as_str());
     shared.drains.take(&told.leaving, told.sender.contact.id.as_str());
     let differs =
-        quarantine::news::note_digest(shared, &told.sender.contact.id, told.quarantine) || differs;
+        quarantine::news::note_digest(shared, &told.sender.contact.id, told.quarantine_digest)
+            || differs;
     let mine = shared.status();
     if told.status.register > mine.register || told.status.version > mine.version {
         shared.note_behind();
@@ -244,7 +245,7 @@
     if differs {
         tokio::spawn(join::compare(shared.clone(), told.sender.contact.peer));
     }
-    if told.answer || mistaken.is_some() {
+    if told.wants_reply || mistaken.is_some() {
         // Whoever asks may know nobody else yet.
         let mut records = shared.roster().some(&mut *shared.rng());
         records.extend(mistaken);
--- a/wire/src/beat.rs
+++ b/wire/src/beat.rs
@@ -26,17 +26,17 @@
     /// How it stands and what it knows.
     pub status: Status,
     /// Whether it wants a beat at once.
-    pub answer: bool,
+    pub wants_reply: bool,
     /// Runners that are on their way to another stage, by the sender's orders.
-    pub away: Vec<Tag>,
+    pub switching: Vec<Tag>,
     /// A digest of the nodes that it knows to be there.
-    pub digest: u64,
+    pub roster_digest: u64,
     /// What it has newly heard of other nodes.
     pub records: Vec<Record>,
     /// What has newly changed in the register of runners.
-    pub news: Option<pb::Knowledge>,
+    pub register_update: Option<pb::Knowledge>,
     /// A digest of the requests that it knows not to be run; nought where there are none.
-    pub quarantine: u64,
+    pub quarantine_digest: u64,
     /// What it has newly heard of such requests.
     pub quarantined: Vec<pb::Quarantined>,
     /// What it takes for the true time, since the start of 1970; none if it does not say.
@@ -64,12 +64,12 @@
             version: self.status.version.0,
             register: self.status.register.order,
             era: Some(self.status.register.era.0),
-            answer: self.answer,
-            away: self.away.iter().map(|tag| tag.0).collect(),
-            digest: self.digest,
+            answer: self.wants_reply,
+            away: self.switching.iter().map(|tag| tag.0).collect(),
+            digest: self.roster_digest,
             records: self.records.iter().map(record).collect(),
-            news: self.news.clone(),
-            quarantine: self.quarantine,
+            news: self.register_update.clone(),
+            quarantine: self.quarantine_digest,
             quarantined: self.quarantined.clone(),
             time_ms: self.time.map_or(0, |time| u64::try_from(time.as_millis()).unwrap_or(0)),
             leaving: self.leaving.iter().map(|tag| tag.0).collect(),
@@ -104,12 +104,12 @@
         Ok(Self {
             sender,
             status,
-            answer: beat.answer,
-            away: beat.away.into_iter().map(Tag).collect(),
-            digest: beat.digest,
+            wants_reply: beat.answer,
+            switching: beat.away.into_iter().map(Tag).collect(),
+            roster_digest: beat.digest,
             records: read_records(&beat.records)?,
-            news: beat.news,
-            quarantine: beat.quarantine,
+            register_update: beat.news,
+            quarantine_digest: beat.quarantine,
             quarantined: beat.quarantined,
             time: (beat.time_ms > 0).then(|| Duration::from_millis(beat.time_ms)),
             leaving: beat.leaving.into_iter().map(Tag).collect(),
--- a/wire/tests/beat.rs
+++ b/wire/tests/beat.rs
@@ -42,12 +42,12 @@
             register: Mark { era: LAST_ERA, order: 1 << 56 },
             served: true,
         },
-        answer: true,
-        away: vec![Tag(1), Tag(2)],
-        digest: u64::MAX,
+        wants_reply: true,
+        switching: vec![Tag(1), Tag(2)],
+        roster_digest: u64::MAX,
         records: (0..records).map(|at| record(100 + at)).collect(),
-        news: None,
-        quarantine: u64::MAX,
+        register_update: None,
+        quarantine_digest: u64::MAX,
         quarantined: Vec::new(),
         limits: Vec::new(),
         leaving: Vec::new(),
@@ -62,7 +62,7 @@
     let gone = vec!["i-1".to_owned()];
     let news =
         pb::Knowledge { runners: vec![object], gone, mark: 9, since: 8, ..Default::default() };
-    let full = Heartbeat { news: Some(news), ..beat(3) };
+    let full = Heartbeat { register_update: Some(news), ..beat(3) };
     assert_eq!(Heartbeat::decode(&full.encode(), Era(1)).expect("it is one"), full);
     let records = full.records;
     assert_eq!(decode_nodes(&encode_nodes(&records, Vec::new())).expect("they are nodes"), records);
