--- a/node/src/serve/copy.rs
+++ b/node/src/serve/copy.rs
@@ -16,7 +16,7 @@
 use sardinepick_lib::id::ConfigVersion;
 use sardinepick_platform::store::Object;
 use sardinepick_wire::fleet as pb;
-use sardinepick_wire::mark::read_point;
+use sardinepick_wire::mark::decode_point;
 use smol_str::SmolStr;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep};
@@ -228,7 +228,7 @@
         }
     };
     let was = shared.status().version;
-    let at = match read_point(end.revision, end.era, shared.history.era()) {
+    let at = match decode_point(end.revision, end.era, shared.history.era()) {
         Ok(at) => at,
         Err(error) => {
             log::error!(revision = end.revision, error:% = error; "copy is not taken");
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -19,7 +19,7 @@
 use sardinepick_wire::fleet as pb;
 use sardinepick_wire::fleet::fleet_server::{Fleet, FleetServer};
 use sardinepick_wire::limit::{decode_limits, encode_limit};
-use sardinepick_wire::mark::{read_mark, read_point};
+use sardinepick_wire::mark::{decode_mark, decode_point};
 use smol_str::SmolStr;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -62,7 +62,7 @@
 /// Reads an object of a message of an era.
 fn from_wire(object: pb::Object, era: Era) -> Result<Object, WireError> {
     Ok(Object {
-        at: read_point(object.revision, object.era, era)?,
+        at: decode_point(object.revision, object.era, era)?,
         name: SmolStr::new(object.name),
         content: object.content.into(),
     })
@@ -121,7 +121,7 @@
     parts: &Parts<pb::Knowledge>,
 ) -> Result<(), Disconnected> {
     let known = shared.knowledge().mark();
-    let mark = read_mark(asked.mark, asked.era, known.era).unwrap_or_else(|error| {
+    let mark = decode_mark(asked.mark, asked.era, known.era).unwrap_or_else(|error| {
         log::warn!(node = asked.node, error:% = error; "mark of a node is not taken");
         Mark::default()
     });
@@ -177,8 +177,8 @@
         let knowledge = shared.knowledge();
         (knowledge.mark(), knowledge.is_known())
     };
-    let mark = read_mark(news.mark, news.era, mine.era)?;
-    let since = read_mark(news.since, news.since_era, mark.era)?;
+    let mark = decode_mark(news.mark, news.era, mine.era)?;
+    let since = decode_mark(news.since, news.since_era, mark.era)?;
     if !is_known || news.whole || since > mine || mine >= mark {
         return Ok(None);
     }
@@ -324,7 +324,7 @@
             return Reply::referral(address, peer, shared.me.peer);
         }
         bytes += part.runners.iter().map(|object| object.content.len()).sum::<usize>();
-        let mark = read_mark(part.mark, part.era, mine.era).map_err(malformed)?;
+        let mark = decode_mark(part.mark, part.era, mine.era).map_err(malformed)?;
         for object in part.runners {
             told.entries.push(from_wire(object, mark.era).map_err(malformed)?);
         }
--- a/wire/src/beat.rs
+++ b/wire/src/beat.rs
@@ -13,7 +13,7 @@
 use crate::error::WireError;
 use crate::fleet as pb;
 use crate::limit;
-use crate::mark::read_mark;
+use crate::mark::decode_mark;
 
 /// The most bytes of a beat, so that it travels in one packet.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
@@ -98,7 +98,7 @@
         let status = Status {
             standing: sender.standing,
             version: ConfigVersion(beat.version),
-            register: read_mark(beat.register, beat.era, present)?,
+            register: decode_mark(beat.register, beat.era, present)?,
             served: sender.served,
         };
         Ok(Self {
--- a/wire/src/mark.rs
+++ b/wire/src/mark.rs
@@ -9,7 +9,7 @@
 ///
 /// # Errors
 /// It is larger than any that is believed.
-pub fn read_era(era: Option<u32>, present: Era) -> Result<Era, WireError> {
+pub fn decode_era(era: Option<u32>, present: Era) -> Result<Era, WireError> {
     let era = era.map_or(present, Era);
     if era > LAST_ERA { Err(WireError::Value("era")) } else { Ok(era) }
 }
@@ -18,14 +18,14 @@
 ///
 /// # Errors
 /// Its era is not believed.
-pub fn read_mark(order: u64, era: Option<u32>, present: Era) -> Result<Mark, WireError> {
-    Ok(Mark { era: read_era(era, present)?, order })
+pub fn decode_mark(order: u64, era: Option<u32>, present: Era) -> Result<Mark, WireError> {
+    Ok(Mark { era: decode_era(era, present)?, order })
 }
 
 /// Reads a point by its revision and its era.
 ///
 /// # Errors
 /// Its era is not believed.
-pub fn read_point(revision: u64, era: Option<u32>, present: Era) -> Result<Point, WireError> {
-    Ok(Point::new(read_era(era, present)?, revision))
+pub fn decode_point(revision: u64, era: Option<u32>, present: Era) -> Result<Point, WireError> {
+    Ok(Point::new(decode_era(era, present)?, revision))
 }
