--- a/wire/src/beat.rs
+++ b/wire/src/beat.rs
@@ -1,4 +1,4 @@
-//! Beats: the datagrams by which nodes that serve together know of each other.
+//! Heartbeats: the datagrams by which the nodes of a deployment know of each other.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -15,42 +15,42 @@
 use crate::limit;
 use crate::mark::decode_mark;
 
-/// The most bytes of a beat, so that it travels in one packet.
+/// The maximum size of a datagram, so that it fits into one packet.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// One beat.
+/// A heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// What the sender says of itself.
+    /// The sender's own membership record.
     pub sender: Record,
-    /// How it stands and what it knows.
+    /// The sender's status and the versions it has.
     pub status: Status,
-    /// Whether it wants a beat at once.
+    /// Whether the sender asks for an immediate heartbeat in return.
     pub wants_reply: bool,
-    /// Runners that are on their way to another stage, by the sender's orders.
+    /// Runners that are switching stage by orders of the sender.
     pub switching: Vec<Tag>,
-    /// A digest of the nodes that it knows to be there.
+    /// A digest of the nodes that the sender considers present.
     pub roster_digest: u64,
-    /// What it has newly heard of other nodes.
+    /// Records of other nodes that the sender has recently received.
     pub records: Vec<Record>,
-    /// What has newly changed in the register of runners.
+    /// Recent changes to the register of runners.
     pub register_update: Option<pb::Knowledge>,
-    /// A digest of the requests that it knows not to be run; nought where there are none.
+    /// A digest of the sender's quarantined requests, or 0 if there are none.
     pub quarantine_digest: u64,
-    /// What it has newly heard of such requests.
+    /// Quarantine entries that the sender has recently received.
     pub quarantined: Vec<pb::Quarantined>,
-    /// What it takes for the true time, since the start of 1970; none if it does not say.
+    /// The sender's estimate of the true time since the Unix epoch, if any.
     pub time: Option<Duration>,
-    /// What it has heard of rate limits of runners.
+    /// Rate limits announced by runners.
     pub limits: Vec<Announced>,
-    /// Runners that it has heard say in an answer that they leave.
+    /// Runners that have announced in a response that they are leaving.
     pub leaving: Vec<Tag>,
 }
 
 impl Heartbeat {
-    /// The beat as bytes.
+    /// Encodes the heartbeat as a datagram.
     pub fn encode(&self) -> Vec<u8> {
-        let sender = record(&self.sender);
+        let sender = encode_record(&self.sender);
         let contact = &self.sender.contact;
         let beat = pb::Beat {
             node: sender.node,
@@ -67,7 +67,7 @@
             answer: self.wants_reply,
             away: self.switching.iter().map(|tag| tag.0).collect(),
             digest: self.roster_digest,
-            records: self.records.iter().map(record).collect(),
+            records: self.records.iter().map(encode_record).collect(),
             news: self.register_update.clone(),
             quarantine: self.quarantine_digest,
             quarantined: self.quarantined.clone(),
@@ -78,18 +78,18 @@
         beat.encode_to_vec()
     }
 
-    /// Reads a beat. One that names no era is taken to be of the `present` one.
+    /// Decodes a datagram. A heartbeat without an era is assumed to be of the era `present`.
     ///
     /// # Errors
-    /// The bytes are not one, or it says what it may not.
+    /// The bytes are not a heartbeat, or a field is invalid.
     pub fn decode(bytes: &[u8], present: Era) -> Result<Self, WireError> {
         let beat = pb::Beat::decode(bytes).map_err(|error| WireError::Decode(error.to_string()))?;
-        let sender = read_record(&pb::Record {
+        let sender = decode_record(&pb::Record {
             node: beat.node,
             incarnation: beat.incarnation,
             data_centre: beat.data_centre,
-            front: parsed(&beat.front, "front")?,
-            peer: parsed(&beat.peer, "peer")?,
+            front: address_from_text(&beat.front, "front")?,
+            peer: address_from_text(&beat.peer, "peer")?,
             standing: beat.standing,
             served: beat.served,
             serial: beat.serial,
@@ -107,7 +107,7 @@
             wants_reply: beat.answer,
             switching: beat.away.into_iter().map(Tag).collect(),
             roster_digest: beat.digest,
-            records: read_records(&beat.records)?,
+            records: decode_records(&beat.records)?,
             register_update: beat.news,
             quarantine_digest: beat.quarantine,
             quarantined: beat.quarantined,
@@ -118,25 +118,25 @@
     }
 }
 
-/// A list of nodes for the wire, and of requests that are not run.
+/// Encodes a list of nodes, together with quarantined requests.
 pub fn encode_nodes(records: &[Record], quarantined: Vec<pb::Quarantined>) -> pb::Nodes {
-    pb::Nodes { records: records.iter().map(record).collect(), quarantined }
+    pb::Nodes { records: records.iter().map(encode_record).collect(), quarantined }
 }
 
-/// Reads a list of nodes.
+/// Decodes a list of nodes.
 ///
 /// # Errors
-/// It says what it may not.
+/// A record is invalid.
 pub fn decode_nodes(nodes: &pb::Nodes) -> Result<Vec<Record>, WireError> {
-    read_records(&nodes.records)
+    decode_records(&nodes.records)
 }
 
-/// An address that a beat names as text, as a record names it.
-fn parsed(text: &str, what: &'static str) -> Result<Vec<u8>, WireError> {
-    text.parse().map(address).map_err(|_| WireError::Value(what))
+/// Converts an address from its text form in a heartbeat to the binary form of a record.
+fn address_from_text(text: &str, what: &'static str) -> Result<Vec<u8>, WireError> {
+    text.parse().map(encode_address).map_err(|_| WireError::Value(what))
 }
 
-fn address(address: SocketAddr) -> Vec<u8> {
+fn encode_address(address: SocketAddr) -> Vec<u8> {
     let mut bytes = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
         IpAddr::V6(ip) => ip.octets().to_vec(),
@@ -145,7 +145,7 @@
     bytes
 }
 
-fn read_address(bytes: &[u8]) -> Option<SocketAddr> {
+fn decode_address(bytes: &[u8]) -> Option<SocketAddr> {
     let (ip, port) = bytes.split_last_chunk::<2>()?;
     let ip = match ip.len() {
         4 => IpAddr::from(<[u8; 4]>::try_from(ip).ok()?),
@@ -155,11 +155,11 @@
     Some(SocketAddr::new(ip, u16::from_be_bytes(*port)))
 }
 
-fn read_records(records: &[pb::Record]) -> Result<Vec<Record>, WireError> {
-    records.iter().map(read_record).collect()
+fn decode_records(records: &[pb::Record]) -> Result<Vec<Record>, WireError> {
+    records.iter().map(decode_record).collect()
 }
 
-fn record(record: &Record) -> pb::Record {
+fn encode_record(record: &Record) -> pb::Record {
     let contact = &record.contact;
     let standing = match record.standing {
         Standing::Starting => pb::Standing::Starting,
@@ -170,8 +170,8 @@
         node: contact.id.to_string(),
         incarnation: contact.incarnation.0,
         data_centre: contact.data_centre.to_string(),
-        front: address(contact.front),
-        peer: address(contact.peer),
+        front: encode_address(contact.front),
+        peer: encode_address(contact.peer),
         standing: standing.into(),
         served: record.served,
         serial: record.serial,
@@ -179,15 +179,15 @@
     }
 }
 
-fn read_record(record: &pb::Record) -> Result<Record, WireError> {
+fn decode_record(record: &pb::Record) -> Result<Record, WireError> {
     let data_centre = record.data_centre.as_str().try_into();
     Ok(Record {
         contact: Contact {
             id: record.node.as_str().try_into().map_err(|_| WireError::Value("node"))?,
             incarnation: Incarnation(record.incarnation),
             data_centre: data_centre.map_err(|_| WireError::Value("data centre"))?,
-            front: read_address(&record.front).ok_or(WireError::Value("front"))?,
-            peer: read_address(&record.peer).ok_or(WireError::Value("peer"))?,
+            front: decode_address(&record.front).ok_or(WireError::Value("front"))?,
+            peer: decode_address(&record.peer).ok_or(WireError::Value("peer"))?,
         },
         standing: match record.standing() {
             pb::Standing::Starting => Standing::Starting,
--- a/wire/src/claim.rs
+++ b/wire/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of request keys.
+//! Conversion of claims of idempotency keys.
 
 use sardinepick_lib::claim::{Answer, Claim, Claimant, Doubt, Outcome, Verdict};
 use sardinepick_lib::id::{Attempt, Incarnation, Version};
--- a/wire/src/error.rs
+++ b/wire/src/error.rs
@@ -1,17 +1,17 @@
-//! Why a message from another node is not taken.
+//! Errors in messages from other nodes.
 
 use thiserror::Error;
 
-/// A message that does not say what it should.
+/// A malformed message.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum WireError {
-    /// The bytes are not a message.
-    #[error("the bytes are not a message: {0}")]
+    /// The bytes are not a valid message.
+    #[error("cannot decode message: {0}")]
     Decode(String),
-    /// A part of the message is missing.
-    #[error("the message lacks {0}")]
+    /// A required part of the message is missing.
+    #[error("message without {0}")]
     Missing(&'static str),
-    /// A part of the message has a value that it may not have.
-    #[error("the message has a wrong {0}")]
+    /// A part of the message has an invalid value.
+    #[error("message with invalid {0}")]
     Value(&'static str),
 }
--- a/wire/src/gossip.rs
+++ b/wire/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams of the membership.
+//! Datagrams of the membership protocol.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,28 +11,29 @@
 use crate::generated as pb;
 use crate::load::RunnerHash;
 
-/// Runners that get no new work for a while, as they are about to be away for a planned change.
+/// Runners that get no new work for a while, because they are about to become unavailable for a
+/// planned change.
 #[derive(Clone, Debug)]
 pub struct Reserve {
-    /// The runners.
+    /// The hashes of the runners' names.
     pub runners: Vec<RunnerHash>,
-    /// For how long.
+    /// How long the runners get no new work.
     pub duration: Duration,
 }
 
-/// What a datagram carries.
+/// The content of a datagram.
 #[derive(Clone, Debug)]
 pub enum Datagram {
-    /// A message of the membership.
+    /// A message of the membership protocol.
     Gossip(Box<Message>),
-    /// Loads of runners.
+    /// The loads of runners.
     Loads(Vec<crate::load::Load>),
     /// Runners that get no new work for a while.
     Reserve(Reserve),
 }
 
 impl Datagram {
-    /// The datagram as bytes.
+    /// Encodes the datagram.
     pub fn encode(&self) -> Vec<u8> {
         let body = match self {
             Datagram::Gossip(message) => pb::datagram::Body::Gossip(message.as_ref().into()),
@@ -47,10 +48,10 @@
         pb::Datagram { body: Some(body) }.encode_to_vec()
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// The bytes are not one, or it says what it may not.
+    /// The bytes are not a datagram, or a field is invalid.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         let datagram =
             pb::Datagram::decode(bytes).map_err(|error| WireError::Decode(error.to_string()))?;
@@ -70,11 +71,11 @@
     }
 }
 
-fn name(text: &str) -> Result<Name, WireError> {
+fn decode_name(text: &str) -> Result<Name, WireError> {
     text.parse().map_err(|_| WireError::Value("name"))
 }
 
-fn address(text: &str) -> Result<SocketAddr, WireError> {
+fn decode_address(text: &str) -> Result<SocketAddr, WireError> {
     text.parse().map_err(|_| WireError::Value("address"))
 }
 
@@ -98,15 +99,15 @@
     fn try_from(update: pb::Update) -> Result<Self, WireError> {
         let state = u8::try_from(update.state).ok().and_then(State::from_repr);
         Ok(Self {
-            name: name(&update.name)?,
+            name: decode_name(&update.name)?,
             incarnation: Incarnation(update.incarnation),
             serial: update.serial,
             state: state.ok_or(WireError::Value("state"))?,
             addresses: Addresses {
-                peer: address(&update.peer_address)?,
-                front: address(&update.front_address)?,
+                peer: decode_address(&update.peer_address)?,
+                front: decode_address(&update.front_address)?,
             },
-            data_centre: name(&update.data_centre)?,
+            data_centre: decode_name(&update.data_centre)?,
         })
     }
 }
@@ -144,15 +145,15 @@
             pb::Purpose::Ack => Purpose::Ack,
             pb::Purpose::News => Purpose::News,
             pb::Purpose::Relay => Purpose::Relay {
-                target: name(&gossip.relay_target)?,
-                address: address(&gossip.relay_address)?,
+                target: decode_name(&gossip.relay_target)?,
+                address: decode_address(&gossip.relay_address)?,
             },
             pb::Purpose::Unspecified => return Err(WireError::Missing("purpose")),
         };
         Ok(Self {
             purpose,
             sequence: gossip.sequence,
-            from: name(&gossip.from)?,
+            from: decode_name(&gossip.from)?,
             status: Status {
                 generation: Generation(gossip.generation),
                 table: Version(gossip.table),
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -1,12 +1,12 @@
-//! Messages between the nodes of sardinepick, and their conversion to and from the core's types.
+//! Messages between nodes, and their conversion to and from the types of the core.
 
-/// The code generated from `proto/peer.proto`.
+/// Code generated from `proto/peer.proto`.
 #[allow(clippy::all, clippy::pedantic, missing_docs)]
 pub mod generated {
     include!("generated/sardinepick.wire.rs");
 }
 
-/// The code generated from `proto/fleet.proto`.
+/// Code generated from `proto/fleet.proto`.
 #[allow(clippy::all, clippy::pedantic, missing_docs)]
 pub mod fleet {
     include!("generated/sardinepick.fleet.rs");
--- a/wire/src/limit.rs
+++ b/wire/src/limit.rs
@@ -1,4 +1,4 @@
-//! What runners announce of themselves, on the wire.
+//! Conversion of rate limits that runners announce.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use crate::error::WireError;
 use crate::fleet as pb;
 
-/// The longest time since an announcement that is believed; sums of such times stay in range.
-const LONGEST_AGE: Duration = Duration::from_secs(86_400);
+/// The maximum accepted age of an announcement, which keeps sums of ages in range.
+const MAX_AGE: Duration = Duration::from_secs(86_400);
 
-/// What was announced, for the wire.
+/// Encodes an announced rate limit.
 pub fn encode_limit(announced: &Announced) -> pb::RateLimit {
     pb::RateLimit {
         runner: announced.runner.0,
@@ -20,23 +20,23 @@
     }
 }
 
-/// Reads what was announced.
+/// Decodes an announced rate limit.
 ///
 /// # Errors
-/// Its rate is none.
+/// The rate is invalid.
 pub fn decode_limit(limit: &pb::RateLimit) -> Result<Announced, WireError> {
     let rate = |per_second| Rate::new(per_second).ok_or(WireError::Value("rate"));
     Ok(Announced {
         runner: Tag(limit.runner),
         rate: limit.rate.map(rate).transpose()?,
-        age: Duration::from_millis(limit.age_ms).min(LONGEST_AGE),
+        age: Duration::from_millis(limit.age_ms).min(MAX_AGE),
     })
 }
 
-/// Reads several.
+/// Decodes several announced rate limits.
 ///
 /// # Errors
-/// A rate is none.
+/// A rate is invalid.
 pub fn decode_limits(limits: &[pb::RateLimit]) -> Result<Vec<Announced>, WireError> {
     limits.iter().map(decode_limit).collect()
 }
--- a/wire/src/load.rs
+++ b/wire/src/load.rs
@@ -1,4 +1,4 @@
-//! Loads of runners as one node has observed them for others.
+//! Loads of runners that a node has observed and shares with other nodes.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 use crate::error::WireError;
 use crate::generated as pb;
 
-/// How many loads go into one datagram, so that it stays below 1,400 bytes.
+/// The maximum number of loads in a datagram, which keeps it below 1,400 bytes.
 pub const MAX_LOADS_PER_DATAGRAM: usize = 24;
 
-const RUNNER_SEED: u64 = 0x7275_6e6e;
+const RUNNER_HASH_SEED: u64 = 0x7275_6e6e;
 
-/// The hash by which loads name a runner.
+/// The hash of a runner's name, by which loads identify the runner.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RunnerHash(pub u64);
 
 impl From<&Name> for RunnerHash {
     fn from(name: &Name) -> Self {
-        Self(place(RUNNER_SEED, name.as_str().as_bytes()))
+        Self(place(RUNNER_HASH_SEED, name.as_str().as_bytes()))
     }
 }
 
@@ -31,7 +31,7 @@
 pub struct Load {
     /// The runner.
     pub runner: RunnerHash,
-    /// How long ago it was true when it was sent.
+    /// The age of the report when it was sent.
     pub age: Duration,
     /// The runner's report.
     pub report: Report,
--- a/wire/src/quarantine.rs
+++ b/wire/src/quarantine.rs
@@ -1,6 +1,6 @@
-//! What nodes tell each other of requests that are not run.
+//! Conversion of quarantine entries.
 //!
-//! Times go as ages, since clocks differ.
+//! Times are sent as ages, because the clocks of nodes differ.
 
 use std::time::{Duration, Instant};
 
@@ -11,21 +11,22 @@
 use crate::error::WireError;
 use crate::fleet as pb;
 
-/// The longest age that is told, in milliseconds: ten days.
-const LONGEST: u64 = 864_000_000;
+/// The maximum age that is sent: ten days.
+const MAX_AGE_MS: u64 = 864_000_000;
 
-fn age(of: Instant, now: Instant) -> u64 {
-    u64::try_from(now.saturating_duration_since(of).as_millis()).unwrap_or(u64::MAX).min(LONGEST)
+fn age_ms(of: Instant, now: Instant) -> u64 {
+    u64::try_from(now.saturating_duration_since(of).as_millis()).unwrap_or(u64::MAX).min(MAX_AGE_MS)
 }
 
-/// When something was that is so old; now, on a machine that has not run for so long.
-fn before(now: Instant, age: u64) -> Instant {
-    now.checked_sub(Duration::from_millis(age.min(LONGEST))).unwrap_or(now)
+/// The time that lies `age_ms` milliseconds before `now`, or `now` if the machine has not
+/// been up for so long.
+fn instant_before(now: Instant, age_ms: u64) -> Instant {
+    now.checked_sub(Duration::from_millis(age_ms.min(MAX_AGE_MS))).unwrap_or(now)
 }
 
-/// Entries for the wire.
+/// Encodes quarantine entries.
 pub fn encode_entries(entries: &[Entry], now: Instant) -> Vec<pb::Quarantined> {
-    let one = |entry: &Entry| pb::Quarantined {
+    let convert = |entry: &Entry| pb::Quarantined {
         request: entry.request.as_bytes().to_vec(),
         serial: entry.serial,
         stage: match entry.stage {
@@ -35,20 +36,20 @@
             Stage::Cleared => pb::Stage::Cleared,
         }
         .into(),
-        ends: entry.ends.iter().map(|life| life.0).collect(),
+        ends: entry.ends.iter().map(|tag| tag.0).collect(),
         begun: entry.begun,
-        first_ms: age(entry.first, now),
-        since_ms: age(entry.since, now),
+        first_ms: age_ms(entry.first, now),
+        since_ms: age_ms(entry.since, now),
     };
-    entries.iter().map(one).collect()
+    entries.iter().map(convert).collect()
 }
 
-/// Reads entries.
+/// Decodes quarantine entries.
 ///
 /// # Errors
-/// One says what it may not.
+/// An entry has an invalid fingerprint or stage.
 pub fn decode_entries(entries: &[pb::Quarantined], now: Instant) -> Result<Vec<Entry>, WireError> {
-    let one = |entry: &pb::Quarantined| {
+    let convert = |entry: &pb::Quarantined| {
         let request = entry.request.as_slice().try_into();
         Ok(Entry {
             request: request.map_err(|_| WireError::Value("request"))?,
@@ -60,11 +61,11 @@
                 Ok(pb::Stage::Cleared) => Stage::Cleared,
                 Err(_) => return Err(WireError::Value("stage")),
             },
-            ends: entry.ends.iter().take(MOST_ENDS).map(|life| Tag(*life)).collect(),
+            ends: entry.ends.iter().take(MOST_ENDS).map(|tag| Tag(*tag)).collect(),
             begun: entry.begun,
-            first: before(now, entry.first_ms),
-            since: before(now, entry.since_ms),
+            first: instant_before(now, entry.first_ms),
+            since: instant_before(now, entry.since_ms),
         })
     };
-    entries.iter().map(one).collect()
+    entries.iter().map(convert).collect()
 }
--- a/wire/src/schedule.rs
+++ b/wire/src/schedule.rs
@@ -1,8 +1,8 @@
-//! The datagrams between a node that has a caller and the scheduler of a pool of runners, and those
-//! between nodes that count the ends of runners under a request.
+//! Datagrams between the node that serves a caller and the scheduler of a pool of runners, and
+//! between nodes that count the runner terminations that occur during a request.
 //!
-//! They go by the same sockets as beats. Their first byte is nought, with which no beat begins: a
-//! node that does not know them drops them.
+//! They use the same sockets as heartbeats. Their first byte is 0, with which no heartbeat starts,
+//! so nodes of versions that do not know them drop them.
 
 use std::time::Duration;
 
@@ -25,97 +25,97 @@
 use crate::fleet as pb;
 use crate::limit;
 
-/// The first byte, which is not one of a field's number.
+/// The first byte of a datagram, which is not a valid protobuf field key.
 pub const DATAGRAM_TYPE: u8 = 0;
-/// The most loads in one report, at up to 41 bytes each.
+/// The maximum number of loads in a report, at up to 41 bytes each.
 pub const MAX_LOADS: usize = 16;
-/// The most readings in one report, at up to 25 bytes each.
+/// The maximum number of prompt readings in a report, at up to 25 bytes each.
 pub const MAX_READINGS: usize = 16;
-/// The most lessons in one report, at up to 21 bytes each.
+/// The maximum number of observations in a report, at up to 21 bytes each.
 pub const MAX_LESSONS: usize = 12;
 
-/// One datagram.
+/// A datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Schedule {
-    /// Asks where a request goes.
+    /// Asks where to run a request.
     Question {
-        /// The number of the question at the node that asks.
+        /// The number of the question, unique at the asking node.
         number: u64,
-        /// That node.
+        /// The asking node.
         node: NodeId,
-        /// What it asks.
+        /// The request to place.
         ask: Box<Ask>,
     },
-    /// The answer to a question.
+    /// Answers a [`Schedule::Question`].
     Answer {
-        /// Its number.
+        /// The number of the question.
         number: u64,
-        /// What is decided; none if the node that was asked does not know the service.
+        /// The decision, or `None` if the answering node does not know the service.
         decision: Option<Decision>,
     },
-    /// What a node has under way and has learned.
+    /// Reports a node's running work and its observations of runners.
     Report(Report),
-    /// Tells a node that counts a request's ends of one more.
+    /// Reports a runner termination to the node that counts them for the request.
     Ended {
-        /// The number of the question at the node that tells.
+        /// The number of the question, unique at the reporting node.
         number: u64,
-        /// The request.
+        /// The fingerprint of the request.
         request: Fingerprint,
-        /// The end.
+        /// The termination.
         end: End,
     },
-    /// The answer to that.
+    /// Answers a [`Schedule::Ended`].
     Counted {
-        /// Its number.
+        /// The number of the question.
         number: u64,
-        /// How many ends count against the request.
+        /// The number of terminations counted against the request.
         ends: u32,
     },
-    /// Asks for a permit to send one request to a runner with a rate limit.
+    /// Asks for a permit to send a request to a runner with a rate limit.
     Acquire {
-        /// The number of the question at the node that asks.
+        /// The number of the question, unique at the asking node.
         number: u64,
-        /// The limit as that node knows it.
+        /// The limit as the asking node knows it.
         limit: Announced,
     },
-    /// The answer to that.
+    /// Answers a [`Schedule::Acquire`].
     Acquired {
-        /// Its number.
+        /// The number of the question.
         number: u64,
-        /// When to ask again; none with a permit.
+        /// How long to wait before asking again, or `None` if the permit is granted.
         wait: Option<Duration>,
     },
 }
 
-/// What a node has under way at runners, and what it has learned of them.
+/// A node's running work at runners and its observations of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// The node.
+    /// The reporting node.
     pub node: NodeId,
-    /// What it has under way, by runner, in place of what it last said.
+    /// The node's load by runner, which replaces the load it last reported for that runner.
     pub loads: Vec<(Tag, Load)>,
-    /// Prompts that it has had read.
+    /// Prompts that runners prefill, or have prefilled, for the node.
     pub readings: Vec<Reading>,
-    /// What it has learned.
+    /// The node's observations by runner.
     pub lessons: Vec<(Tag, Lesson)>,
 }
 
 impl Schedule {
-    /// The datagram as bytes.
+    /// Encodes the datagram.
     pub fn encode(&self) -> Vec<u8> {
         let body = match self {
             Schedule::Question { number, node, ask } => {
-                pb::schedule::Body::Question(question(*number, node, ask))
+                pb::schedule::Body::Question(encode_question(*number, node, ask))
             }
             Schedule::Answer { number, decision } => pb::schedule::Body::Answer(pb::Answer {
                 number: *number,
-                decision: Some(answer(decision.as_ref())),
+                decision: Some(encode_answer(decision.as_ref())),
             }),
             Schedule::Report(report) => pb::schedule::Body::Report(pb::Report {
                 node: report.node.to_string(),
-                loads: report.loads.iter().map(load).collect(),
-                readings: report.readings.iter().map(reading).collect(),
-                lessons: report.lessons.iter().map(lesson).collect(),
+                loads: report.loads.iter().map(encode_load).collect(),
+                readings: report.readings.iter().map(encode_reading).collect(),
+                lessons: report.lessons.iter().map(encode_lesson).collect(),
             }),
             Schedule::Ended { number, request, end } => pb::schedule::Body::Ended(pb::Ended {
                 number: *number,
@@ -142,28 +142,28 @@
         bytes
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// The bytes are not one, or it says what it may not.
+    /// The bytes are not a datagram of this kind, or a field is invalid.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         let Some((&DATAGRAM_TYPE, bytes)) = bytes.split_first() else {
-            return Err(WireError::Missing("mark"));
+            return Err(WireError::Missing("datagram type"));
         };
         let whole =
             pb::Schedule::decode(bytes).map_err(|error| WireError::Decode(error.to_string()))?;
         match whole.body.ok_or(WireError::Missing("body"))? {
-            pb::schedule::Body::Question(question) => read_question(&question),
-            pb::schedule::Body::Answer(answer) => read_answer(&answer),
+            pb::schedule::Body::Question(question) => decode_question(&question),
+            pb::schedule::Body::Answer(answer) => decode_answer(&answer),
             pb::schedule::Body::Report(report) => Ok(Schedule::Report(Report {
                 node: report.node.as_str().try_into().map_err(|_| WireError::Value("node"))?,
-                loads: report.loads.iter().map(read_load).collect::<Result<_, _>>()?,
-                readings: report.readings.iter().map(read_reading).collect(),
-                lessons: report.lessons.iter().map(read_lesson).collect::<Result<_, _>>()?,
+                loads: report.loads.iter().map(decode_load).collect::<Result<_, _>>()?,
+                readings: report.readings.iter().map(decode_reading).collect(),
+                lessons: report.lessons.iter().map(decode_lesson).collect::<Result<_, _>>()?,
             })),
             pb::schedule::Body::Ended(ended) => {
                 let request = ended.request.as_slice().try_into();
-                let reach = Reach { events: ended.events.min(MOST_EVENTS), begun: ended.begun };
+                let reach = Reach { events: ended.events.min(MAX_EVENTS), begun: ended.begun };
                 Ok(Schedule::Ended {
                     number: ended.number,
                     request: request.map_err(|_| WireError::Value("request"))?,
@@ -186,14 +186,14 @@
     }
 }
 
-/// The most events of one answer that are believed; sums of such numbers stay in range.
-const MOST_EVENTS: u64 = 1 << 40;
+/// The maximum accepted number of events of a response, which keeps sums in range.
+const MAX_EVENTS: u64 = 1 << 40;
 
 fn micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn question(number: u64, node: &NodeId, ask: &Ask) -> pb::Question {
+fn encode_question(number: u64, node: &NodeId, ask: &Ask) -> pb::Question {
     let terms = &ask.terms;
     let (firmness, class, reader) = match &ask.step {
         Step::Start(firmness) => (*firmness, terms.class, None),
@@ -229,7 +229,7 @@
     }
 }
 
-fn read_class(class: u32) -> Result<Class, WireError> {
+fn decode_class(class: u32) -> Result<Class, WireError> {
     let rank = u8::try_from(class).map_err(|_| WireError::Value("class"))?;
     match usize::from(rank) {
         rank if rank == Class::LATE.index() => Ok(Class::LATE),
@@ -238,24 +238,24 @@
     }
 }
 
-fn read_runner(id: &str) -> Result<RunnerId, WireError> {
+fn decode_runner(id: &str) -> Result<RunnerId, WireError> {
     id.try_into().map_err(|_| WireError::Value("runner"))
 }
 
-fn read_question(question: &pb::Question) -> Result<Schedule, WireError> {
-    let class = read_class(question.class)?;
+fn decode_question(question: &pb::Question) -> Result<Schedule, WireError> {
+    let class = decode_class(question.class)?;
     let firmness = match question.firmness() {
         pb::Firmness::New => Firmness::New,
         pb::Firmness::HasRun => Firmness::HasRun,
         pb::Firmness::Streaming => Firmness::Streaming,
     };
     let step = match &question.reader {
-        Some(reader) => Step::GoOn { reader: read_runner(reader)?, class },
+        Some(reader) => Step::GoOn { reader: decode_runner(reader)?, class },
         None => Step::Start(firmness),
     };
     let part = |part: &pb::Part| {
         let alone = if part.alone == 0 { part.key } else { part.alone };
-        let tokens = part.tokens.min(MOST_TOKENS);
+        let tokens = part.tokens.min(MAX_TOKENS);
         Part { key: ChainKey(part.key), alone: ChainKey(alone), tokens }
     };
     let text = |what| move |_| WireError::Value(what);
@@ -272,29 +272,31 @@
         },
         work: Work {
             chain: Chain(question.parts.iter().map(part).collect()),
-            prompt: question.prompt.min(MOST_TOKENS),
-            output: question.output.min(MOST_TOKENS),
+            prompt: question.prompt.min(MAX_TOKENS),
+            output: question.output.min(MAX_TOKENS),
         },
-        skip: question.skip.iter().map(|id| read_runner(id)).collect::<Result<_, _>>()?,
+        skip: question.skip.iter().map(|id| decode_runner(id)).collect::<Result<_, _>>()?,
         step,
     };
     let node = question.node.as_str().try_into().map_err(|_| WireError::Value("node"))?;
     Ok(Schedule::Question { number: question.number, node, ask: Box::new(ask) })
 }
 
-fn answer(decision: Option<&Decision>) -> pb::answer::Decision {
+fn encode_answer(decision: Option<&Decision>) -> pb::answer::Decision {
     use pb::answer::Decision as Wire;
     match decision {
         None => Wire::Unknown(true),
         Some(Decision::NoRunner) => Wire::NoRunner(true),
         Some(Decision::RateLimited(wait)) => Wire::RateLimitedUs(micros(*wait)),
         Some(Decision::GoesOn(runner)) => Wire::GoesOn(runner.to_string()),
-        Some(Decision::Placed { placement, class }) => Wire::Placed(placed(placement, *class)),
-        Some(Decision::Late(placement)) => Wire::Late(placed(placement, Class::LATE)),
+        Some(Decision::Placed { placement, class }) => {
+            Wire::Placed(encode_placed(placement, *class))
+        }
+        Some(Decision::Late(placement)) => Wire::Late(encode_placed(placement, Class::LATE)),
     }
 }
 
-fn placed(placement: &Placement, class: Class) -> pb::Placed {
+fn encode_placed(placement: &Placement, class: Class) -> pb::Placed {
     let (prefill, decode) = match &placement.plan {
         Plan::Whole { runner } => (String::new(), runner.to_string()),
         Plan::Split { prefill, decode } => (prefill.to_string(), decode.to_string()),
@@ -311,43 +313,43 @@
     }
 }
 
-fn read_placed(placed: &pb::Placed) -> Result<(Placement, Class), WireError> {
-    let decode = read_runner(&placed.decode)?;
+fn decode_placed(placed: &pb::Placed) -> Result<(Placement, Class), WireError> {
+    let decode = decode_runner(&placed.decode)?;
     let plan = match placed.prefill.as_str() {
         "" => Plan::Whole { runner: decode },
-        prefill => Plan::Split { prefill: read_runner(prefill)?, decode },
+        prefill => Plan::Split { prefill: decode_runner(prefill)?, decode },
     };
     let seconds = [placed.first, placed.read, placed.wait];
-    if !seconds.iter().all(|s| (0.0..MOST_SECONDS).contains(s)) {
+    if !seconds.iter().all(|s| (0.0..SECONDS_LIMIT).contains(s)) {
         return Err(WireError::Value("seconds"));
     }
     let fetch = match placed.fetch.as_str() {
         "" => None,
-        id => Some(read_runner(id)?),
+        id => Some(decode_runner(id)?),
     };
     let [first, read, wait] = seconds;
-    let fresh = placed.fresh.min(MOST_TOKENS);
+    let fresh = placed.fresh.min(MAX_TOKENS);
     let placement = Placement { plan, first, read, wait, fresh, fetch };
-    Ok((placement, read_class(placed.class)?))
+    Ok((placement, decode_class(placed.class)?))
 }
 
-fn read_answer(answer: &pb::Answer) -> Result<Schedule, WireError> {
+fn decode_answer(answer: &pb::Answer) -> Result<Schedule, WireError> {
     use pb::answer::Decision as Wire;
     let decision = match answer.decision.as_ref().ok_or(WireError::Missing("decision"))? {
         Wire::Unknown(_) => None,
         Wire::NoRunner(_) => Some(Decision::NoRunner),
         Wire::RateLimitedUs(wait) => Some(Decision::RateLimited(Duration::from_micros(*wait))),
-        Wire::GoesOn(runner) => Some(Decision::GoesOn(read_runner(runner)?)),
+        Wire::GoesOn(runner) => Some(Decision::GoesOn(decode_runner(runner)?)),
         Wire::Placed(placed) => {
-            let (placement, class) = read_placed(placed)?;
+            let (placement, class) = decode_placed(placed)?;
             Some(Decision::Placed { placement, class })
         }
-        Wire::Late(placed) => Some(Decision::Late(read_placed(placed)?.0)),
+        Wire::Late(placed) => Some(Decision::Late(decode_placed(placed)?.0)),
     };
     Ok(Schedule::Answer { number: answer.number, decision })
 }
 
-fn lesson((tag, lesson): &(Tag, Lesson)) -> pb::Lesson {
+fn encode_lesson((tag, lesson): &(Tag, Lesson)) -> pb::Lesson {
     use pb::lesson::Kind;
     let kind = match lesson {
         Lesson::Reading { predicted, reading, seen } => Kind::Reading(pb::LearnedReading {
@@ -369,10 +371,10 @@
     pb::Lesson { runner: tag.0, kind: Some(kind) }
 }
 
-fn read_lesson(lesson: &pb::Lesson) -> Result<(Tag, Lesson), WireError> {
+fn decode_lesson(lesson: &pb::Lesson) -> Result<(Tag, Lesson), WireError> {
     use pb::lesson::Kind;
     let seconds = |s: f32| match f64::from(s) {
-        s if (0.0..MOST_SECONDS).contains(&s) => Ok(s),
+        s if (0.0..SECONDS_LIMIT).contains(&s) => Ok(s),
         _ => Err(WireError::Value("seconds")),
     };
     let read = match lesson.kind.as_ref().ok_or(WireError::Missing("lesson"))? {
@@ -393,10 +395,10 @@
     Ok((Tag(lesson.runner), read))
 }
 
-/// The longest time that is believed, in seconds.
-const MOST_SECONDS: f64 = 3_600.0;
+/// The exclusive upper bound on received durations.
+const SECONDS_LIMIT: f64 = 3_600.0;
 
-fn load((tag, load): &(Tag, Load)) -> pb::Load {
+fn encode_load((tag, load): &(Tag, Load)) -> pb::Load {
     pb::Load {
         runner: tag.0,
         requests: load.requests.to_vec(),
@@ -406,33 +408,33 @@
     }
 }
 
-/// The most that is believed of one node's work at one runner; sums of such numbers stay in range.
-const MOST_TOKENS: u64 = 1 << 40;
-/// The most requests that are believed of one node at one runner.
-const MOST_REQUESTS: u32 = 1 << 20;
+/// The maximum accepted number of tokens of a node at a runner, which keeps sums in range.
+const MAX_TOKENS: u64 = 1 << 40;
+/// The maximum accepted number of requests of a node at a runner.
+const MAX_REQUESTS: u32 = 1 << 20;
 
-fn read_load(load: &pb::Load) -> Result<(Tag, Load), WireError> {
+fn decode_load(load: &pb::Load) -> Result<(Tag, Load), WireError> {
     let whole = [load.backlog.len(), load.unread.len(), load.requests.len()];
     if whole != [CLASSES; 3] {
         return Err(WireError::Value("backlog"));
     }
     let mut backlog = [0; CLASSES];
     for (into, from) in backlog.iter_mut().zip(&load.backlog) {
-        *into = (*from).min(MOST_TOKENS);
+        *into = (*from).min(MAX_TOKENS);
     }
     let mut unread = [0; CLASSES];
     for (into, from) in unread.iter_mut().zip(&load.unread) {
-        *into = (*from).min(MOST_REQUESTS);
+        *into = (*from).min(MAX_REQUESTS);
     }
     let mut requests = [0; CLASSES];
     for (into, from) in requests.iter_mut().zip(&load.requests) {
-        *into = (*from).min(MOST_REQUESTS);
+        *into = (*from).min(MAX_REQUESTS);
     }
-    let tokens = load.tokens.min(MOST_TOKENS);
+    let tokens = load.tokens.min(MAX_TOKENS);
     Ok((Tag(load.runner), Load { requests, backlog, unread, tokens }))
 }
 
-fn reading(reading: &Reading) -> pb::Reading {
+fn encode_reading(reading: &Reading) -> pb::Reading {
     pb::Reading {
         runner: reading.runner.0,
         part: reading.part.key.0,
@@ -441,10 +443,10 @@
     }
 }
 
-fn read_reading(reading: &pb::Reading) -> Reading {
-    // A node that is told of a part counts it by the one name that it is told by.
+fn decode_reading(reading: &pb::Reading) -> Reading {
+    // Only the chain key is sent, so it also stands in for the key of the part alone.
     let key = ChainKey(reading.part);
-    let part = Part { key, alone: key, tokens: reading.tokens.min(MOST_TOKENS) };
+    let part = Part { key, alone: key, tokens: reading.tokens.min(MAX_TOKENS) };
     let progress = if reading.begun { Progress::Begun } else { Progress::Read };
     Reading { runner: Tag(reading.runner), part, progress }
 }
--- a/wire/src/usage.rs
+++ b/wire/src/usage.rs
@@ -1,6 +1,6 @@
-//! The datagrams by which nodes tell each other how many requests of each account have begun.
+//! Datagrams by which nodes tell each other how many requests of each account have started.
 //!
-//! They go by the same sockets as beats, and have a first byte of their own.
+//! They use the same sockets as heartbeats and are told apart by their first byte.
 
 use prost::Message as _;
 use sardinepick_lib::id::{AccountId, Incarnation, NodeId, Window};
@@ -9,29 +9,29 @@
 use crate::error::WireError;
 use crate::fleet as pb;
 
-/// The first byte, which is not one of a field's number.
+/// The first byte of a datagram, which is not a valid protobuf field key.
 pub const DATAGRAM_TYPE: u8 = 1;
 
-/// What a datagram says.
+/// The content of a datagram.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Body {
-    /// Counts.
+    /// Counts of requests.
     Counts(Message),
-    /// That the message of this number has come.
+    /// Acknowledges the message with this number.
     Acknowledged(u64),
 }
 
-/// One datagram.
+/// A datagram.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Usage {
-    /// The life of the node that sends it.
+    /// The sending instance of a node.
     pub sender: NodeInstance,
-    /// What it says.
+    /// The content.
     pub body: Body,
 }
 
 impl Usage {
-    /// The datagram as bytes.
+    /// Encodes the datagram.
     pub fn encode(&self) -> Vec<u8> {
         let mut whole = pb::Usage {
             node: self.sender.node.to_string(),
@@ -42,7 +42,7 @@
             Body::Acknowledged(number) => (whole.number, whole.acknowledges) = (*number, true),
             Body::Counts(message) => {
                 whole.number = message.number;
-                whole.windows = windows(&message.counts);
+                whole.windows = encode_windows(&message.counts);
                 whole.complete = message.complete.0;
             }
         }
@@ -51,13 +51,13 @@
         bytes
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// The bytes are not one, or it says what it may not.
+    /// The bytes are not a datagram of this kind, or a field is invalid.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         let Some((&DATAGRAM_TYPE, bytes)) = bytes.split_first() else {
-            return Err(WireError::Missing("mark"));
+            return Err(WireError::Missing("datagram type"));
         };
         let whole = pb::Usage::decode(bytes).map_err(|e| WireError::Decode(e.to_string()))?;
         let node = NodeId::try_from(whole.node.as_str()).map_err(|_| WireError::Value("node"))?;
@@ -65,7 +65,7 @@
         let body = if whole.acknowledges {
             Body::Acknowledged(whole.number)
         } else {
-            let counts = read_counts(&whole.windows)?;
+            let counts = decode_counts(&whole.windows)?;
             let complete = Window(whole.complete);
             Body::Counts(Message { number: whole.number, counts, complete })
         };
@@ -73,8 +73,8 @@
     }
 }
 
-/// Counts by window, which stand together in a message.
-fn windows(counts: &[Count]) -> Vec<pb::WindowCounts> {
+/// Groups counts by window. A message lists the counts of a window next to each other.
+fn encode_windows(counts: &[Count]) -> Vec<pb::WindowCounts> {
     let count = |count: &Count| pb::AccountCount {
         account: count.account.to_string(),
         requests: count.requests,
@@ -87,7 +87,7 @@
     .collect()
 }
 
-fn read_counts(windows: &[pb::WindowCounts]) -> Result<Vec<Count>, WireError> {
+fn decode_counts(windows: &[pb::WindowCounts]) -> Result<Vec<Count>, WireError> {
     let mut counts = Vec::new();
     for of in windows {
         for count in &of.counts {
