--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -181,7 +181,7 @@
 
 /// Prints a request's way from log lines.
 fn explain(id: &str, files: &[String]) -> Result<(), Failure> {
-    match trace::Trace::of(id, log_lines(files)?) {
+    match trace::Trace::for_request(id, log_lines(files)?) {
         Some(trace) => show(&trace.to_string()),
         None => Err(Failure::NoRequest(id.to_owned())),
     }
--- a/cli/src/trace.rs
+++ b/cli/src/trace.rs
@@ -51,14 +51,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
     /// The decisions that touched it, in order of time.
-    pub way: Vec<Line>,
+    pub request_lines: Vec<Line>,
     /// What the nodes that had it came to believe shortly before its end.
-    pub beliefs: Vec<Line>,
+    pub state_lines: Vec<Line>,
     /// The runners that ended under the same request, in whichever attempt, and what came of it.
-    pub ends: Vec<Line>,
+    pub terminations: Vec<Line>,
     /// Where runners were closed to it: what runners had said of themselves, in answers to whichever
     /// requests.
-    pub signals: Vec<Line>,
+    pub announcements: Vec<Line>,
 }
 
 /// How many lines of belief are shown: those nearest to the end.
@@ -81,22 +81,27 @@
 
 impl Trace {
     /// Finds the lines of a request; none if no line names it.
-    pub fn of(id: &str, mut lines: Vec<Line>) -> Option<Self> {
+    pub fn for_request(id: &str, mut lines: Vec<Line>) -> Option<Self> {
         lines.sort_by(|a, b| a.time.cmp(&b.time));
-        let way: Vec<Line> =
+        let request_lines: Vec<Line> =
             lines.iter().filter(|line| line.request() == Some(id)).cloned().collect();
-        let end = way.last()?.time.clone();
-        let here = |line: &&Line| way.iter().any(|w| w.source == line.source);
+        let end = request_lines.last()?.time.clone();
+        let here = |line: &&Line| request_lines.iter().any(|w| w.source == line.source);
         let belief = |line: &&Line| line.request().is_none() && line.time <= end;
-        let mut beliefs: Vec<Line> =
+        let mut state_lines: Vec<Line> =
             lines.iter().filter(here).filter(belief).rev().take(MOST_BELIEFS).cloned().collect();
-        beliefs.reverse();
-        let fingerprints: Vec<&str> = way.iter().filter_map(Line::fingerprint).collect();
+        state_lines.reverse();
+        let fingerprints: Vec<&str> = request_lines.iter().filter_map(Line::fingerprint).collect();
         let of_it = |line: &&Line| line.fingerprint().is_some_and(|f| fingerprints.contains(&f));
         let ends = |line: &&Line| ENDS.contains(&line.message.as_str());
-        let ends = lines.iter().filter(ends).filter(of_it).take(MOST_ENDS).cloned().collect();
-        let signals = if way.iter().any(is_closed) { signals(&lines, &end) } else { Vec::new() };
-        Some(Self { way, beliefs, ends, signals })
+        let terminations =
+            lines.iter().filter(ends).filter(of_it).take(MOST_ENDS).cloned().collect();
+        let announcements = if request_lines.iter().any(is_closed) {
+            announcements(&lines, &end)
+        } else {
+            Vec::new()
+        };
+        Some(Self { request_lines, state_lines, terminations, announcements })
     }
 }
 
@@ -107,12 +112,12 @@
 }
 
 /// What runners had said of themselves until `end`, at all nodes: one may have heard it of another.
-fn signals(lines: &[Line], end: &str) -> Vec<Line> {
+fn announcements(lines: &[Line], end: &str) -> Vec<Line> {
     let told = |line: &&Line| SIGNALS.contains(&line.message.as_str()) && line.time.as_str() <= end;
-    let mut signals: Vec<Line> =
+    let mut announcements: Vec<Line> =
         lines.iter().filter(told).rev().take(MOST_SIGNALS).cloned().collect();
-    signals.reverse();
-    signals
+    announcements.reverse();
+    announcements
 }
 
 /// Writes lines of other requests, each behind the request's id.
@@ -145,12 +150,12 @@
 impl fmt::Display for Trace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "the request's way:")?;
-        self.way.iter().try_for_each(|line| write_line(f, line))?;
+        self.request_lines.iter().try_for_each(|line| write_line(f, line))?;
         writeln!(f, "what its nodes had come to believe before:")?;
-        self.beliefs.iter().try_for_each(|line| write_line(f, line))?;
+        self.state_lines.iter().try_for_each(|line| write_line(f, line))?;
         let ended = "runners that ended under the same request, in any attempt";
-        write_others(f, ended, &self.ends)?;
+        write_others(f, ended, &self.terminations)?;
         let told = "what runners had said of themselves, in answers to other requests";
-        write_others(f, told, &self.signals)
+        write_others(f, told, &self.announcements)
     }
 }
--- a/cli/tests/trace.rs
+++ b/cli/tests/trace.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn of_request_way_and_beliefs_of_its_node() {
-    let trace = Trace::of("r1", read("", LINES)).expect("it is named");
+    let trace = Trace::for_request("r1", read("", LINES)).expect("it is named");
     expect![[r#"
         the request's way:
           2026-01-01T00:00:02.000Z  edge-1  gate refuses  first_ms=1207
@@ -28,7 +28,7 @@
 
 #[test]
 fn of_unknown_request_none() {
-    assert_eq!(Trace::of("r2", read("", LINES)), None);
+    assert_eq!(Trace::for_request("r2", read("", LINES)), None);
 }
 
 /// From a request that is refused to the runners that ended under others like it, at other nodes.
@@ -41,7 +41,7 @@
 edge-3 {"time":"2026-01-01T00:00:09.000Z","message":"quarantine refuses","request":"r9","fingerprint":"ab","ends":3}
 edge-3 {"time":"2026-01-01T00:00:09.000Z","message":"request refused","request":"r9","reason":"quarantined","status":400}
 "#;
-    let trace = Trace::of("r9", read("", lines)).expect("it is named");
+    let trace = Trace::for_request("r9", read("", lines)).expect("it is named");
     expect![[r#"
         the request's way:
           2026-01-01T00:00:09.000Z  edge-3  quarantine refuses  ends=3  fingerprint=ab
@@ -63,7 +63,7 @@
 edge-2 {"time":"2026-01-01T00:00:02.000Z","message":"request refused","request":"r9","reason":"rate_limited","status":503}
 edge-1 {"time":"2026-01-01T00:00:03.000Z","message":"rate limit lifted","request":"r2","runner":"i-1","source":"answer"}
 "#;
-    let trace = Trace::of("r9", read("", lines)).expect("it is named");
+    let trace = Trace::for_request("r9", read("", lines)).expect("it is named");
     expect![[r#"
         the request's way:
           2026-01-01T00:00:02.000Z  edge-2  request refused  reason=rate_limited  status=503
--- a/node/tests/explain.rs
+++ b/node/tests/explain.rs
@@ -42,9 +42,11 @@
 
 /// The explanation of a request, once its end is in the log.
 async fn explain(kept: &Kept, id: &str) -> String {
-    let trace = || Trace::of(id, read("node.log", &kept.text()));
+    let trace = || Trace::for_request(id, read("node.log", &kept.text()));
     wait_until("the end is logged", async || {
-        trace().is_some_and(|t| t.way.iter().any(|line| line.message.starts_with("request ")))
+        trace().is_some_and(|t| {
+            t.request_lines.iter().any(|line| line.message.starts_with("request "))
+        })
     })
     .await;
     trace().map(|t| t.to_string()).unwrap_or_default()
