--- a/cli/examples/generate_wire.rs
+++ b/cli/examples/generate_wire.rs
@@ -1,6 +1,7 @@
-//! It stands here since this package does not need the code that it writes.
+//! Regenerates `wire/src/generated` from `wire/proto`.
 //!
-//! Writes `wire/src/generated` anew from `wire/proto`. Run it after a change there: `cargo run -p sardinepick-cli --example generate_wire`.
+//! Run it after a change to `wire/proto`: `cargo run -p sardinepick-cli --example generate_wire`.
+//! It belongs to this package because this package does not depend on the generated code.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let wire = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../wire");
--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a node's API.
+//! A client of the nodes' administration API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,116 +12,116 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why a call gave nothing.
+/// An error of a call.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// The node could not be reached: nothing was done.
+    /// The connection failed, so the call had no effect.
     #[error("{node}: not reached: {detail}")]
     Unreachable {
-        /// The node.
+        /// The node's address.
         node: SocketAddr,
-        /// What the transport says.
+        /// The transport's error.
         detail: String,
     },
-    /// The connection broke off: a command may have been carried out.
-    #[error("{node}: the answer did not come: {detail}")]
-    Lost {
-        /// The node.
+    /// The connection was lost before the response; a command may have been executed.
+    #[error("{node}: connection lost before the response: {detail}")]
+    ConnectionLost {
+        /// The node's address.
         node: SocketAddr,
-        /// What the transport says.
+        /// The transport's error.
         detail: String,
     },
-    /// The node refused the call.
+    /// The node rejected the call.
     #[error("{message}")]
     Refused {
         /// The HTTP status.
         status: u16,
-        /// The error by name.
+        /// The error code.
         code: String,
-        /// In words.
+        /// The error message.
         message: String,
     },
-    /// The answer is not of the expected form.
-    #[error("{node}: the answer cannot be read: {detail}")]
-    Form {
-        /// The node.
+    /// The response does not have the expected format.
+    #[error("{node}: invalid response: {detail}")]
+    InvalidResponse {
+        /// The node's address.
         node: SocketAddr,
-        /// What is wrong.
+        /// Why the response is invalid.
         detail: String,
     },
 }
 
-/// Rows under column heads.
+/// A table of text cells.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Rows {
-    /// The column heads.
+    /// The column names.
     pub columns: Vec<String>,
     /// The rows.
     pub rows: Vec<Vec<String>>,
-    /// The nodes that should have answered and did not.
+    /// The nodes that should have responded but did not.
     #[serde(default)]
     pub missing: Vec<String>,
 }
 
-/// What came of a change.
+/// The result of a change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Applied {
-    /// The identity of the change.
+    /// The id of the change.
     pub change_id: String,
-    /// The generation that it made.
+    /// The generation that the change created.
     pub generation: u64,
-    /// How many nodes have it in force.
+    /// The number of nodes on which the change is active.
     pub applied: usize,
-    /// How many nodes there are.
+    /// The total number of nodes.
     pub nodes: usize,
-    /// The nodes that were not seen to have it.
+    /// The nodes that have not confirmed the change.
     pub waiting_for: Vec<String>,
 }
 
-/// The result of one statement.
+/// The result of a statement.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Rows.
+    /// The rows of a query.
     Rows(Rows),
-    /// A change.
+    /// The result of a change.
     Applied(Applied),
 }
 
-/// The results of a command.
+/// The response to a command.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Outcomes {
-    /// One for each statement.
+    /// The results, one per statement.
     pub results: Vec<Outcome>,
-    /// The generation in force at the node that answered.
+    /// The active generation at the responding node.
     pub generation: u64,
 }
 
-/// A command as it is sent.
+/// The request body of a command.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Command {
-    /// The text.
+    /// The statements.
     pub text: String,
-    /// The identity of the change.
+    /// The id of the change.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub change_id: Option<String>,
-    /// The generation that the operator saw.
+    /// The generation that the change is based on.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub base: Option<u64>,
-    /// For how long to wait for all nodes, in milliseconds.
+    /// How long to wait for all nodes, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub wait_ms: Option<u64>,
 }
 
 #[derive(Deserialize)]
-struct Refusal {
+struct ErrorBody {
     #[serde(default)]
     error_code: Option<String>,
     #[serde(default)]
     message: Option<String>,
 }
 
-/// A node, or several that are tried in turn.
+/// A client of one node, or of several that are tried in turn.
 #[derive(Clone, Debug)]
 pub struct Client {
     nodes: Vec<SocketAddr>,
@@ -129,11 +129,11 @@
     http: Http<HttpConnector, Full<Bytes>>,
 }
 
-/// How long a connection may take.
+/// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Client {
-    /// Calls to the first of `nodes` that can be reached, with the operator's `key`.
+    /// Creates a client that calls the first reachable node of `nodes` with the operator's `key`.
     pub fn new(nodes: Vec<SocketAddr>, key: String) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -141,7 +141,7 @@
         Self { nodes, key, http }
     }
 
-    async fn call_one(
+    async fn call_node(
         &self,
         node: SocketAddr,
         method: Method,
@@ -154,27 +154,29 @@
             .header(header::AUTHORIZATION, format!("Bearer {}", self.key))
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(body))
-            .map_err(|error| ClientError::Form { node, detail: error.to_string() })?;
+            .map_err(|error| ClientError::InvalidResponse { node, detail: error.to_string() })?;
         let response = self.http.request(request).await.map_err(|error| {
             let detail = error.to_string();
             if error.is_connect() {
                 ClientError::Unreachable { node, detail }
             } else {
-                ClientError::Lost { node, detail }
+                ClientError::ConnectionLost { node, detail }
             }
         })?;
         let status = response.status();
         let body = response.into_body().collect().await;
-        let body = body.map_err(|e| ClientError::Lost { node, detail: e.to_string() })?.to_bytes();
-        if status.is_success() { Ok(body) } else { Err(refused(status, &body)) }
+        let body = body
+            .map_err(|e| ClientError::ConnectionLost { node, detail: e.to_string() })?
+            .to_bytes();
+        if status.is_success() { Ok(body) } else { Err(error_from_response(status, &body)) }
     }
 
-    /// Calls the first node that can be reached. One that was reached is never left for another,
-    /// as it may have carried the call out.
+    /// Calls the first reachable node. Once a connection has been established, no other node is
+    /// tried, because the call may have been executed.
     async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Bytes, ClientError> {
         let mut last = None;
         for node in &self.nodes {
-            match self.call_one(*node, method.clone(), path, body.clone()).await {
+            match self.call_node(*node, method.clone(), path, body.clone()).await {
                 Err(error @ ClientError::Unreachable { .. }) => last = Some(error),
                 other => return other,
             }
@@ -182,40 +184,40 @@
         Err(last.unwrap_or(ClientError::Refused {
             status: 0,
             code: "no_node".to_owned(),
-            message: "no node was named".to_owned(),
+            message: "no node given".to_owned(),
         }))
     }
 
     fn read<T: for<'de> Deserialize<'de>>(&self, bytes: &[u8]) -> Result<T, ClientError> {
         let node = self.nodes[0];
         serde_json::from_slice(bytes)
-            .map_err(|error| ClientError::Form { node, detail: error.to_string() })
+            .map_err(|error| ClientError::InvalidResponse { node, detail: error.to_string() })
     }
 
-    /// Carries out a command.
+    /// Executes a command.
     ///
     /// # Errors
-    /// It was refused, or it is not known whether it was carried out.
+    /// The command was rejected, or it is unknown whether it was executed.
     pub async fn command(&self, command: &Command) -> Result<Outcomes, ClientError> {
-        let body = serde_json::to_vec(command).expect("a command is JSON");
+        let body = serde_json::to_vec(command).expect("a command serializes to JSON");
         let bytes = self.call(Method::POST, "/admin/v1/command", Bytes::from(body)).await?;
         self.read(&bytes)
     }
 
-    /// Fetches any JSON.
+    /// Fetches a JSON document.
     ///
     /// # Errors
-    /// The call was refused or lost.
+    /// The call was rejected or the connection failed.
     pub async fn get(&self, path: &str) -> Result<serde_json::Value, ClientError> {
         let bytes = self.call(Method::GET, path, Bytes::new()).await?;
         self.read(&bytes)
     }
 }
 
-fn refused(status: StatusCode, body: &[u8]) -> ClientError {
-    let refusal = serde_json::from_slice::<Refusal>(body).ok();
+fn error_from_response(status: StatusCode, body: &[u8]) -> ClientError {
+    let error = serde_json::from_slice::<ErrorBody>(body).ok();
     let text = String::from_utf8_lossy(body).into_owned();
-    let (code, message) = match refusal {
+    let (code, message) = match error {
         Some(r) => (r.error_code.unwrap_or_default(), r.message.unwrap_or(text)),
         None => (String::new(), text),
     };
--- a/cli/src/lib.rs
+++ b/cli/src/lib.rs
@@ -1,4 +1,5 @@
-//! What the command line does, without a terminal: calls to a node and the forms of its answers.
+//! The parts of the command line that do not need a terminal: the client of a node, and the
+//! formatting of results and log lines.
 
 pub mod account;
 pub mod client;
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Answers as tables for people and as JSON for programs.
+//! Formatting of results as tables or JSON.
 
 use std::fmt::Write as _;
 
@@ -6,55 +6,56 @@
 
 use crate::client::{Applied, Outcome, Outcomes, Rows};
 
-/// How answers are written.
+/// The output format.
 #[derive(Clone, Copy, Debug, Default, Display, EnumString, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Format {
-    /// For people.
+    /// Tables, for people.
     #[default]
     Table,
-    /// For programs.
+    /// JSON, for programs.
     Json,
 }
 
-/// Whether colour may be used.
+/// Whether to use colour.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Colour {
-    /// On a terminal.
+    /// Use colour, for terminals.
     Yes,
-    /// Elsewhere.
+    /// Use no colour.
     No,
 }
 
 const BOLD: &str = "\x1b[1m";
 const YELLOW: &str = "\x1b[33m";
-const PLAIN: &str = "\x1b[0m";
+const RESET: &str = "\x1b[0m";
 
-/// Writes the results of a command.
+/// Formats the results of a command.
 pub fn outcomes(outcomes: &Outcomes, format: Format, colour: Colour) -> String {
     match format {
         Format::Json => {
-            let mut text = serde_json::to_string_pretty(outcomes).expect("results are JSON");
+            let mut text =
+                serde_json::to_string_pretty(outcomes).expect("results serialize to JSON");
             text.push('\n');
             text
         }
         Format::Table => outcomes
             .results
             .iter()
-            .map(|outcome| one(outcome, colour))
+            .map(|outcome| format_outcome(outcome, colour))
             .collect::<Vec<_>>()
             .join("\n"),
     }
 }
 
-fn one(outcome: &Outcome, colour: Colour) -> String {
+fn format_outcome(outcome: &Outcome, colour: Colour) -> String {
     match outcome {
-        Outcome::Rows(rows) => table(rows, colour),
-        Outcome::Applied(applied) => change(applied, colour),
+        Outcome::Rows(rows) => format_table(rows, colour),
+        Outcome::Applied(applied) => format_change(applied, colour),
     }
 }
 
-fn change(applied: &Applied, colour: Colour) -> String {
+fn format_change(applied: &Applied, colour: Colour) -> String {
     let mut text = format!(
         "generation {} applied on {} of {} nodes (change {})\n",
         applied.generation, applied.applied, applied.nodes, applied.change_id
@@ -62,14 +63,14 @@
     if !applied.waiting_for.is_empty() {
         let line = format!("not yet reached: {}", applied.waiting_for.join(", "));
         let _ = match colour {
-            Colour::Yes => writeln!(text, "{YELLOW}{line}{PLAIN}"),
+            Colour::Yes => writeln!(text, "{YELLOW}{line}{RESET}"),
             Colour::No => writeln!(text, "{line}"),
         };
     }
     text
 }
 
-fn table(rows: &Rows, colour: Colour) -> String {
+fn format_table(rows: &Rows, colour: Colour) -> String {
     let mut widths: Vec<usize> = rows.columns.iter().map(|c| c.chars().count()).collect();
     for row in &rows.rows {
         for (width, cell) in widths.iter_mut().zip(row) {
@@ -86,7 +87,7 @@
     };
     let head = line(&rows.columns);
     let mut text = match colour {
-        Colour::Yes => format!("{BOLD}{head}{PLAIN}\n"),
+        Colour::Yes => format!("{BOLD}{head}{RESET}\n"),
         Colour::No => format!("{head}\n"),
     };
     for row in &rows.rows {
--- a/cli/src/serving.rs
+++ b/cli/src/serving.rs
@@ -1,13 +1,13 @@
-//! Tables from the state of a node that serves on the platform.
+//! Tables of the state of a node that serves on the platform.
 
 use serde_json::Value;
 
 use crate::client::Rows;
 
-/// Where a serving node shows its state, at its metrics address.
-pub const STATE: &str = "/state";
+/// The path of a serving node's state at its metrics address.
+pub const STATE_PATH: &str = "/state";
 
-fn text(value: &Value) -> String {
+fn cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         Value::String(text) => text.clone(),
@@ -18,12 +18,12 @@
 fn rows<'a>(columns: &[&str], lines: impl Iterator<Item = Vec<&'a Value>>) -> Rows {
     Rows {
         columns: columns.iter().map(|&column| column.to_owned()).collect(),
-        rows: lines.map(|line| line.into_iter().map(text).collect()).collect(),
+        rows: lines.map(|line| line.into_iter().map(cell).collect()).collect(),
         missing: Vec::new(),
     }
 }
 
-/// Who holds the lease on the duties, and a row for each of the last windows of usage.
+/// Returns the holder of the duties' lease, with a row for each of the last usage windows.
 pub fn duties(state: &Value) -> Rows {
     let duties = &state["duties"];
     let holder = [&duties["holder"], &duties["number"], &duties["left_ms"]];
@@ -37,7 +37,7 @@
     rows(&["holder", "number", "left_ms", "window", "outcome"], windows.iter().map(line))
 }
 
-/// A row for each client account.
+/// Returns a row for each client account.
 pub fn accounts(state: &Value) -> Rows {
     let accounts = state["accounts"].as_array().map_or(&[][..], Vec::as_slice);
     rows(&["account", "rank"], accounts.iter().map(|a| vec![&a["name"], &a["rank"]]))
--- a/cli/src/shell.rs
+++ b/cli/src/shell.rs
@@ -1,4 +1,4 @@
-//! The shell: statements line by line, with history and completion of names from the live system.
+//! The interactive shell, with history and completion of keywords and of names fetched from a node.
 
 use std::cell::RefCell;
 
@@ -13,22 +13,23 @@
 use strum::IntoEnumIterator as _;
 use tokio::runtime::Runtime;
 
-use crate::{Failure, colour};
+use crate::{CliError, colour};
 
 const KEYWORDS: [&str; 20] = [
     "begin", "commit", "plan", "create", "set", "delete", "drain", "resume", "runner", "show",
     "count", "where", "and", "order by", "limit", "history", "undo", "explain", "service", "roles",
 ];
 
-/// The subjects whose names are completed.
-const NAMED: [&str; 6] = ["services", "runners", "accounts", "policies", "models", "nodes"];
+/// The subjects whose names are offered for completion.
+const COMPLETED_SUBJECTS: [&str; 6] =
+    ["services", "runners", "accounts", "policies", "models", "nodes"];
 
 #[derive(Helper, Hinter, Highlighter, Validator)]
-struct Words {
+struct WordCompleter {
     words: RefCell<Vec<String>>,
 }
 
-impl Completer for Words {
+impl Completer for WordCompleter {
     type Candidate = Pair;
 
     fn complete(
@@ -39,22 +40,22 @@
     ) -> Result<(usize, Vec<Pair>), ReadlineError> {
         let head = &line[..position];
         let start = head.rfind([' ', ',', '=', '(']).map_or(0, |at| at + 1);
-        let begun = &head[start..];
+        let prefix = &head[start..];
         let words = self.words.borrow();
-        let fits = words.iter().filter(|word| word.starts_with(begun));
+        let matching = words.iter().filter(|word| word.starts_with(prefix));
         let pair = |word: &String| Pair { display: word.clone(), replacement: word.clone() };
-        Ok((start, fits.map(pair).collect()))
+        Ok((start, matching.map(pair).collect()))
     }
 }
 
-/// The words of the language and the names that the system knows now.
+/// Returns the keywords of the language and the current names of all subjects.
 async fn words(client: &Client) -> Vec<String> {
     let mut words: Vec<String> = KEYWORDS.iter().map(ToString::to_string).collect();
     words.extend(Kind::iter().map(|k| k.to_string()));
     words.extend(Field::iter().map(|f| f.to_string()));
     words.extend(Subject::iter().map(|s| s.to_string()));
     words.extend(Column::iter().map(|c| c.to_string()));
-    for subject in NAMED {
+    for subject in COMPLETED_SUBJECTS {
         let command = Command { text: format!("show {subject} (name)"), ..Command::default() };
         let Ok(outcomes) = client.command(&command).await else { continue };
         for outcome in outcomes.results {
@@ -68,17 +69,18 @@
     words
 }
 
-/// Whether a text has an open `begin`, so that more lines belong to it.
-fn is_open(text: &str) -> bool {
+/// Returns whether the text has a `begin` without `commit`, so that the statement continues on the
+/// next line.
+fn has_open_begin(text: &str) -> bool {
     let mut words = text.split([' ', ';', '\n']);
     words.clone().any(|w| w == "begin") && !words.any(|w| w == "commit")
 }
 
-/// Runs the shell until its input ends.
-pub fn run(runtime: &Runtime, client: &Client, format: Format) -> Result<(), Failure> {
-    let mut editor: Editor<Words, DefaultHistory> = Editor::new()?;
+/// Runs the shell until the end of input.
+pub fn run(runtime: &Runtime, client: &Client, format: Format) -> Result<(), CliError> {
+    let mut editor: Editor<WordCompleter, DefaultHistory> = Editor::new()?;
     let words = runtime.block_on(words(client));
-    editor.set_helper(Some(Words { words: RefCell::new(words) }));
+    editor.set_helper(Some(WordCompleter { words: RefCell::new(words) }));
     let mut text = String::new();
     loop {
         let prompt = if text.is_empty() { "sardinepick> " } else { "        ...> " };
@@ -93,7 +95,7 @@
         };
         text.push_str(&line);
         text.push('\n');
-        if is_open(&text) {
+        if has_open_begin(&text) {
             continue;
         }
         let whole = std::mem::take(&mut text);
--- a/cli/src/trace.rs
+++ b/cli/src/trace.rs
@@ -1,19 +1,19 @@
-//! A request's way through nodes and runners, from the log lines of the nodes.
+//! Traces a request through nodes and runners from the nodes' log lines.
 
 use std::fmt;
 
 use serde_json::{Map, Value};
 
-/// One log line.
+/// A log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Where it was read: the file, and what stands before the line.
+    /// The origin of the line: the file, and the node named before the line.
     pub source: String,
-    /// Its time, as the node wrote it; such texts are in the order of their times.
+    /// The time as logged, in a format that sorts chronologically as text.
     pub time: String,
-    /// What it says.
+    /// The log message.
     pub message: String,
-    /// Its other fields.
+    /// All other fields.
     pub fields: Map<String, Value>,
 }
 
@@ -27,8 +27,8 @@
     }
 }
 
-/// Reads the lines of one file. What is no log line of ours is passed over: collectors put their
-/// own before and between.
+/// Parses the log lines in the text of a file. Anything else is skipped, because log collectors add
+/// lines and prefixes of their own.
 pub fn read(file: &str, text: &str) -> Vec<Line> {
     text.lines().filter_map(|line| read_line(file, line)).collect()
 }
@@ -41,62 +41,77 @@
     for name in ["level", "target"] {
         text(name);
     }
-    // Collectors put the node's name before the line, often behind a time of their own.
+    // Log collectors prefix the line with the node's name, often after a timestamp of their own.
     let node = before.split_whitespace().last().unwrap_or_default();
     let source = [file, node].iter().filter(|part| !part.is_empty()).copied().collect::<Vec<_>>();
     Some(Line { source: source.join(" "), time, message, fields })
 }
 
-/// What is known of one request.
+/// The log lines that explain what happened to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// The decisions that touched it, in order of time.
+    /// The lines about the request, in chronological order.
     pub request_lines: Vec<Line>,
-    /// What the nodes that had it came to believe shortly before its end.
+    /// The lines by which its nodes logged changes of their own state shortly before its end.
     pub state_lines: Vec<Line>,
-    /// The runners that ended under the same request, in whichever attempt, and what came of it.
+    /// The terminations of runners during any attempt of the same request, and the resulting
+    /// quarantine changes.
     pub terminations: Vec<Line>,
-    /// Where runners were closed to it: what runners had said of themselves, in answers to whichever
-    /// requests.
+    /// If runners were unavailable to the request: what runners had announced about themselves in
+    /// responses to any request.
     pub announcements: Vec<Line>,
 }
 
-/// How many lines of belief are shown: those nearest to the end.
-const MOST_BELIEFS: usize = 12;
-/// The lines that tell of runners that ended under a request.
-const ENDS: [&str; 2] = ["runner ended under a request", "quarantine changes"];
-/// How many of them are shown: the first ones, which caused the rest.
-const MOST_ENDS: usize = 24;
-/// The lines that tell what runners say of themselves.
-const SIGNALS: [&str; 4] = [
+/// The maximum number of state lines shown; the latest are kept.
+const MAX_STATE_LINES: usize = 12;
+/// The messages about runners that terminated during a request.
+const TERMINATION_MESSAGES: [&str; 2] = ["runner ended under a request", "quarantine changes"];
+/// The maximum number of termination lines shown. The first are kept, because they caused the
+/// others.
+const MAX_TERMINATION_LINES: usize = 24;
+/// The messages about what runners announce of themselves.
+const ANNOUNCEMENT_MESSAGES: [&str; 4] = [
     "rate limit set",
     "rate limit lifted",
     "runner leaves by its own word",
     "backing off from a runner",
 ];
-/// The reasons of refusals that follow from it.
-const CLOSED: [&str; 3] = ["rate_limited", "backing_off", "no_runner"];
-/// How many of these lines are shown: those nearest to the end.
-const MOST_SIGNALS: usize = 24;
+/// The refusal reasons that follow from such announcements.
+const UNAVAILABLE_REASONS: [&str; 3] = ["rate_limited", "backing_off", "no_runner"];
+/// The maximum number of announcement lines shown; the latest are kept.
+const MAX_ANNOUNCEMENT_LINES: usize = 24;
 
 impl Trace {
-    /// Finds the lines of a request; none if no line names it.
+    /// Collects the lines that explain a request, or returns `None` if no line mentions it.
     pub fn for_request(id: &str, mut lines: Vec<Line>) -> Option<Self> {
         lines.sort_by(|a, b| a.time.cmp(&b.time));
         let request_lines: Vec<Line> =
             lines.iter().filter(|line| line.request() == Some(id)).cloned().collect();
         let end = request_lines.last()?.time.clone();
-        let here = |line: &&Line| request_lines.iter().any(|w| w.source == line.source);
-        let belief = |line: &&Line| line.request().is_none() && line.time <= end;
-        let mut state_lines: Vec<Line> =
-            lines.iter().filter(here).filter(belief).rev().take(MOST_BELIEFS).cloned().collect();
+        let is_at_same_source =
+            |line: &&Line| request_lines.iter().any(|w| w.source == line.source);
+        let is_state = |line: &&Line| line.request().is_none() && line.time <= end;
+        let mut state_lines: Vec<Line> = lines
+            .iter()
+            .filter(is_at_same_source)
+            .filter(is_state)
+            .rev()
+            .take(MAX_STATE_LINES)
+            .cloned()
+            .collect();
         state_lines.reverse();
         let fingerprints: Vec<&str> = request_lines.iter().filter_map(Line::fingerprint).collect();
-        let of_it = |line: &&Line| line.fingerprint().is_some_and(|f| fingerprints.contains(&f));
-        let ends = |line: &&Line| ENDS.contains(&line.message.as_str());
-        let terminations =
-            lines.iter().filter(ends).filter(of_it).take(MOST_ENDS).cloned().collect();
-        let announcements = if request_lines.iter().any(is_closed) {
+        let is_same_request =
+            |line: &&Line| line.fingerprint().is_some_and(|f| fingerprints.contains(&f));
+        let is_termination = |line: &&Line| TERMINATION_MESSAGES.contains(&line.message.as_str());
+        let terminations = lines
+            .iter()
+            .filter(is_termination)
+            .filter(is_same_request)
+            .take(MAX_TERMINATION_LINES)
+            .cloned()
+            .collect();
+        let announcements = if request_lines.iter().any(is_unavailable) {
             announcements(&lines, &end)
         } else {
             Vec::new()
@@ -105,22 +120,25 @@
     }
 }
 
-/// Whether a line refuses a request since runners are closed to it.
-fn is_closed(line: &Line) -> bool {
+/// Returns whether a line reports a refusal because runners are unavailable to the request.
+fn is_unavailable(line: &Line) -> bool {
     let reason = line.fields.get("reason").and_then(Value::as_str);
-    reason.is_some_and(|reason| CLOSED.contains(&reason))
+    reason.is_some_and(|reason| UNAVAILABLE_REASONS.contains(&reason))
 }
 
-/// What runners had said of themselves until `end`, at all nodes: one may have heard it of another.
+/// Returns what runners had announced until `end`. The lines of all nodes count, because nodes
+/// forward announcements to each other.
 fn announcements(lines: &[Line], end: &str) -> Vec<Line> {
-    let told = |line: &&Line| SIGNALS.contains(&line.message.as_str()) && line.time.as_str() <= end;
+    let is_announcement = |line: &&Line| {
+        ANNOUNCEMENT_MESSAGES.contains(&line.message.as_str()) && line.time.as_str() <= end
+    };
     let mut announcements: Vec<Line> =
-        lines.iter().filter(told).rev().take(MOST_SIGNALS).cloned().collect();
+        lines.iter().filter(is_announcement).rev().take(MAX_ANNOUNCEMENT_LINES).cloned().collect();
     announcements.reverse();
     announcements
 }
 
-/// Writes lines of other requests, each behind the request's id.
+/// Writes lines of other requests, each prefixed with the id of its request.
 fn write_others(f: &mut fmt::Formatter<'_>, title: &str, lines: &[Line]) -> fmt::Result {
     if lines.is_empty() {
         return Ok(());
@@ -153,9 +171,9 @@
         self.request_lines.iter().try_for_each(|line| write_line(f, line))?;
         writeln!(f, "what its nodes had come to believe before:")?;
         self.state_lines.iter().try_for_each(|line| write_line(f, line))?;
-        let ended = "runners that ended under the same request, in any attempt";
-        write_others(f, ended, &self.terminations)?;
-        let told = "what runners had said of themselves, in answers to other requests";
-        write_others(f, told, &self.announcements)
+        let title = "runners that ended under the same request, in any attempt";
+        write_others(f, title, &self.terminations)?;
+        let title = "what runners had said of themselves, in answers to other requests";
+        write_others(f, title, &self.announcements)
     }
 }
--- a/cli/tests/account.rs
+++ b/cli/tests/account.rs
@@ -1,7 +1,7 @@
-//! The account of many requests from log lines.
+//! Summaries of the requests in log lines.
 
 use expect_test::expect;
-use sardinepick_cli::account::Account;
+use sardinepick_cli::account::RequestSummary;
 use sardinepick_cli::trace::read;
 
 const LINES: &str = r#"
@@ -18,7 +18,7 @@
 "#;
 
 #[test]
-fn of_lines_three_tables() {
+fn from_lines_three_tables() {
     expect![[r#"
         route                     requests  answered  others
         count                            1         1  
@@ -32,10 +32,10 @@
         2026-01-01T00:00:02       1        0       2  0.50            0        0.33
         2026-01-01T00:00:04       2        1       0     -            1           -
     "#]]
-    .assert_eq(&Account::of(read("", LINES)).to_string());
+    .assert_eq(&RequestSummary::from_lines(read("", LINES)).to_string());
 }
 
 #[test]
-fn of_no_lines_empty() {
-    assert!(Account::of(read("", "no line of ours\n{}")).is_empty());
+fn from_lines_without_requests_empty() {
+    assert!(RequestSummary::from_lines(read("", "no line of ours\n{}")).is_empty());
 }
--- a/cli/tests/command_line.rs
+++ b/cli/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: exit codes, key digests, and the forms of answers.
+//! The command line: exit codes, key digests and output formats.
 
 use std::io::Write as _;
 use std::process::{Command, Output, Stdio};
@@ -14,12 +14,12 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
-    let mut stdin = child.stdin.take().expect("it has an input");
-    // A program that has ended already reads nothing.
+        .expect("program should start");
+    let mut stdin = child.stdin.take().expect("stdin should be piped");
+    // The write fails if the program has already exited.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    child.wait_with_output().expect("the program ends")
+    child.wait_with_output().expect("program should exit")
 }
 
 #[test]
@@ -33,10 +33,10 @@
         // Port 1 of a loopback address has no listener.
         (&["--node", "127.0.0.1:1", "run", "show nodes"], 69, "not reached"),
     ];
-    for (arguments, code, says) in cases {
+    for (arguments, code, message) in cases {
         let output = run(arguments, "");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!((output.status.code(), text.contains(says)), (Some(code), true), "{text}");
+        assert_eq!((output.status.code(), text.contains(message)), (Some(code), true), "{text}");
     }
 }
 
@@ -78,6 +78,6 @@
     "#]]
     .assert_eq(&outcomes(&all, Format::Table, Colour::No));
     let json = outcomes(&all, Format::Json, Colour::No);
-    let back: Outcomes = serde_json::from_str(&json).expect("it is JSON");
-    assert_eq!(back, all);
+    let parsed: Outcomes = serde_json::from_str(&json).expect("output should be JSON");
+    assert_eq!(parsed, all);
 }
--- a/cli/tests/serving.rs
+++ b/cli/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Tables from a serving node's state.
+//! Tables of a serving node's state.
 
 use expect_test::expect;
 use sardinepick_cli::client::{Outcome, Outcomes, Rows};
@@ -6,7 +6,7 @@
 use sardinepick_cli::serving::{accounts, duties};
 use serde_json::json;
 
-fn shown(rows: Rows) -> String {
+fn table(rows: Rows) -> String {
     let outcome = Outcomes { results: vec![Outcome::Rows(rows)], generation: 0 };
     outcomes(&outcome, Format::Table, Colour::No)
 }
@@ -20,12 +20,12 @@
         edge-1  4       1200     7       reported
         edge-1  4       1200     8       incomplete
     "#]]
-    .assert_eq(&shown(duties(&state)));
+    .assert_eq(&table(duties(&state)));
     expect![[r#"
         holder  number  left_ms  window  outcome
         -       -       -        -       -
     "#]]
-    .assert_eq(&shown(duties(&json!({}))));
+    .assert_eq(&table(duties(&json!({}))));
 }
 
 #[test]
@@ -36,5 +36,5 @@
         kitchen  1
         cellar   -
     "#]]
-    .assert_eq(&shown(accounts(&state)));
+    .assert_eq(&table(accounts(&state)));
 }
--- a/cli/tests/trace.rs
+++ b/cli/tests/trace.rs
@@ -1,4 +1,4 @@
-//! Explaining a request from log lines.
+//! Traces of requests from log lines.
 
 use expect_test::expect;
 use sardinepick_cli::trace::{Trace, read};
@@ -14,8 +14,8 @@
 "#;
 
 #[test]
-fn of_request_way_and_beliefs_of_its_node() {
-    let trace = Trace::for_request("r1", read("", LINES)).expect("it is named");
+fn for_request_own_lines_and_state_of_its_node() {
+    let trace = Trace::for_request("r1", read("", LINES)).expect("a line mentions it");
     expect![[r#"
         the request's way:
           2026-01-01T00:00:02.000Z  edge-1  gate refuses  first_ms=1207
@@ -27,13 +27,14 @@
 }
 
 #[test]
-fn of_unknown_request_none() {
+fn for_request_unknown_none() {
     assert_eq!(Trace::for_request("r2", read("", LINES)), None);
 }
 
-/// From a request that is refused to the runners that ended under others like it, at other nodes.
+/// The trace of a quarantined request shows the runner terminations during the same request at
+/// other nodes.
 #[test]
-fn of_quarantined_request_ends_that_caused_it() {
+fn for_request_quarantined_terminations_that_caused_it() {
     let lines = r#"
 edge-1 {"time":"2026-01-01T00:00:01.000Z","message":"runner ended under a request","request":"r1","fingerprint":"ab","runner":"i-1","events":0}
 edge-1 {"time":"2026-01-01T00:00:01.500Z","message":"runner ended under a request","request":"r2","fingerprint":"cd","runner":"i-1","events":9}
@@ -41,7 +42,7 @@
 edge-3 {"time":"2026-01-01T00:00:09.000Z","message":"quarantine refuses","request":"r9","fingerprint":"ab","ends":3}
 edge-3 {"time":"2026-01-01T00:00:09.000Z","message":"request refused","request":"r9","reason":"quarantined","status":400}
 "#;
-    let trace = Trace::for_request("r9", read("", lines)).expect("it is named");
+    let trace = Trace::for_request("r9", read("", lines)).expect("a line mentions it");
     expect![[r#"
         the request's way:
           2026-01-01T00:00:09.000Z  edge-3  quarantine refuses  ends=3  fingerprint=ab
@@ -54,16 +55,17 @@
     .assert_eq(&trace.to_string());
 }
 
-/// From a request that is refused to the answers that closed the runners to it, at other nodes too.
+/// The trace of a refused request shows the announcements that made runners unavailable to it, at
+/// other nodes too.
 #[test]
-fn of_request_runners_closed_answers_that_caused_it() {
+fn for_request_runners_unavailable_announcements_that_caused_it() {
     let lines = r#"
 edge-1 {"time":"2026-01-01T00:00:01.000Z","message":"rate limit set","request":"r1","runner":"i-1","rate":"2/s","source":"answer"}
 edge-2 {"time":"2026-01-01T00:00:01.004Z","message":"rate limit set","request":"","runner":"i-1","rate":"2/s","source":"edge-1"}
 edge-2 {"time":"2026-01-01T00:00:02.000Z","message":"request refused","request":"r9","reason":"rate_limited","status":503}
 edge-1 {"time":"2026-01-01T00:00:03.000Z","message":"rate limit lifted","request":"r2","runner":"i-1","source":"answer"}
 "#;
-    let trace = Trace::for_request("r9", read("", lines)).expect("it is named");
+    let trace = Trace::for_request("r9", read("", lines)).expect("a line mentions it");
     expect![[r#"
         the request's way:
           2026-01-01T00:00:02.000Z  edge-2  request refused  reason=rate_limited  status=503
