--- a/wire/tests/beat.rs
+++ b/wire/tests/beat.rs
@@ -1,4 +1,4 @@
-//! Beats between nodes.
+//! Heartbeats between nodes.
 
 use std::time::{Duration, Instant};
 
@@ -20,11 +20,11 @@
 fn record(at: u32) -> Record {
     Record {
         contact: Contact {
-            id: format!("edge-zaal-hofvijver-{at}").parse().expect("an id"),
+            id: format!("edge-zaal-hofvijver-{at}").parse().expect("valid id"),
             incarnation: Incarnation(1 << 52),
-            data_centre: "zaal-hofvijver".parse().expect("an id"),
-            front: "10.100.100.100:18149".parse().expect("an address"),
-            peer: "10.100.100.100:18144".parse().expect("an address"),
+            data_centre: "zaal-hofvijver".parse().expect("valid id"),
+            front: "10.100.100.100:18149".parse().expect("valid address"),
+            peer: "10.100.100.100:18144".parse().expect("valid address"),
         },
         standing: Standing::Ready,
         served: true,
@@ -33,7 +33,7 @@
     }
 }
 
-fn beat(records: u32) -> Heartbeat {
+fn heartbeat(records: u32) -> Heartbeat {
     Heartbeat {
         sender: record(17),
         status: Status {
@@ -56,22 +56,22 @@
 }
 
 #[test]
-fn decode_full_beat_round_trip() {
+fn decode_full_heartbeat_round_trip() {
     let object =
         pb::Object { name: "i-7f3a".to_owned(), revision: 7, content: vec![1; 300], era: None };
     let gone = vec!["i-1".to_owned()];
     let news =
         pb::Knowledge { runners: vec![object], gone, mark: 9, since: 8, ..Default::default() };
-    let full = Heartbeat { register_update: Some(news), ..beat(3) };
-    assert_eq!(Heartbeat::decode(&full.encode(), Era(1)).expect("it is one"), full);
+    let full = Heartbeat { register_update: Some(news), ..heartbeat(3) };
+    assert_eq!(Heartbeat::decode(&full.encode(), Era(1)).expect("should decode"), full);
     let records = full.records;
-    assert_eq!(decode_nodes(&encode_nodes(&records, Vec::new())).expect("they are nodes"), records);
+    assert_eq!(decode_nodes(&encode_nodes(&records, Vec::new())).expect("should decode"), records);
 }
 
-/// Symptom: a node is never heard. Cause: its beat is larger than a packet.
+/// Guards against heartbeats that are lost because they do not fit into one packet.
 #[test]
-fn encode_full_beat_one_packet() {
-    let length = beat(MOST_RECORDS as u32).encode().len();
+fn encode_full_heartbeat_fits_one_packet() {
+    let length = heartbeat(MOST_RECORDS as u32).encode().len();
     assert!(length <= MAX_DATAGRAM_BYTES, "{length}");
 }
 
@@ -81,60 +81,60 @@
         serial: u32::MAX,
         stage: [Stage::Proposed, Stage::Confirmed, Stage::Withdrawn, Stage::Cleared]
             [n as usize % 4],
-        ends: (0..MOST_ENDS as u64).map(|life| Tag(u64::MAX - life)).collect(),
+        ends: (0..MOST_ENDS as u64).map(|n| Tag(u64::MAX - n)).collect(),
         begun: MOST_ENDS as u32,
         first: now - Duration::from_secs(80_000),
         since: now - Duration::from_secs(79_000),
     }
 }
 
-/// What is told of requests that are not run fits beside all else that a beat says without records.
+/// The maximum number of quarantine entries fits into a heartbeat without records.
 #[test]
-fn read_quarantined_full_beat_round_trip() {
+fn decode_entries_full_heartbeat_round_trip() {
     let now = Instant::now() + Duration::from_secs(86_400);
     let entries: Vec<Entry> = (0..MOST_TOLD as u64).map(|n| entry(n, now)).collect();
-    let full = Heartbeat { quarantined: encode_entries(&entries, now), ..beat(0) };
+    let full = Heartbeat { quarantined: encode_entries(&entries, now), ..heartbeat(0) };
     let bytes = full.encode();
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
-    let read = Heartbeat::decode(&bytes, Era(1)).expect("it is one");
-    assert_eq!(decode_entries(&read.quarantined, now).expect("they are entries"), entries);
+    let decoded = Heartbeat::decode(&bytes, Era(1)).expect("should decode");
+    assert_eq!(decode_entries(&decoded.quarantined, now).expect("should decode"), entries);
 }
 
 #[test]
-fn read_quarantined_absurd_not_taken() {
+fn decode_entries_out_of_range_rejected_or_bounded() {
     let now = Instant::now();
-    let good = encode_entries(&[entry(1, now + Duration::from_secs(86_400))], now).remove(0);
-    let short = pb::Quarantined { request: vec![1; 15], ..good.clone() };
-    let stage = pb::Quarantined { stage: 9, ..good.clone() };
-    for absurd in [short, stage] {
-        assert!(decode_entries(&[absurd], now).is_err());
+    let valid = encode_entries(&[entry(1, now + Duration::from_secs(86_400))], now).remove(0);
+    let short = pb::Quarantined { request: vec![1; 15], ..valid.clone() };
+    let stage = pb::Quarantined { stage: 9, ..valid.clone() };
+    for invalid in [short, stage] {
+        assert!(decode_entries(&[invalid], now).is_err());
     }
-    let old = pb::Quarantined { first_ms: u64::MAX, since_ms: u64::MAX, ..good.clone() };
-    let many = pb::Quarantined { ends: vec![1; 10_000], ..good };
-    let read = decode_entries(&[old, many], now).expect("they are bounded");
-    assert!(read.iter().all(|entry| entry.ends.len() <= MOST_ENDS && entry.since <= now));
+    let old = pb::Quarantined { first_ms: u64::MAX, since_ms: u64::MAX, ..valid.clone() };
+    let many = pb::Quarantined { ends: vec![1; 10_000], ..valid };
+    let decoded = decode_entries(&[old, many], now).expect("should decode with bounded values");
+    assert!(decoded.iter().all(|entry| entry.ends.len() <= MOST_ENDS && entry.since <= now));
 }
 
-/// What is told of rate limits and of runners that leave fits beside all else that a beat says without records.
+/// The maximum number of rate limits and leaving runners fits into a heartbeat without records.
 #[test]
-fn decode_full_of_signals_round_trip() {
+fn decode_max_limits_and_leaving_round_trip() {
     let limit = |n: u64| Announced {
         runner: Tag(u64::MAX - n),
         rate: Rate::new(6.7).filter(|_| n.is_multiple_of(2)),
         age: Duration::from_millis(80_000_000),
     };
     let leaving = (0..16).map(|n| Tag(u64::MAX - n)).collect();
-    let full = Heartbeat { limits: (0..16).map(limit).collect(), leaving, ..beat(0) };
+    let full = Heartbeat { limits: (0..16).map(limit).collect(), leaving, ..heartbeat(0) };
     let bytes = full.encode();
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
-    assert_eq!(Heartbeat::decode(&bytes, Era(1)).expect("it is one"), full);
+    assert_eq!(Heartbeat::decode(&bytes, Era(1)).expect("should decode"), full);
 }
 
 #[test]
-fn decode_absurd_limit_error() {
+fn decode_invalid_rate_limit_error() {
     for rate in [-1.0, f64::NAN] {
         let limit = pb::RateLimit { runner: 1, rate: Some(rate), age_ms: u64::MAX };
-        let sent = pb::Beat::decode(&beat(0).encode()[..]).expect("it is one");
+        let sent = pb::Beat::decode(&heartbeat(0).encode()[..]).expect("should decode");
         let sent = pb::Beat { rate_limits: vec![limit], ..sent };
         assert!(Heartbeat::decode(&sent.encode_to_vec(), Era(1)).is_err(), "{rate}");
     }
@@ -147,26 +147,28 @@
     }
 }
 
-/// Guards against beats of nodes of an earlier version, which name no era, that are taken for old ones,
-/// and against an era that no fencing number has room for.
+/// Guards against treating heartbeats of nodes of earlier versions, which contain no era, as
+/// outdated, and against eras that do not fit into a fencing token.
 #[test]
-fn decode_era_absent_or_absurd() {
-    let sent = pb::Beat::decode(&*beat(0).encode()).expect("it is one");
-    let read = |era| Heartbeat::decode(&pb::Beat { era, ..sent.clone() }.encode_to_vec(), Era(7));
-    let era = |era| read(era).expect("it is one").status.register.era;
+fn decode_era_missing_or_out_of_range() {
+    let sent = pb::Beat::decode(&*heartbeat(0).encode()).expect("should decode");
+    let decoded =
+        |era| Heartbeat::decode(&pb::Beat { era, ..sent.clone() }.encode_to_vec(), Era(7));
+    let era = |era| decoded(era).expect("should decode").status.register.era;
     assert_eq!((era(None), era(Some(0)), era(Some(8))), (Era(7), Era(0), Era(8)));
-    assert!(read(Some(LAST_ERA.0 + 1)).is_err());
+    assert!(decoded(Some(LAST_ERA.0 + 1)).is_err());
 }
 
-/// Guards against beats that grow: a node sends 40 a second.
+/// Guards against larger heartbeats, because a node sends 40 per second.
 #[test]
-fn encode_era_few_bytes() {
+fn encode_era_adds_few_bytes() {
     let length = |era| {
         let register = Mark { era: Era(era), order: 1 << 24 };
-        let status = Status { register, ..beat(0).status };
-        Heartbeat { status, ..beat(0) }.encode().len()
+        let status = Status { register, ..heartbeat(0).status };
+        Heartbeat { status, ..heartbeat(0) }.encode().len()
     };
-    let without = pb::Beat { era: None, ..pb::Beat::decode(&*beat(0).encode()).expect("one") };
+    let without =
+        pb::Beat { era: None, ..pb::Beat::decode(&*heartbeat(0).encode()).expect("should decode") };
     let register = pb::Beat { register: 1 << 24, ..without };
     assert!(length(1) <= register.encoded_len() + 4);
     assert!(length(LAST_ERA.0) <= register.encoded_len() + 4);
--- a/wire/tests/schedule.rs
+++ b/wire/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes and the schedulers of pools.
+//! Datagrams between nodes and the schedulers of runner pools.
 
 use std::time::Duration;
 
@@ -21,14 +21,14 @@
 use sardinepick_wire::schedule::{MAX_LESSONS, MAX_LOADS, MAX_READINGS, Report, Schedule};
 
 fn runner(name: &str) -> RunnerId {
-    name.parse().expect("an id")
+    name.parse().expect("valid id")
 }
 
 fn ask(step: Step) -> Ask {
     let parts = [("5c1e07a2", 13_300), ("91bd3f06", 410), ("e4402b7d", 250)];
     Ask {
-        service: "tryckassistent".parse().expect("an id"),
-        data_centre: "zaal-hofvijver".parse().expect("an id"),
+        service: "tryckassistent".parse().expect("valid id"),
+        data_centre: "zaal-hofvijver".parse().expect("valid id"),
         terms: Terms {
             class: Class::of_rank(2),
             objective: Some(Duration::from_micros(812_345)),
@@ -54,7 +54,7 @@
     let reading = |n| Reading { runner: Tag(n), part, progress: Progress::Read };
     let lesson = Lesson::Reading { predicted: 0.5, reading: 0.125, seen: 0.25 };
     Report {
-        node: "edge-zaal-hofvijver-17".parse().expect("an id"),
+        node: "edge-zaal-hofvijver-17".parse().expect("valid id"),
         loads: (0..MAX_LOADS as u64).map(|n| (Tag(n), load)).collect(),
         readings: (0..MAX_READINGS as u64).map(reading).collect(),
         lessons: (0..MAX_LESSONS as u64).map(|n| (Tag(n), lesson)).collect(),
@@ -64,8 +64,8 @@
 fn round_trip(schedule: &Schedule) {
     let bytes = schedule.encode();
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
-    assert_eq!(Schedule::decode(&bytes).expect("it is one"), *schedule);
-    assert!(Heartbeat::decode(&bytes, Era(1)).is_err(), "a node that knows beats alone drops it");
+    assert_eq!(Schedule::decode(&bytes).expect("should decode"), *schedule);
+    assert!(Heartbeat::decode(&bytes, Era(1)).is_err(), "must not decode as a heartbeat");
 }
 
 #[test]
@@ -73,21 +73,21 @@
     let go_on = Step::GoOn { reader: runner("i-2"), class: Class::LATE };
     let steps = [Firmness::New, Firmness::HasRun, Firmness::Streaming].map(Step::Start);
     for step in steps {
-        let node = "edge-zaal-hofvijver-17".parse().expect("an id");
+        let node = "edge-zaal-hofvijver-17".parse().expect("valid id");
         round_trip(&Schedule::Question { number: 1 << 40, node, ask: Box::new(ask(step)) });
     }
-    let Schedule::Question { ask: read, .. } = Schedule::decode(
+    let Schedule::Question { ask: decoded, .. } = Schedule::decode(
         &Schedule::Question {
             number: 1,
-            node: "edge-1".parse().expect("an id"),
+            node: "edge-1".parse().expect("valid id"),
             ask: Box::new(ask(go_on.clone())),
         }
         .encode(),
     )
-    .expect("it is one") else {
-        panic!("it is a question");
+    .expect("should decode") else {
+        panic!("expected a question");
     };
-    assert_eq!(read.step, go_on);
+    assert_eq!(decoded.step, go_on);
 }
 
 #[test]
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn decode_end_round_trip() {
+fn decode_ended_round_trip() {
     let request = Fingerprint::of(&[b"a brief"]);
     for begun in [false, true] {
         let end = End { life: Tag(u64::MAX), reach: Reach { events: 9, begun } };
@@ -138,20 +138,20 @@
 }
 
 #[test]
-fn decode_absurd_load_bounded() {
-    let mut absurd = full_report();
-    absurd.loads[0].1.requests = [u32::MAX; 4];
-    absurd.loads[0].1.backlog = [u64::MAX; 4];
-    let read = Schedule::decode(&Schedule::Report(absurd).encode()).expect("it is one");
-    let Schedule::Report(read) = read else { panic!("it is a report") };
-    let sum: u64 = read.loads.iter().map(|(_, load)| load.backlog.iter().sum::<u64>()).sum();
-    assert!(sum < u64::MAX / 1_000 && read.loads[0].1.total() < u32::MAX / 1_000);
+fn decode_excessive_load_bounded() {
+    let mut excessive = full_report();
+    excessive.loads[0].1.requests = [u32::MAX; 4];
+    excessive.loads[0].1.backlog = [u64::MAX; 4];
+    let decoded = Schedule::decode(&Schedule::Report(excessive).encode()).expect("should decode");
+    let Schedule::Report(decoded) = decoded else { panic!("expected a report") };
+    let sum: u64 = decoded.loads.iter().map(|(_, load)| load.backlog.iter().sum::<u64>()).sum();
+    assert!(sum < u64::MAX / 1_000 && decoded.loads[0].1.total() < u32::MAX / 1_000);
 }
 
-/// Symptom: a scheduler places everything at one runner. Cause: another node taught it a time that is
-/// no number.
+/// Guards against a scheduler that places all requests at one runner because another node reported
+/// an observed time that is not a finite number in range.
 #[test]
-fn decode_lesson_no_number_not_taken() {
+fn decode_lesson_invalid_time_rejected() {
     for seen in [f64::NAN, f64::INFINITY, -1.0, 1e9] {
         let lessons = vec![(Tag(1), Lesson::Reading { predicted: 0.5, reading: 0.125, seen })];
         let report = Report { lessons, ..full_report() };
