--- a/node/src/duty/caller.rs
+++ b/node/src/duty/caller.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::Request;
 use sardinepick_lib::id::NodeId;
-use sardinepick_platform::duty::{Authority, Reply, reply};
+use sardinepick_platform::duty::{Authority, Reply, reply_from_status};
 use tokio::time::timeout;
 
 use super::tenure::Tenure;
@@ -72,7 +72,7 @@
         let sent = self.connections.send(self.address, request, CONNECT_LIMIT);
         let outcome = match timeout(CALL_LIMIT, sent).await {
             Ok(Ok(answer)) => {
-                let reply = reply(answer.head.status);
+                let reply = reply_from_status(answer.head.status);
                 answer.discard(LARGEST).await;
                 Outcome::Replied(reply)
             }
--- a/node/src/serve/answer.rs
+++ b/node/src/serve/answer.rs
@@ -8,7 +8,7 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt as _, Full};
 use sardinepick_lib::fleet::gate::Reason;
-use sardinepick_platform::answer::{forwarded, retry_after};
+use sardinepick_platform::answer::{forwarded_headers, retry_after};
 use strum::{Display, IntoStaticStr};
 use thiserror::Error;
 
@@ -105,7 +105,7 @@
 pub fn pass_on(head: &Parts, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
-    *response.headers_mut() = forwarded(&head.headers);
+    *response.headers_mut() = forwarded_headers(&head.headers);
     response
 }
 
--- a/node/src/serve/generation/read.rs
+++ b/node/src/serve/generation/read.rs
@@ -192,7 +192,7 @@
         let Some(handle) = self.handle.take() else { return };
         let (shared, runner) = (self.shared.clone(), self.runner.clone());
         tokio::spawn(async move {
-            let request = runner::free(&handle, &runner);
+            let request = runner::release_handle(&handle, &runner);
             match shared.connections.send(handle.holder, request, CONNECT_LIMIT).await {
                 Ok(answer) => answer.discard(LARGEST).await,
                 Err(error) => {
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -15,7 +15,7 @@
 use sardinepick_lib::fleet::runner::{Entry, Runner, Tag};
 use sardinepick_lib::id::{Born, Epoch, RunnerId, ServiceId};
 use sardinepick_platform::order::{
-    Order, Reply, Report, read_report, reply, request, request_report,
+    Order, Reply, Report, read_report, reply_from_status, request, request_report,
 };
 use tokio::time::{sleep, timeout};
 
@@ -272,7 +272,7 @@
         let sent = self.shared.connections.send(entry.address, request(&order), CONNECT_LIMIT);
         match timeout(ORDER_LIMIT, sent).await {
             Ok(Ok(answer)) => {
-                let reply = reply(answer.head.status);
+                let reply = reply_from_status(answer.head.status);
                 answer.discard(LARGEST).await;
                 Some(reply)
             }
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -17,7 +17,7 @@
 use sardinepick_lib::fleet::runner::Closed;
 use sardinepick_lib::id::{AccountId, ServiceId};
 use sardinepick_platform::caller::{self, CallerHeaders};
-use sardinepick_platform::runner::forwarded;
+use sardinepick_platform::runner::forwarded_headers;
 use smol_str::SmolStr;
 use tokio::time::timeout;
 
@@ -134,7 +134,7 @@
 pub async fn answer(shared: &Arc<Shared>, request: http::Request<Incoming>) -> Response<Body> {
     let arrived = shared.clock.now();
     let (head, body) = request.into_parts();
-    let ask = caller::read(&head.headers);
+    let ask = caller::read_headers(&head.headers);
     let refuse = |refusal: Refusal| {
         let id = ask.id.as_deref().unwrap_or_default();
         let version = shared.configuration.load().as_ref().map(|c| c.version).unwrap_or_default();
@@ -172,7 +172,7 @@
         ask,
         fingerprint: fingerprint(&head, account.as_ref(), &body),
         account,
-        headers: forwarded(&head.headers),
+        headers: forwarded_headers(&head.headers),
         method: head.method,
         uri: head.uri,
         body,
