--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -159,12 +159,12 @@
     let mut lines = Vec::new();
     for file in files {
         let text = std::fs::read(file)?;
-        lines.extend(trace::read(file, &String::from_utf8_lossy(&text)));
+        lines.extend(trace::parse_lines(file, &String::from_utf8_lossy(&text)));
     }
     if files.is_empty() {
         let mut text = Vec::new();
         std::io::stdin().read_to_end(&mut text)?;
-        lines.extend(trace::read("", &String::from_utf8_lossy(&text)));
+        lines.extend(trace::parse_lines("", &String::from_utf8_lossy(&text)));
     }
     Ok(lines)
 }
--- a/cli/src/trace.rs
+++ b/cli/src/trace.rs
@@ -29,7 +29,7 @@
 
 /// Parses the log lines in the text of a file. Anything else is skipped, because log collectors add
 /// lines and prefixes of their own.
-pub fn read(file: &str, text: &str) -> Vec<Line> {
+pub fn parse_lines(file: &str, text: &str) -> Vec<Line> {
     text.lines().filter_map(|line| read_line(file, line)).collect()
 }
 
--- a/cli/tests/account.rs
+++ b/cli/tests/account.rs
@@ -2,7 +2,7 @@
 
 use expect_test::expect;
 use sardinepick_cli::account::RequestSummary;
-use sardinepick_cli::trace::read;
+use sardinepick_cli::trace::parse_lines;
 
 const LINES: &str = r#"
 0.2 edge-1 {"time":"2026-01-01T00:00:03.100Z","message":"request answered","request":"r1","route":"count","status":200,"reason":""}
@@ -32,10 +32,10 @@
         2026-01-01T00:00:02       1        0       2  0.50            0        0.33
         2026-01-01T00:00:04       2        1       0     -            1           -
     "#]]
-    .assert_eq(&RequestSummary::from_lines(read("", LINES)).to_string());
+    .assert_eq(&RequestSummary::from_lines(parse_lines("", LINES)).to_string());
 }
 
 #[test]
 fn from_lines_without_requests_empty() {
-    assert!(RequestSummary::from_lines(read("", "no line of ours\n{}")).is_empty());
+    assert!(RequestSummary::from_lines(parse_lines("", "no line of ours\n{}")).is_empty());
 }
--- a/cli/tests/trace.rs
+++ b/cli/tests/trace.rs
@@ -1,7 +1,7 @@
 //! Traces of requests from log lines.
 
 use expect_test::expect;
-use sardinepick_cli::trace::{Trace, read};
+use sardinepick_cli::trace::{Trace, parse_lines};
 
 const LINES: &str = r#"
 starting up
@@ -15,7 +15,7 @@
 
 #[test]
 fn for_request_own_lines_and_state_of_its_node() {
-    let trace = Trace::for_request("r1", read("", LINES)).expect("a line mentions it");
+    let trace = Trace::for_request("r1", parse_lines("", LINES)).expect("a line mentions it");
     expect![[r#"
         the request's way:
           2026-01-01T00:00:02.000Z  edge-1  gate refuses  first_ms=1207
@@ -28,7 +28,7 @@
 
 #[test]
 fn for_request_unknown_none() {
-    assert_eq!(Trace::for_request("r2", read("", LINES)), None);
+    assert_eq!(Trace::for_request("r2", parse_lines("", LINES)), None);
 }
 
 /// The trace of a quarantined request shows the runner terminations during the same request at
@@ -42,7 +42,7 @@
 edge-3 {"time":"2026-01-01T00:00:09.000Z","message":"quarantine refuses","request":"r9","fingerprint":"ab","ends":3}
 edge-3 {"time":"2026-01-01T00:00:09.000Z","message":"request refused","request":"r9","reason":"quarantined","status":400}
 "#;
-    let trace = Trace::for_request("r9", read("", lines)).expect("a line mentions it");
+    let trace = Trace::for_request("r9", parse_lines("", lines)).expect("a line mentions it");
     expect![[r#"
         the request's way:
           2026-01-01T00:00:09.000Z  edge-3  quarantine refuses  ends=3  fingerprint=ab
@@ -65,7 +65,7 @@
 edge-2 {"time":"2026-01-01T00:00:02.000Z","message":"request refused","request":"r9","reason":"rate_limited","status":503}
 edge-1 {"time":"2026-01-01T00:00:03.000Z","message":"rate limit lifted","request":"r2","runner":"i-1","source":"answer"}
 "#;
-    let trace = Trace::for_request("r9", read("", lines)).expect("a line mentions it");
+    let trace = Trace::for_request("r9", parse_lines("", lines)).expect("a line mentions it");
     expect![[r#"
         the request's way:
           2026-01-01T00:00:02.000Z  edge-2  request refused  reason=rate_limited  status=503
--- a/node/tests/explain.rs
+++ b/node/tests/explain.rs
@@ -7,7 +7,7 @@
 
 use http::StatusCode;
 use log::LevelFilter;
-use sardinepick_cli::trace::{Trace, read};
+use sardinepick_cli::trace::{Trace, parse_lines};
 use sardinepick_node::logging::{queue, start_to};
 use sardinepick_node::settings::LogFormat;
 use sardinepick_testutils::cluster::wait_until;
@@ -42,7 +42,7 @@
 
 /// The explanation of a request, once its end is in the log.
 async fn explain(kept: &Kept, id: &str) -> String {
-    let trace = || Trace::for_request(id, read("node.log", &kept.text()));
+    let trace = || Trace::for_request(id, parse_lines("node.log", &kept.text()));
     wait_until("the end is logged", async || {
         trace().is_some_and(|t| {
             t.request_lines.iter().any(|line| line.message.starts_with("request "))
