--- a/cli/src/account.rs
+++ b/cli/src/account.rs
@@ -94,17 +94,19 @@
         match line.message.as_str() {
             "placed" => self.add_placed(line, row, id, placements),
             "first event" => {
-                let seen = number_field(line, "first_ms");
-                if let (Some((class, predicted)), Some(seen)) = (placements.get(&id), seen) {
-                    self.classes.entry(*class).or_default().first.push((*predicted, seen));
+                let observed = number_field(line, "first_ms");
+                if let (Some((class, predicted)), Some(observed)) = (placements.get(&id), observed)
+                {
+                    self.classes.entry(*class).or_default().first.push((*predicted, observed));
                 }
             }
             "prompt read" => {
-                let (predicted, held) =
+                let (predicted, observed) =
                     (number_field(line, "predicted_ms"), number_field(line, "held_ms"));
-                if let (Some((class, _)), Some(p), Some(h)) = (placements.get(&id), predicted, held)
+                if let (Some((class, _)), Some(predicted), Some(observed)) =
+                    (placements.get(&id), predicted, observed)
                 {
-                    self.classes.entry(*class).or_default().read.push((p, h));
+                    self.classes.entry(*class).or_default().read.push((predicted, observed));
                 }
             }
             "runner did not run it" => self.times.entry(row).or_default().turned_away += 1,
@@ -172,7 +174,7 @@
 
 /// Returns the median and the 95th percentile of the ratio of observed to predicted times.
 fn ratios(pairs: &[(f64, f64)]) -> (String, String) {
-    let ratio = || pairs.iter().map(|(predicted, seen)| seen / predicted.max(1.0));
+    let ratio = || pairs.iter().map(|(predicted, observed)| observed / predicted.max(1.0));
     (format_cell(quantile(ratio(), 0.5), 2), format_cell(quantile(ratio(), 0.95), 2))
 }
 
@@ -191,10 +193,15 @@
             "class", "placed", "first ms p50", "seen/predicted", "read/predicted"
         )?;
         for (class, row) in &self.classes {
-            let first = format_cell(quantile(row.first.iter().map(|(_, seen)| *seen), 0.5), 0);
+            let first =
+                format_cell(quantile(row.first.iter().map(|(_, observed)| *observed), 0.5), 0);
             let ((a, b), (c, d)) = (ratios(&row.first), ratios(&row.read));
-            let (seen, read) = (format!("{a} p95 {b}"), format!("{c} p95 {d}"));
-            writeln!(f, "{class:<6} {:>8} {first:>13} {seen:>18} {read:>18}", row.placed)?;
+            let (first_ratio, read_ratio) = (format!("{a} p95 {b}"), format!("{c} p95 {d}"));
+            writeln!(
+                f,
+                "{class:<6} {:>8} {first:>13} {first_ratio:>18} {read_ratio:>18}",
+                row.placed
+            )?;
         }
         writeln!(
             f,
--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -174,21 +174,21 @@
     /// Calls the first reachable node. Once a connection has been established, no other node is
     /// tried, because the call may have been executed.
     async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Bytes, ClientError> {
-        let mut last = None;
+        let mut last_error = None;
         for node in &self.nodes {
             match self.call_node(*node, method.clone(), path, body.clone()).await {
-                Err(error @ ClientError::Unreachable { .. }) => last = Some(error),
+                Err(error @ ClientError::Unreachable { .. }) => last_error = Some(error),
                 other => return other,
             }
         }
-        Err(last.unwrap_or(ClientError::Refused {
+        Err(last_error.unwrap_or(ClientError::Refused {
             status: 0,
             code: "no_node".to_owned(),
             message: "no node given".to_owned(),
         }))
     }
 
-    fn read<T: for<'de> Deserialize<'de>>(&self, bytes: &[u8]) -> Result<T, ClientError> {
+    fn parse<T: for<'de> Deserialize<'de>>(&self, bytes: &[u8]) -> Result<T, ClientError> {
         let node = self.nodes[0];
         serde_json::from_slice(bytes)
             .map_err(|error| ClientError::InvalidResponse { node, detail: error.to_string() })
@@ -201,7 +201,7 @@
     pub async fn command(&self, command: &Command) -> Result<Outcomes, ClientError> {
         let body = serde_json::to_vec(command).expect("a command serializes to JSON");
         let bytes = self.call(Method::POST, "/admin/v1/command", Bytes::from(body)).await?;
-        self.read(&bytes)
+        self.parse(&bytes)
     }
 
     /// Fetches a JSON document.
@@ -210,7 +210,7 @@
     /// The call was rejected or the connection failed.
     pub async fn get(&self, path: &str) -> Result<serde_json::Value, ClientError> {
         let bytes = self.call(Method::GET, path, Bytes::new()).await?;
-        self.read(&bytes)
+        self.parse(&bytes)
     }
 }
 
