--- a/node/src/serve/beat.rs
+++ b/node/src/serve/beat.rs
@@ -8,7 +8,7 @@
 use sardinepick_lib::fleet::quarantine::MAX_ENTRIES_PER_MESSAGE;
 use sardinepick_lib::fleet::register_version::RegisterVersion;
 use sardinepick_lib::fleet::roster::{HEARTBEAT_PERIOD, Record, Standing, Status};
-use sardinepick_wire::beat::{Beat, MOST_BYTES};
+use sardinepick_wire::beat::{Heartbeat, MAX_DATAGRAM_BYTES};
 use sardinepick_wire::fleet as pb;
 use sardinepick_wire::{schedule, usage};
 use tokio::net::UdpSocket;
@@ -66,32 +66,32 @@
             let records = roster.take_updates();
             let watchers = roster.watchers().to_vec();
             drop(roster);
-            let beat = Beat { records, ..beat(&shared, status) };
+            let beat = Heartbeat { records, ..beat(&shared, status) };
             (beat, watchers, asked)
         };
         let has_changes = news.is_some();
         if has_changes {
             let some = watchers.iter().copied().sample(&mut *shared.rng(), CHANGE_FANOUT);
-            let message = Beat { news, records: Vec::new(), ..beat.clone() };
+            let message = Heartbeat { register_update: news, records: Vec::new(), ..beat.clone() };
             beat_all(&shared, &socket, &message, &some).await;
         }
         let quarantined = quarantine::gossip::take_pending(&shared);
         if !quarantined.is_empty() {
-            let message = Beat { quarantined, records: Vec::new(), ..beat.clone() };
+            let message = Heartbeat { quarantined, records: Vec::new(), ..beat.clone() };
             beat_all(&shared, &socket, &message, &watchers).await;
         }
         let again = due && count.is_multiple_of(CONTACT_INTERVAL);
         let (limits, leaving) =
             (shared.limiter.next_gossip(again), shared.drains.next_gossip(again));
         if !limits.is_empty() || !leaving.is_empty() {
-            let message = Beat { limits, leaving, records: Vec::new(), ..beat.clone() };
+            let message = Heartbeat { limits, leaving, records: Vec::new(), ..beat.clone() };
             beat_all(&shared, &socket, &message, &watchers).await;
         }
         if due || !has_changes || !beat.records.is_empty() {
             beat_all(&shared, &socket, &beat, &watchers).await;
         }
         beat.records.clear();
-        beat.answer = true;
+        beat.wants_reply = true;
         beat_all(&shared, &socket, &beat, &asked).await;
         update_roster(&shared);
         sleep(SEND_PAUSE).await;
@@ -128,17 +128,17 @@
     is_small.then(|| peer::to_announcement(&changed, since))
 }
 
-fn beat(shared: &Shared, status: Status) -> Beat {
+fn beat(shared: &Shared, status: Status) -> Heartbeat {
     let roster = shared.roster();
-    Beat {
+    Heartbeat {
         sender: roster.me().clone(),
         status,
-        answer: false,
-        away: shared.switching(),
-        digest: roster.digest(),
+        wants_reply: false,
+        switching: shared.switching(),
+        roster_digest: roster.digest(),
         records: Vec::new(),
-        news: None,
-        quarantine: quarantine::gossip::digest(shared),
+        register_update: None,
+        quarantine_digest: quarantine::gossip::digest(shared),
         quarantined: Vec::new(),
         time: Some(shared.usage.time_at(shared.clock.now())),
         limits: Vec::new(),
@@ -146,7 +146,7 @@
     }
 }
 
-async fn beat_all(shared: &Shared, socket: &UdpSocket, beat: &Beat, targets: &[SocketAddr]) {
+async fn beat_all(shared: &Shared, socket: &UdpSocket, beat: &Heartbeat, targets: &[SocketAddr]) {
     if targets.is_empty() {
         return;
     }
@@ -177,23 +177,23 @@
 
 /// Asks nodes for a heartbeat.
 pub async fn ask(shared: &Shared, socket: &UdpSocket, targets: &[SocketAddr]) {
-    let beat = Beat { answer: true, ..beat(shared, shared.status()) };
+    let beat = Heartbeat { wants_reply: true, ..beat(shared, shared.status()) };
     beat_all(shared, socket, &beat, targets).await;
 }
 
 /// Receives datagrams on the peer socket until the process ends.
 pub async fn receive(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
-    let mut buffer = [0; MOST_BYTES * 2];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES * 2];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => {
                 let bytes = &buffer[..length];
                 match bytes.first() {
-                    Some(&schedule::MARK) => {
+                    Some(&schedule::DATAGRAM_TYPE) => {
                         scheduler::receive(&shared, from, bytes).await;
                         continue;
                     }
-                    Some(&usage::MARK) => {
+                    Some(&usage::DATAGRAM_TYPE) => {
                         shared.usage.handle_datagram(&socket, from, bytes, &shared.metrics).await;
                         continue;
                     }
@@ -201,7 +201,7 @@
                 }
                 let counter = shared.metrics.beat_bytes.with_label_values(&["received"]);
                 counter.inc_by(length as u64);
-                match Beat::decode(bytes, shared.history.era()) {
+                match Heartbeat::decode(bytes, shared.history.era()) {
                     Ok(beat) => handle_beat(&shared, &socket, &beat).await,
                     Err(error) => log::warn!(peer:% = from, error:% = error; "invalid heartbeat"),
                 }
@@ -211,7 +211,7 @@
     }
 }
 
-async fn handle_beat(shared: &Arc<Shared>, socket: &UdpSocket, received: &Beat) {
+async fn handle_beat(shared: &Arc<Shared>, socket: &UdpSocket, received: &Heartbeat) {
     if received.sender.contact.id == shared.me.id {
         return;
     }
@@ -221,7 +221,7 @@
         apply_records(&mut roster, std::slice::from_ref(&received.sender), now);
         roster.apply_heartbeat(&received.sender, received.status, now);
         apply_records(&mut roster, &received.records, now);
-        let differs = roster.note_digest(&received.sender.contact.id, received.digest, now);
+        let differs = roster.note_digest(&received.sender.contact.id, received.roster_digest, now);
         let mistaken = roster.superseding_record(&received.sender).cloned();
         (roster.has_updates(), mistaken, differs)
     };
@@ -229,16 +229,18 @@
     if let Some(time) = received.time {
         shared.usage.note_peer_time(&received.sender.contact.id, time, now);
     }
-    shared.register().reserve(&received.away, now + SWITCH_RESERVATION);
-    if let Some(news) = &received.news {
+    shared.register().reserve(&received.switching, now + SWITCH_RESERVATION);
+    if let Some(news) = &received.register_update {
         peer::apply_announcement(shared, news);
     }
     quarantine::gossip::apply(shared, &received.quarantined, received.sender.contact.id.as_str());
     shared.limiter.apply_gossip(&received.limits, received.sender.contact.id.as_str());
     shared.drains.apply_gossip(&received.leaving, received.sender.contact.id.as_str());
-    let differs =
-        quarantine::gossip::note_digest(shared, &received.sender.contact.id, received.quarantine)
-            || differs;
+    let differs = quarantine::gossip::note_digest(
+        shared,
+        &received.sender.contact.id,
+        received.quarantine_digest,
+    ) || differs;
     let mine = shared.status();
     if received.status.register > mine.register || received.status.version > mine.version {
         shared.note_outdated();
@@ -249,11 +251,11 @@
     if differs {
         tokio::spawn(join::exchange_members(shared.clone(), received.sender.contact.peer));
     }
-    if received.answer || mistaken.is_some() {
+    if received.wants_reply || mistaken.is_some() {
         // The asking node may not know any other node yet.
         let mut records = shared.roster().sample(&mut *shared.rng());
         records.extend(mistaken);
-        let answer = Beat { records, ..beat(shared, mine) };
+        let answer = Heartbeat { records, ..beat(shared, mine) };
         let peer = received.sender.contact.peer;
         transmit(shared, socket, &answer.encode(), peer).await;
         // Until it has exchanged lists, it must not run requests that crash runners.
@@ -261,7 +263,7 @@
             .chunks(MAX_ENTRIES_PER_MESSAGE)
             .take(MAX_QUARANTINE_MESSAGES)
         {
-            let more = Beat { quarantined: quarantined.to_vec(), ..beat(shared, mine) };
+            let more = Heartbeat { quarantined: quarantined.to_vec(), ..beat(shared, mine) };
             transmit(shared, socket, &more.encode(), peer).await;
         }
     }
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/follow.rs
@@ -17,7 +17,7 @@
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::RunnerId;
 use sardinepick_platform::config::{self, decode, without_keys};
-use sardinepick_platform::discovery::{RUNNERS, decode_runner};
+use sardinepick_platform::discovery::{RUNNER_KIND, decode_runner};
 use sardinepick_platform::store::{Change, Object};
 use smol_str::SmolStr;
 use tokio::time::{Instant, sleep, sleep_until};
@@ -49,7 +49,7 @@
                 reply.map(|reply| {
                     let objects = reply.changes.into_iter().filter_map(|change| match change {
                         Change::Put(object) => Some(object),
-                        Change::Gone(_) => None,
+                        Change::Removed(_) => None,
                     });
                     (objects.collect(), reply.as_of)
                 })
@@ -130,14 +130,14 @@
         follower.wait_until_watching().await;
         let result = match follower.from {
             None => {
-                let listed = follower.list(Purpose::Register, RUNNERS).await;
+                let listed = follower.list(Purpose::Register, RUNNER_KIND).await;
                 listed.map(|(entries, as_of)| (listed_difference(&shared, entries, as_of), as_of))
             }
             Some(from) => {
                 let purpose = Purpose::RegisterWatch;
                 sleep_until(next).await;
                 next = Instant::now() + WATCH_PAUSE;
-                let reply = follower.watch(purpose, RUNNERS, from).await;
+                let reply = follower.watch(purpose, RUNNER_KIND, from).await;
                 reply.map(|reply| (difference(reply.changes, reply.as_of), reply.as_of))
             }
         };
@@ -250,7 +250,7 @@
             }
             // Its last entry is applied before the removal: if the runner had said that it leaves,
             // it is removed at once instead of being doubted.
-            Change::Gone(name) => difference.gone.push(name),
+            Change::Removed(name) => difference.gone.push(name),
         }
     }
     difference
--- a/node/src/serve/generation/mod.rs
+++ b/node/src/serve/generation/mod.rs
@@ -20,7 +20,7 @@
 use sardinepick_lib::fleet::placement::{Placement, Plan};
 use sardinepick_lib::fleet::register::WorkCost;
 use sardinepick_lib::id::RunnerId;
-use sardinepick_platform::runner::{self, Call, Step};
+use sardinepick_platform::runner::{self, Call, CallKind};
 use smallvec::SmallVec;
 use smol_str::SmolStr;
 use tokio::sync::{mpsc, oneshot};
@@ -241,7 +241,7 @@
                     footprint: self.work.footprint(),
                 };
                 let runner = runner.clone();
-                self.run_on(&runner, Step::Run, share, &placement).await
+                self.run_on(&runner, CallKind::Run, share, &placement).await
             }
             Plan::Split { prefill, .. } => {
                 let prefill = prefill.clone();
@@ -269,7 +269,8 @@
         let share = WorkCost { class, prefill_tokens: 0, footprint: self.work.footprint() };
         let outcome = loop {
             let decode = self.place_decode(class, prefill).await?;
-            match self.run_on(&decode, Step::RunFrom(handle.clone()), share, placement).await {
+            match self.run_on(&decode, CallKind::RunFromKv(handle.clone()), share, placement).await
+            {
                 // The KV cache is kept for another decode runner.
                 Ok(AttemptOutcome::Denied) if self.calls < MAX_CALLS => {}
                 outcome => break outcome,
@@ -289,7 +290,7 @@
     fn runner_request(
         &self,
         id: &RunnerId,
-        step: Step,
+        step: CallKind,
         class: Class,
         left: Duration,
         fetch: Option<SocketAddr>,
@@ -297,12 +298,12 @@
         let request = &self.request;
         let call = Call {
             runner: id,
-            left,
+            remaining: left,
             account: request.account.as_ref(),
-            urgency: Some(urgency(class)),
-            step,
+            priority: Some(urgency(class)),
+            kind: step,
             last_event: self.last_event.as_deref(),
-            fetch,
+            fetch_from: fetch,
         };
         let body = request.body.clone();
         runner::request(&request.method, &request.uri, &request.headers, body, &call)
--- a/node/src/serve/generation/prefill.rs
+++ b/node/src/serve/generation/prefill.rs
@@ -12,11 +12,9 @@
 use sardinepick_lib::fleet::runner::Tag;
 use sardinepick_lib::fleet::timeout;
 use sardinepick_lib::id::RunnerId;
-use sardinepick_platform::answer::{Verdict, judge};
+use sardinepick_platform::answer::{Verdict, classify};
 use sardinepick_platform::error::FormatError;
-use sardinepick_platform::runner::{
-    self, Handle, Step as RunnerStep, read_handle as decode_handle,
-};
+use sardinepick_platform::runner::{self, CallKind, KvHandle, read_handle as decode_handle};
 use thiserror::Error;
 use tokio::time::timeout;
 
@@ -75,14 +73,14 @@
         id: &RunnerId,
         share: WorkCost,
         placement: &Placement,
-    ) -> Result<Option<Handle>, Stop> {
+    ) -> Result<Option<KvHandle>, Stop> {
         self.take_retry_budget()?;
         let left = self.request.time_left(self.shared.clock.now());
         let mut ticket = Ticket::new(&self.shared, id, Step::Read, share);
         self.calls += 1;
         let Some(address) = self.address(id) else { return Ok(None) };
         let fetch = placement.fetch.as_ref().and_then(|source| self.address(source));
-        let request = self.runner_request(id, RunnerStep::Read, share.class, left, fetch);
+        let request = self.runner_request(id, CallKind::Prefill, share.class, left, fetch);
         let limit = timeout::prefill(share.class, placement.prefill_end, left);
         self.note_cached(&ticket, Progress::Started);
         let request_id = self.request.id.clone();
@@ -159,10 +157,10 @@
     request: &str,
     address: SocketAddr,
     answer: Answer,
-) -> Result<Handle, PrefillError> {
+) -> Result<KvHandle, PrefillError> {
     let status = answer.head.status;
-    let verdict = judge(status, &answer.head.headers, runner, request);
-    if verdict == Verdict::Foreign && status.is_success() {
+    let verdict = classify(status, &answer.head.headers, runner, request);
+    if verdict == Verdict::Mismatched && status.is_success() {
         return Err(PrefillError::Foreign);
     }
     let (_, body) = answer.read(MAX_ANSWER_BYTES).await?;
@@ -177,11 +175,11 @@
 pub(super) struct KvHandleGuard {
     shared: Arc<Shared>,
     runner: RunnerId,
-    handle: Option<Handle>,
+    handle: Option<KvHandle>,
 }
 
 impl KvHandleGuard {
-    pub(super) fn new(shared: &Arc<Shared>, runner: &RunnerId, handle: Handle) -> Self {
+    pub(super) fn new(shared: &Arc<Shared>, runner: &RunnerId, handle: KvHandle) -> Self {
         Self { shared: shared.clone(), runner: runner.clone(), handle: Some(handle) }
     }
 
@@ -195,7 +193,7 @@
         let Some(handle) = self.handle.take() else { return };
         let (shared, runner) = (self.shared.clone(), self.runner.clone());
         tokio::spawn(async move {
-            let request = runner::free(&handle, &runner);
+            let request = runner::release_handle(&handle, &runner);
             match shared.connections.send(handle.holder, request, CONNECT_TIMEOUT).await {
                 Ok(answer) => answer.discard(MAX_ANSWER_BYTES).await,
                 Err(error) => {
--- a/node/src/serve/generation/stream.rs
+++ b/node/src/serve/generation/stream.rs
@@ -18,8 +18,8 @@
 use sardinepick_lib::fleet::suspect::RunProgress;
 use sardinepick_lib::fleet::timeout;
 use sardinepick_lib::id::{RunnerId, ServiceId};
-use sardinepick_platform::answer::{Verdict, is_stream, judge};
-use sardinepick_platform::runner::Step as RunnerStep;
+use sardinepick_platform::answer::{Verdict, classify, is_stream};
+use sardinepick_platform::runner::CallKind;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 use tokio_stream::wrappers::ReceiverStream;
@@ -40,7 +40,7 @@
     pub(super) async fn run_on(
         &mut self,
         id: &RunnerId,
-        step: RunnerStep,
+        step: CallKind,
         share: WorkCost,
         placement: &Placement,
     ) -> Result<AttemptOutcome, Stop> {
@@ -50,7 +50,7 @@
         let mut ticket = Ticket::new(&self.shared, id, Step::Run, share);
         self.calls += 1;
         let Some(address) = self.address(id) else { return Ok(AttemptOutcome::NotRun) };
-        let is_whole = step == RunnerStep::Run;
+        let is_whole = step == CallKind::Run;
         let fetch = placement.fetch.as_ref().filter(|_| is_whole);
         let fetch = fetch.and_then(|source| self.address(source));
         if is_whole {
@@ -108,7 +108,7 @@
                 return Ok(if expired { AttemptOutcome::Late } else { AttemptOutcome::Broken });
             }
         };
-        match judge(answer.head.status, &answer.head.headers, id, &self.request.id) {
+        match classify(answer.head.status, &answer.head.headers, id, &self.request.id) {
             Verdict::Ran if answer.head.status.is_success() && is_stream(&answer.head.headers) => {
                 let placement = is_whole.then_some(placement);
                 self.forward_stream(&mut ticket, answer, placement).await
@@ -125,7 +125,7 @@
                 answer.discard(MAX_ANSWER_BYTES).await;
                 Ok(AttemptOutcome::NotRun)
             }
-            Verdict::Foreign => {
+            Verdict::Mismatched => {
                 ticket.conclude(Outcome::Broken);
                 log::warn!(request:% = self.request.id, runner:% = id; "answer to another request");
                 Ok(AttemptOutcome::Broken)
--- a/node/src/serve/inventory.rs
+++ b/node/src/serve/inventory.rs
@@ -15,7 +15,7 @@
 use sardinepick_lib::fleet::pool::Pool;
 use sardinepick_lib::fleet::runner::{Entry, Registration};
 use sardinepick_lib::id::ServiceId;
-use sardinepick_platform::runner::{Kept, ask_kept, read_kept};
+use sardinepick_platform::runner::{CachedPrefix, list_cached, read_cached};
 use tokio::time::timeout;
 
 use crate::serve::connection::CONNECT_TIMEOUT;
@@ -49,14 +49,14 @@
 
 async fn ask(shared: Arc<Shared>, entry: Entry, stay: Registration) {
     let query = async {
-        let request = ask_kept(&entry.id, entry.address);
+        let request = list_cached(&entry.id, entry.address);
         let sent = shared.connections.send(entry.address, request, CONNECT_TIMEOUT);
         let answer = sent.await.map_err(|e| e.to_string())?;
         let (head, body) = answer.read(MAX_ANSWER_BYTES).await.map_err(|e| e.to_string())?;
         if !head.status.is_success() {
             return Err(format!("status {}", head.status));
         }
-        read_kept(&body).map_err(|e| e.to_string())
+        read_cached(&body).map_err(|e| e.to_string())
     };
     let late = |_| Err(format!("no answer within {ANSWER_TIMEOUT:?}"));
     match timeout(ANSWER_TIMEOUT, query).await.unwrap_or_else(late) {
@@ -65,7 +65,7 @@
     }
 }
 
-fn record_parts(shared: &Shared, stay: &Registration, mut cached: Vec<Kept>) {
+fn record_parts(shared: &Shared, stay: &Registration, mut cached: Vec<CachedPrefix>) {
     let parts = cached.len();
     cached.retain(|cached| cached.tokens >= MIN_TOKENS);
     cached.sort_by_key(|cached| std::cmp::Reverse(cached.tokens));
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -15,7 +15,9 @@
 use sardinepick_lib::fleet::route::Configuration;
 use sardinepick_lib::fleet::runner::{Entry, Runner, Tag};
 use sardinepick_lib::id::{Epoch, RunnerId, ServiceId, StartTime};
-use sardinepick_platform::order::{Order, Reply, Report, ask, read_report, reply, request};
+use sardinepick_platform::order::{
+    Order, Reply, Report, read_report, reply_from_status, request, request_report,
+};
 use tokio::time::{sleep, timeout};
 
 use crate::serve::connection::CONNECT_TIMEOUT;
@@ -255,7 +257,7 @@
 
     async fn fetch_report(&self, entry: &Entry) -> Result<Report, String> {
         let exchange = async {
-            let outgoing = ask(&entry.id, entry.address);
+            let outgoing = request_report(&entry.id, entry.address);
             let sent = self.shared.connections.send(entry.address, outgoing, CONNECT_TIMEOUT);
             let answer = sent.await.map_err(|e| e.to_string())?;
             let (head, body) = answer.read(MAX_ANSWER_BYTES).await.map_err(|e| e.to_string())?;
@@ -280,7 +282,7 @@
         let sent = self.shared.connections.send(entry.address, request(&order), CONNECT_TIMEOUT);
         match timeout(ORDER_TIMEOUT, sent).await {
             Ok(Ok(answer)) => {
-                let reply = reply(answer.head.status);
+                let reply = reply_from_status(answer.head.status);
                 answer.discard(MAX_ANSWER_BYTES).await;
                 Some(reply)
             }
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -14,12 +14,12 @@
 use sardinepick_lib::fleet::runner::Tag;
 use sardinepick_lib::history::Era;
 use sardinepick_platform::store::Object;
-use sardinepick_wire::beat::{nodes, read_nodes};
+use sardinepick_wire::beat::{decode_nodes, encode_nodes};
 use sardinepick_wire::error::WireError;
 use sardinepick_wire::fleet as pb;
 use sardinepick_wire::fleet::fleet_server::{Fleet, FleetServer};
-use sardinepick_wire::limit::{announced, read_all};
-use sardinepick_wire::mark::{read_mark, read_point};
+use sardinepick_wire::limit::{decode_limits, encode_limit};
+use sardinepick_wire::mark::{decode_mark, decode_point};
 use smol_str::SmolStr;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -63,7 +63,7 @@
 /// Decodes an object of a message of the given era.
 fn from_wire(object: pb::Object, era: Era) -> Result<Object, WireError> {
     Ok(Object {
-        at: read_point(object.revision, object.era, era)?,
+        at: decode_point(object.revision, object.era, era)?,
         name: SmolStr::new(object.name),
         content: object.content.into(),
     })
@@ -93,7 +93,7 @@
     async fn meet(&self, request: Request<pb::Nodes>) -> Result<Response<pb::Nodes>, Status> {
         let received = request.into_inner();
         let records =
-            read_nodes(&received).map_err(|error| Status::invalid_argument(error.to_string()))?;
+            decode_nodes(&received).map_err(|error| Status::invalid_argument(error.to_string()))?;
         let now = self.shared.clock.now();
         let mut roster = self.shared.roster();
         apply_records(&mut roster, &records, now);
@@ -103,7 +103,7 @@
         let records = roster.records();
         drop(roster);
         quarantine::gossip::apply(&self.shared, &received.quarantined, "list exchange");
-        Ok(Response::new(nodes(&records, quarantine::gossip::all(&self.shared))))
+        Ok(Response::new(encode_nodes(&records, quarantine::gossip::all(&self.shared))))
     }
 
     type CopyStream = ReceiverStream<Result<pb::CopyPart, Status>>;
@@ -125,7 +125,7 @@
     parts: &Parts<pb::Knowledge>,
 ) -> Result<(), Disconnected> {
     let known = shared.knowledge().mark();
-    let mark = read_mark(request.mark, request.era, known.era).unwrap_or_else(|error| {
+    let mark = decode_mark(request.mark, request.era, known.era).unwrap_or_else(|error| {
         log::warn!(node = request.node, error:% = error; "invalid mark from a node");
         RegisterVersion::default()
     });
@@ -184,8 +184,8 @@
         let knowledge = shared.knowledge();
         (knowledge.mark(), knowledge.is_known())
     };
-    let mark = read_mark(announcement.mark, announcement.era, mine.era)?;
-    let since = read_mark(announcement.since, announcement.since_era, mark.era)?;
+    let mark = decode_mark(announcement.mark, announcement.era, mine.era)?;
+    let since = decode_mark(announcement.since, announcement.since_era, mark.era)?;
     if !is_known || announcement.whole || since > mine || mine >= mark {
         return Ok(None);
     }
@@ -204,7 +204,7 @@
 fn with_announcements(shared: &Shared, part: pb::Knowledge) -> pb::Knowledge {
     let limits = shared.limiter.all();
     pb::Knowledge {
-        rate_limits: limits.iter().map(announced).collect(),
+        rate_limits: limits.iter().map(encode_limit).collect(),
         leaving: shared.drains.all().into_iter().map(|tag| tag.0).collect(),
         ..part
     }
@@ -333,7 +333,7 @@
             return Reply::referral(address, peer, shared.me.peer);
         }
         bytes += part.runners.iter().map(|object| object.content.len()).sum::<usize>();
-        let mark = read_mark(part.mark, part.era, mine.era).map_err(malformed)?;
+        let mark = decode_mark(part.mark, part.era, mine.era).map_err(malformed)?;
         for object in part.runners {
             changes.entries.push(from_wire(object, mark.era).map_err(malformed)?);
         }
@@ -344,7 +344,7 @@
             changes.gone = part.gone.into_iter().map(SmolStr::new).collect();
             changes.doubted = part.doubted.into_iter().map(SmolStr::new).collect();
             (changes.mark, changes.whole) = (mark, part.whole);
-            let limits = read_all(&part.rate_limits).unwrap_or_else(|error| {
+            let limits = decode_limits(&part.rate_limits).unwrap_or_else(|error| {
                 log::warn!(peer:% = peer, error:% = error; "invalid rate limits from a node");
                 Vec::new()
             });
--- a/node/src/serve/plain.rs
+++ b/node/src/serve/plain.rs
@@ -13,8 +13,8 @@
 use sardinepick_lib::fleet::register::WorkCost;
 use sardinepick_lib::fleet::suspect::{QUARANTINE_ENDS, RunProgress};
 use sardinepick_lib::id::RunnerId;
-use sardinepick_platform::answer::{Verdict, judge};
-use sardinepick_platform::runner::{Call, Step as Ask, request as call_request};
+use sardinepick_platform::answer::{Verdict, classify};
+use sardinepick_platform::runner::{Call, CallKind, request as call_request};
 use smallvec::SmallVec;
 use tokio::time::timeout;
 
@@ -210,12 +210,12 @@
         let request = self.request;
         let call = Call {
             runner: id,
-            left,
+            remaining: left,
             account: request.account.as_ref(),
-            urgency: None,
-            step: Ask::Run,
+            priority: None,
+            kind: CallKind::Run,
             last_event: None,
-            fetch: None,
+            fetch_from: None,
         };
         let outgoing = call_request(
             &request.method,
@@ -298,7 +298,7 @@
         answer: Answer,
     ) -> Result<CallResult, SendError> {
         let request = self.request;
-        let verdict = judge(answer.head.status, &answer.head.headers, id, &request.id);
+        let verdict = classify(answer.head.status, &answer.head.headers, id, &request.id);
         match verdict {
             Verdict::Ran => {}
             Verdict::OtherInstance | Verdict::NotRun => {
@@ -313,7 +313,7 @@
                 answer.discard(MAX_RESPONSE_BYTES).await;
                 return Ok(CallResult::NotRun { arrived: verdict == Verdict::NotRun });
             }
-            Verdict::Foreign => {
+            Verdict::Mismatched => {
                 log::warn!(request:% = request.id, runner:% = id; "answer to another request");
                 return Ok(CallResult::MaybeRun);
             }
--- a/node/src/serve/quarantine/gossip.rs
+++ b/node/src/serve/quarantine/gossip.rs
@@ -3,7 +3,7 @@
 use sardinepick_lib::fleet::quarantine::{Entry, Stage};
 use sardinepick_lib::id::NodeId;
 use sardinepick_wire::fleet as pb;
-use sardinepick_wire::quarantine::{quarantined, read_quarantined};
+use sardinepick_wire::quarantine::{decode_entries, encode_entries};
 
 use super::count::is_primary_counter;
 use super::{note_stage, schedule_write, set_stage, update_suspects};
@@ -12,7 +12,7 @@
 /// Applies another node's entries.
 pub fn apply(shared: &Shared, told: &[pb::Quarantined], from: &str) {
     let now = shared.clock.now();
-    let entries = match read_quarantined(told, now) {
+    let entries = match decode_entries(told, now) {
         Ok(entries) => entries,
         Err(error) => {
             log::warn!(node = from, error:% = error; "malformed quarantine gossip dropped");
@@ -46,7 +46,7 @@
 /// Entries not gossiped yet, as many as fit into one message.
 pub fn take_pending(shared: &Shared) -> Vec<pb::Quarantined> {
     let news = shared.quarantine.state().quarantine.take_updates();
-    quarantined(&news, shared.clock.now())
+    encode_entries(&news, shared.clock.now())
 }
 
 /// Whether there are entries that have not been gossiped.
@@ -58,7 +58,7 @@
 pub fn all(shared: &Shared) -> Vec<pb::Quarantined> {
     let mut all: Vec<Entry> = shared.quarantine.state().quarantine.entries().cloned().collect();
     all.sort_by_key(|entry| entry.stage != Stage::Confirmed);
-    quarantined(&all, shared.clock.now())
+    encode_entries(&all, shared.clock.now())
 }
 
 /// A digest of all entries.
--- a/node/src/usage/report.rs
+++ b/node/src/usage/report.rs
@@ -10,8 +10,8 @@
 use sardinepick_lib::usage::ledger::{Ledger, Settled};
 use sardinepick_lib::usage::tally::RETAINED_WINDOWS;
 use sardinepick_lib::usage::window::Windows;
-use sardinepick_platform::duty::{Reply, USAGE, report_usage};
-use sardinepick_platform::store::Refused;
+use sardinepick_platform::duty::{Reply, USAGE_KIND, report_usage};
+use sardinepick_platform::store::ResponseError;
 use tokio::time::sleep;
 
 use super::Usage;
@@ -119,7 +119,7 @@
     /// Reads the ledger; `None` if the store fails. A ledger that cannot be decoded does not tell
     /// which windows were reported, so windows that ended before are not reported.
     async fn read(&self, windows: Windows) -> Option<LoadedLedger> {
-        let object = match self.store.get(Purpose::Usage, USAGE, LEDGER).await {
+        let object = match self.store.get(Purpose::Usage, USAGE_KIND, LEDGER).await {
             Ok(object) => object,
             Err(error) => {
                 log::info!(error:% = error; "failed to read settled usage");
@@ -161,7 +161,7 @@
     /// Carries this node's ledger over to a new era of the store, whose copy of the ledger is
     /// older. This node has held the duties throughout.
     async fn rebase(&self, loaded: &mut LoadedLedger) -> LedgerState {
-        let object = match self.store.get(Purpose::Usage, USAGE, LEDGER).await {
+        let object = match self.store.get(Purpose::Usage, USAGE_KIND, LEDGER).await {
             Ok(object) => object,
             Err(error) => {
                 log::info!(error:% = error; "failed to read settled usage");
@@ -231,8 +231,10 @@
         next.era = Some(loaded.era);
         let content = serde_json::json!(next);
         let written = match loaded.at {
-            None => self.store.create(Purpose::Usage, USAGE, LEDGER, &content).await,
-            Some(was) => self.store.replace(Purpose::Usage, USAGE, LEDGER, was, &content).await,
+            None => self.store.create(Purpose::Usage, USAGE_KIND, LEDGER, &content).await,
+            Some(was) => {
+                self.store.replace(Purpose::Usage, USAGE_KIND, LEDGER, was, &content).await
+            }
         };
         match written {
             Ok(object) => {
@@ -244,7 +246,8 @@
                 LedgerState::EraChanged
             }
             Err(StoreError::Refused {
-                refused: Refused::Conflict(_) | Refused::Missing, ..
+                refused: ResponseError::Conflict(_) | ResponseError::NotFound,
+                ..
             }) => {
                 log::info!(next:% = next.next; "another node has settled usage");
                 LedgerState::Stale
--- a/node/tests/crash.rs
+++ b/node/tests/crash.rs
@@ -15,7 +15,7 @@
 use sardinepick_lib::id::RunnerId;
 use sardinepick_node::serve::quarantine;
 use sardinepick_node::serve::run::Running;
-use sardinepick_platform::quarantine::QUARANTINE;
+use sardinepick_platform::quarantine::QUARANTINE_KIND;
 use sardinepick_testutils::cluster::wait_until;
 use sardinepick_testutils::fleet::caller::{Ask, Told};
 use sardinepick_testutils::fleet::deployment::Deployment;
@@ -320,14 +320,16 @@
     former.add_supervised(None, 6, &crashing_body(), RESTART_TIME).await;
     let former = former.with_nodes(2).await;
     check_quarantined_after_threshold(&former, "/board/a").await;
-    wait_until("the store has the entry", async || former.store.count(QUARANTINE) == 1).await;
+    wait_until("the store has the entry", async || former.store.count(QUARANTINE_KIND) == 1).await;
     let name = confirmed(&former.nodes[0]).expect("the request is quarantined");
-    let kept =
-        former.store.get(QUARANTINE, &name).expect("the entry is stored under its fingerprint");
+    let kept = former
+        .store
+        .get(QUARANTINE_KIND, &name)
+        .expect("the entry is stored under its fingerprint");
 
     let mut set = Deployment::new().await;
     set.add_supervised(None, 6, &crashing_body(), RESTART_TIME).await;
-    set.store.put(QUARANTINE, &name, &kept);
+    set.store.put(QUARANTINE_KIND, &name, &kept);
     let set = set.with_nodes(2).await;
     let is_known_to_all = async || set.nodes.iter().all(|n| confirmed(n).as_ref() == Some(&name));
     wait_until("all nodes know the entry", is_known_to_all).await;
@@ -336,7 +338,8 @@
     // A released request is removed from the store.
     let fingerprint = name.parse().expect("valid fingerprint");
     assert!(quarantine::release(&set.nodes[1].shared, &fingerprint));
-    wait_until("the store has removed the entry", async || set.store.count(QUARANTINE) == 0).await;
+    wait_until("the store has removed the entry", async || set.store.count(QUARANTINE_KIND) == 0)
+        .await;
 }
 
 /// The fingerprint of the request that a node has quarantined.
@@ -355,9 +358,10 @@
     let set = set.with_nodes(3).await;
     let copy = set.store.copy();
     check_quarantined_after_threshold(&set, "/board/a").await;
-    wait_until("the store has the entry", async || set.store.count(QUARANTINE) == 1).await;
+    wait_until("the store has the entry", async || set.store.count(QUARANTINE_KIND) == 1).await;
     let lost = set.store.come_back(&copy);
-    assert_eq!(set.store.count(QUARANTINE), 0);
+    assert_eq!(set.store.count(QUARANTINE_KIND), 0);
     set.store.write_again(&lost);
-    wait_until("the store has the entry again", async || set.store.count(QUARANTINE) == 1).await;
+    wait_until("the store has the entry again", async || set.store.count(QUARANTINE_KIND) == 1)
+        .await;
 }
