--- a/node/tests/serve.rs
+++ b/node/tests/serve.rs
@@ -1,4 +1,4 @@
-//! The whole path on the platform's protocol: a store, runners, nodes and callers.
+//! End-to-end tests of serving requests on the platform: a store, runners, nodes and callers.
 
 use std::time::Duration;
 
@@ -11,32 +11,37 @@
 use sardinepick_testutils::fleet::runner::{Faults, Kind, Runner, event};
 use sardinepick_testutils::fleet::store::Fault;
 
-fn whole_stream(events: u64) -> String {
+fn stream_text(events: u64) -> String {
     (1..=events).map(event).collect()
 }
 
 const GENERATION: [(&str, &str); 3] =
     [("model", "m"), ("token-count", "1460,80"), ("prompt-prefix", "5c1e:800,91bd:410,e440:250")];
 
-fn generation<'a>(path: &'a str, id: &'a str) -> Ask<'a> {
+fn generation_request<'a>(path: &'a str, id: &'a str) -> Ask<'a> {
     Ask { headers: &GENERATION, ..Ask::new(path, id) }
 }
 
 #[tokio::test]
-async fn plain_request_whole_answer() {
+async fn plain_request_served() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    let told = set.ask("/board/today?room=4", "r1").await;
-    assert_eq!(told.status, Some(StatusCode::OK));
-    assert_eq!(told.text(), "answer to r1");
-    assert!(told.whole && told.header("response-signature").is_some());
-    let seen = set.runners.iter().flat_map(Runner::seen).find(|s| s.id == "r1").expect("it ran");
+    let response = set.ask("/board/today?room=4", "r1").await;
+    assert_eq!(response.status, Some(StatusCode::OK));
+    assert_eq!(response.text(), "answer to r1");
+    assert!(response.whole && response.header("response-signature").is_some());
+    let seen = set
+        .runners
+        .iter()
+        .flat_map(Runner::seen)
+        .find(|s| s.id == "r1")
+        .expect("a runner saw the request");
     assert_eq!((seen.path.as_str(), &seen.body[..]), ("/board/today?room=4", &b"a brief"[..]));
 }
 
-/// Symptom: a runner goes on from another request's memory, or obeys a caller. Sequence: a caller
-/// sends headers that only the system may set. Cause: they were passed on as they came.
+/// Guards against callers that set headers reserved for nodes. If nodes forward these, a caller can
+/// give orders to a runner, or make it continue from the KV cache of another request.
 #[tokio::test]
-async fn plain_request_forged_headers_dropped() {
+async fn plain_request_reserved_headers_removed() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     let headers = [
         ("kv-source", "10.0.0.1:1/h1"),
@@ -49,20 +54,20 @@
         ("x-mine", "1"),
         ("x-kept", "2"),
     ];
-    let told = set.send(0, &Ask { headers: &headers, ..Ask::new("/board/a", "r1") }).await;
-    assert_eq!(told.status, Some(StatusCode::OK));
+    let response = set.send(0, &Ask { headers: &headers, ..Ask::new("/board/a", "r1") }).await;
+    assert_eq!(response.status, Some(StatusCode::OK));
     let seen = &set.runners[0].seen()[0];
     for name in ["kv-source", "kv-hold", "pin-ms", "stage", "request-priority", "x-mine"] {
-        assert!(!seen.headers.contains_key(name), "{name} was passed on");
+        assert!(!seen.headers.contains_key(name), "{name} was forwarded");
     }
     assert_eq!(seen.headers["expect-instance"], set.runners[0].id.as_str());
     assert_eq!((&seen.headers["x-kept"], seen.id.as_str()), (&"2".parse().unwrap(), "r1"));
-    let left: u64 = seen.headers["deadline-ms"].to_str().unwrap().parse().unwrap();
-    assert!(left <= 3_000, "a runner was given {left} ms");
+    let remaining_ms: u64 = seen.headers["deadline-ms"].to_str().unwrap().parse().unwrap();
+    assert!(remaining_ms <= 3_000, "the runner received a deadline of {remaining_ms} ms");
 }
 
 #[tokio::test]
-async fn route_unknown_no_route() {
+async fn unknown_route_not_found() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     assert_eq!(set.ask("/nowhere/", "r1").await.status, Some(StatusCode::NOT_FOUND));
     let other = Ask { host: "other.example", ..Ask::new("/board/a", "r2") };
@@ -70,187 +75,191 @@
 }
 
 #[tokio::test]
-async fn body_too_large_refused() {
+async fn oversized_body_refused() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     let ask = Ask { body: Bytes::from(vec![7; 65_537]), ..Ask::new("/board/a", "r1") };
     assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::PAYLOAD_TOO_LARGE));
     assert_eq!(set.ran("r1"), 0);
 }
 
-/// Symptom: a node that has just started answers 404 for a route that is there. Cause: it knew no
-/// configuration and did not say so.
+/// Guards against a node that has just started and answers 404 for an existing route because it has
+/// no configuration yet.
 #[tokio::test]
-async fn no_configuration_not_run() {
+async fn node_without_configuration_refuses_requests() {
     let mut set = Deployment::new().await.with_plain(1).await;
     set.store.set_fault(Fault::Busy);
     set.add_node("edge-0", Vec::new()).await;
-    let told = set.ask("/board/a", "r1").await;
-    assert_eq!(told.status, Some(StatusCode::SERVICE_UNAVAILABLE));
-    assert!(told.header("retry-after").is_some());
+    let response = set.ask("/board/a", "r1").await;
+    assert_eq!(response.status, Some(StatusCode::SERVICE_UNAVAILABLE));
+    assert!(response.header("retry-after").is_some());
     set.store.set_fault(Fault::None);
     set.wait_ready().await;
     assert_eq!(set.ask("/board/a", "r2").await.status, Some(StatusCode::OK));
 }
 
-/// Symptom: an order is placed twice. Sequence: the runner runs the request and its answer is lost;
-/// the node sends it to another. Cause: a lost answer was taken for a request that did not run.
+/// Guards against a non-idempotent request that runs twice. The runner runs it, but its response is
+/// lost; the node must not conclude that the request did not run and retry it on another runner.
 #[tokio::test]
-async fn non_idempotent_answer_lost_never_again() {
+async fn non_idempotent_request_not_retried_after_lost_response() {
     let set = Deployment::new().await.with_plain(3).await.with_nodes(1).await;
     for runner in &set.runners {
         runner.set_faults(Faults { loses_answers: true, ..Faults::default() });
     }
     for n in 0..8 {
         let id = format!("egg-{n}");
-        let told = set.ask("/eggs/order", &id).await;
-        assert_eq!(told.status, Some(StatusCode::BAD_GATEWAY), "what may have run is not denied");
+        let response = set.ask("/eggs/order", &id).await;
+        assert_eq!(response.status, Some(StatusCode::BAD_GATEWAY), "the request may have run");
         assert_eq!(set.ran(&id), 1);
     }
 }
 
 #[tokio::test]
-async fn non_idempotent_shed_goes_elsewhere() {
+async fn non_idempotent_request_retried_after_shedding() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     set.runners[0].set_faults(Faults { sheds: true, ..Faults::default() });
     for n in 0..6 {
         let id = format!("egg-{n}");
-        let told = set.ask("/eggs/order", &id).await;
-        assert_eq!((told.status, set.ran(&id)), (Some(StatusCode::OK), 1));
+        let response = set.ask("/eggs/order", &id).await;
+        assert_eq!((response.status, set.ran(&id)), (Some(StatusCode::OK), 1));
     }
 }
 
 #[tokio::test]
-async fn non_idempotent_all_shed_not_run() {
+async fn non_idempotent_request_refused_when_all_runners_shed() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     for runner in &set.runners {
         runner.set_faults(Faults { sheds: true, ..Faults::default() });
     }
-    let told = set.ask("/eggs/order", "egg").await;
-    assert_eq!(told.status, Some(StatusCode::SERVICE_UNAVAILABLE));
-    assert!(told.header("retry-after").is_some());
+    let response = set.ask("/eggs/order", "egg").await;
+    assert_eq!(response.status, Some(StatusCode::SERVICE_UNAVAILABLE));
+    assert!(response.header("retry-after").is_some());
     assert_eq!(set.ran("egg"), 0);
 }
 
 #[tokio::test]
-async fn idempotent_answer_lost_goes_elsewhere() {
+async fn idempotent_request_retried_after_lost_response() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     set.runners[0].set_faults(Faults { loses_answers: true, ..Faults::default() });
     for n in 0..6 {
-        let told = set.ask("/board/a", &format!("r{n}")).await;
-        assert_eq!(told.status, Some(StatusCode::OK));
+        let response = set.ask("/board/a", &format!("r{n}")).await;
+        assert_eq!(response.status, Some(StatusCode::OK));
     }
 }
 
-/// Symptom: a caller waits to its deadline. Sequence: a runner takes a request and says nothing;
-/// another would have answered. Cause: a silent runner was waited for like a slow one.
+/// Guards against a caller that waits until its deadline because a runner accepted the request and
+/// never responds, while another runner could have served it.
 #[tokio::test]
-async fn idempotent_runner_hangs_goes_elsewhere() {
+async fn idempotent_request_retried_when_runner_hangs() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     set.runners[0].set_faults(Faults { hangs: true, ..Faults::default() });
     for n in 0..4 {
-        let told = set.ask("/board/a", &format!("r{n}")).await;
-        assert_eq!(told.status, Some(StatusCode::OK));
+        let response = set.ask("/board/a", &format!("r{n}")).await;
+        assert_eq!(response.status, Some(StatusCode::OK));
     }
 }
 
-/// Symptom: a caller gets the answer to another's request. Sequence: a runner's extra answer stands
-/// where the next one is due. Cause: answers were matched by their order on the connection.
+/// Guards against a caller that receives the response to another request. When a runner sends a
+/// surplus response, matching responses by their order on the connection shifts all later ones.
 #[tokio::test]
-async fn answer_crossed_never_passed_on() {
+async fn mismatched_response_not_forwarded() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     set.runners[0].set_faults(Faults { crosses: true, ..Faults::default() });
-    let told = set.ask("/eggs/order", "egg").await;
-    assert_eq!(told.status, Some(StatusCode::BAD_GATEWAY));
-    assert!(told.header("response-signature").is_none());
+    let response = set.ask("/eggs/order", "egg").await;
+    assert_eq!(response.status, Some(StatusCode::BAD_GATEWAY));
+    assert!(response.header("response-signature").is_none());
 }
 
 #[tokio::test]
-async fn runner_failure_passed_on_signed() {
+async fn runner_error_forwarded_with_signature() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     set.runners[0].set_faults(Faults { fails: true, ..Faults::default() });
-    let told = set.ask("/eggs/order", "egg").await;
-    assert_eq!(told.status, Some(StatusCode::INTERNAL_SERVER_ERROR));
-    assert_eq!((told.text().as_str(), told.whole), ("failed", true));
-    assert!(told.header("response-signature").is_some());
+    let response = set.ask("/eggs/order", "egg").await;
+    assert_eq!(response.status, Some(StatusCode::INTERNAL_SERVER_ERROR));
+    assert_eq!((response.text().as_str(), response.whole), ("failed", true));
+    assert!(response.header("response-signature").is_some());
 }
 
 #[tokio::test]
-async fn stream_split_whole_answer() {
+async fn stream_with_separate_prefill_and_decode_served() {
     let set = Deployment::new().await.with_engines(1, 1).await.with_nodes(1).await;
-    let told = set.send(0, &generation("/count/a", "s1")).await;
-    assert_eq!(told.status, Some(StatusCode::OK));
-    assert_eq!((told.text(), told.whole), (whole_stream(12), true));
+    let response = set.send(0, &generation_request("/count/a", "s1")).await;
+    assert_eq!(response.status, Some(StatusCode::OK));
+    assert_eq!((response.text(), response.whole), (stream_text(12), true));
     let (prefill, decode) = (&set.runners[0], &set.runners[1]);
     assert_eq!((prefill.seen().len(), prefill.ran("s1"), decode.ran("s1")), (1, 0, 1));
     let source = decode.seen()[0].headers["kv-source"].to_str().unwrap().to_owned();
     assert_eq!(source, format!("{}/h1", prefill.address()));
 }
 
-/// Symptom: an answer stops in the middle, or an event comes twice or in two pieces. Sequence: the
-/// runner breaks its stream off within an event. Cause: it died. The answer goes on elsewhere, at
-/// the event after the last whole one, under the head of the first runner.
+/// Guards against a stream that ends early, or that repeats or splits an event, when a runner dies
+/// within an event. The stream is resumed on another runner after the last complete event, under the
+/// response head of the first runner.
 #[tokio::test]
-async fn stream_cut_goes_on_elsewhere() {
+async fn broken_stream_resumed_on_another_runner() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let broken = &set.runners[1];
     broken.set_faults(Faults { cut_after: Some(5), ..Faults::default() });
     set.runners[2].set_faults(Faults { cut_after: Some(5), ..Faults::default() });
-    let told = set.send(0, &generation("/count/a", "s1")).await;
-    assert_eq!((told.text(), told.whole), (whole_stream(5), false), "both broke off");
+    let response = set.send(0, &generation_request("/count/a", "s1")).await;
+    assert_eq!(
+        (response.text(), response.whole),
+        (stream_text(5), false),
+        "the streams of both runners broke off"
+    );
     set.runners[2].set_faults(Faults::default());
     for n in 0..4 {
         let id = format!("t{n}");
-        let told = set.send(0, &generation("/count/a", &id)).await;
-        assert_eq!((told.text(), told.whole), (whole_stream(12), true));
+        let response = set.send(0, &generation_request("/count/a", &id)).await;
+        assert_eq!((response.text(), response.whole), (stream_text(12), true));
     }
 }
 
-/// Symptom: a tally runs twice. Sequence: its stream breaks off; the route does not allow it to go
-/// on elsewhere. Cause: it was treated like one that may. The caller must see that it is not whole.
+/// Guards against a stream that runs twice because it is resumed although its route does not allow
+/// that. The caller must be able to tell that the response is incomplete.
 #[tokio::test]
-async fn stream_cut_not_resumable_not_whole() {
+async fn broken_stream_not_resumed_if_not_resumable() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     for runner in &set.runners {
         runner.set_faults(Faults { cut_after: Some(3), ..Faults::default() });
     }
-    let told = set.send(0, &generation("/tally/a", "s1")).await;
-    assert_eq!((told.text(), told.whole, set.ran("s1")), (whole_stream(3), false, 1));
+    let response = set.send(0, &generation_request("/tally/a", "s1")).await;
+    assert_eq!((response.text(), response.whole, set.ran("s1")), (stream_text(3), false, 1));
 }
 
-/// Symptom: a runner works on for nobody. Sequence: a caller closes its connection in the middle of
-/// a stream. Cause: the node did not pass the close on.
+/// Guards against a runner that keeps generating after the caller has closed its connection in the
+/// middle of a stream.
 #[tokio::test]
-async fn stream_caller_leaves_runner_stops() {
+async fn stream_cancelled_when_caller_disconnects() {
     let set = Deployment::new().await.with_engines(0, 1).await.with_nodes(1).await;
     let pause = Duration::from_millis(100);
     set.runners[0].set_faults(Faults { pause, ..Faults::default() });
-    let ask = generation("/count/a", "s1");
+    let ask = generation_request("/count/a", "s1");
     let sent = tokio::time::timeout(pause * 3, set.send(0, &ask)).await;
-    assert!(sent.is_err(), "the stream lasts longer than the caller stays");
+    assert!(sent.is_err(), "the caller disconnects before the stream ends");
     wait_until("the runner has stopped", async || set.runners[0].running() == 0).await;
 }
 
-/// Symptom: a prompt's memory is held for nobody. Sequence: a prompt is read, and no runner can go
-/// on from it. Cause: the KV cache was left to lapse.
+/// Guards against a KV cache that stays allocated until it expires because no decode runner is
+/// available after prefill.
 #[tokio::test]
-async fn stream_no_decode_handle_freed() {
+async fn kv_cache_freed_without_decode_runner() {
     let set = Deployment::new().await.with_engines(1, 1).await.with_nodes(1).await;
     set.runners[1].set_faults(Faults { sheds: true, ..Faults::default() });
-    let told = set.send(0, &generation("/tally/a", "s1")).await;
-    assert_eq!((told.status, set.ran("s1")), (Some(StatusCode::SERVICE_UNAVAILABLE), 0));
-    wait_until("the cache is freed", async || set.runners[0].handles().0 == 0).await;
+    let response = set.send(0, &generation_request("/tally/a", "s1")).await;
+    assert_eq!((response.status, set.ran("s1")), (Some(StatusCode::SERVICE_UNAVAILABLE), 0));
+    wait_until("the KV cache is freed", async || set.runners[0].handles().0 == 0).await;
     assert!(set.runners[0].handles().1 >= 1);
 }
 
-/// Symptom: a leaving runner gets work seconds after it said so. Sequence: it writes that it drains;
-/// the node's watch brings it. The same for one whose entry just goes.
+/// Guards against requests that are sent to a runner seconds after it wrote that it is draining, or
+/// after its entry was removed.
 #[tokio::test]
-async fn runner_leaves_no_new_work() {
+async fn leaving_runner_gets_no_new_requests() {
     let set = Deployment::new().await.with_plain(3).await.with_nodes(1).await;
     set.runners[0].drain();
     set.store.remove("servers", &set.runners[1].id);
     let shared = &set.nodes[0].shared;
-    wait_until("the node knows", async || {
+    wait_until("the node knows that both are leaving", async || {
         let now = shared.clock.now();
         shared.register().runners().filter(|r| r.takes_work(now)).count() == 1
     })
@@ -262,25 +271,25 @@
     }
 }
 
-/// Symptom: a runner leaves while a prompt is read elsewhere, and the stream begins at it after its
-/// time. Cause: the runner that goes on was chosen before the prompt was read.
+/// Guards against a stream that starts on a runner which began to drain during prefill. This happens
+/// if the decode runner is chosen before prefill and not checked again after it.
 #[tokio::test]
-async fn stream_decode_leaves_while_read_chosen_anew() {
+async fn decode_runner_draining_during_prefill_not_used() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     set.runners[0].set_faults(Faults { takes: Duration::from_millis(300), ..Faults::default() });
     let leave = async {
-        wait_until("the prompt is being read", async || set.runners[0].running() == 1).await;
+        wait_until("prefill is in progress", async || set.runners[0].running() == 1).await;
         set.runners[1].drain();
     };
-    let ask = generation("/count/a", "s1");
-    let (told, ()) = tokio::join!(set.send(0, &ask), leave);
-    assert_eq!((told.text(), set.runners[1].ran("s1")), (whole_stream(12), 0));
+    let ask = generation_request("/count/a", "s1");
+    let (response, ()) = tokio::join!(set.send(0, &ask), leave);
+    assert_eq!((response.text(), set.runners[1].ran("s1")), (stream_text(12), 0));
 }
 
-/// Symptom: another service's runner runs a request. Sequence: a runner dies and its address goes to
-/// another. The node names the life that it means, and the new one refuses.
+/// Guards against a request that runs on a runner of another service because a runner has died and
+/// its address was reused. Nodes name the instance that they expect, so the new runner refuses.
 #[tokio::test]
-async fn address_reused_not_run_there() {
+async fn request_not_run_by_new_owner_of_address() {
     let mut set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     let (old, address) = (set.runners[0].clone(), set.runners[0].address());
     old.kill();
@@ -297,16 +306,16 @@
     set.runners.push(new);
     for n in 0..6 {
         let id = format!("egg-{n}");
-        let told = set.ask("/eggs/order", &id).await;
-        assert_eq!((told.status, set.runners[1].ran(&id)), (Some(StatusCode::OK), 1));
+        let response = set.ask("/eggs/order", &id).await;
+        assert_eq!((response.status, set.runners[1].ran(&id)), (Some(StatusCode::OK), 1));
     }
     assert!(set.runners[2].seen().is_empty());
 }
 
-/// Symptom: a configuration is in force on some nodes only. Sequence: the store turns one node away
-/// while it serves another. The node learns from the one that is served.
+/// Guards against a configuration that is in force on some nodes only because the store refuses the
+/// calls of the others. A node then learns the configuration from a peer.
 #[tokio::test]
-async fn store_away_learns_from_nodes() {
+async fn configuration_learned_from_peer_during_store_outage() {
     let mut set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     set.store.set_fault(Fault::Busy);
     let seed = set.nodes[0].shared.me.peer;
@@ -315,15 +324,15 @@
     assert_eq!(set.send(1, &Ask::new("/board/a", "r1")).await.status, Some(StatusCode::OK));
 }
 
-/// Symptom: all runners are dropped when the store comes back. Sequence: their entries lapsed while
-/// it heard nobody. They are kept while they may still be on their way back, and one that is not
-/// back then is gone.
+/// Guards against dropping all runners when the store returns after an outage during which their
+/// entries expired. Runners are kept for a grace period; one that has not rewritten its entry by
+/// then is removed.
 #[tokio::test]
-async fn store_returns_lapsed_runners_kept() {
+async fn runners_kept_after_entries_expire_in_outage() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     let shared = set.nodes[0].shared.clone();
     set.store.set_fault(Fault::Reset);
-    wait_until("the node has lost the store", async || {
+    wait_until("the node notices the outage", async || {
         shared.outage().doubt(shared.clock.now()).is_some()
     })
     .await;
@@ -331,34 +340,35 @@
         set.store.remove("servers", &runner.id);
     }
     set.store.set_fault(Fault::None);
-    wait_until("the node sees it", async || {
+    wait_until("the node keeps both runners", async || {
         shared.knowledge().entries() == 2 && shared.register().expire(shared.clock.now()).is_empty()
     })
     .await;
     assert_eq!(set.ask("/board/a", "r1").await.status, Some(StatusCode::OK));
     set.runners[0].write_entry();
-    wait_until("one is gone", async || shared.register().runners().count() == 1).await;
+    wait_until("one runner is removed", async || shared.register().runners().count() == 1).await;
     assert!(shared.register().runners().all(|r| r.entry.id.as_str() == set.runners[0].id));
 }
 
-/// Symptom: the configuration goes back. Sequence: an older version comes after a newer one, as from
-/// a node that is behind.
+/// Guards against a configuration that is replaced by an older version, as a peer that is behind may
+/// send one.
 #[tokio::test]
-async fn configuration_older_not_taken() {
+async fn older_configuration_ignored() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     set.store.put("config", "main", &configuration(7));
     let shared = &set.nodes[0].shared;
     let version = || shared.configuration.load().as_ref().map(|c| c.version.0);
     wait_until("version 7 is in force", async || version() == Some(7)).await;
-    let seen = shared.metrics.store_calls.with_label_values(&["configuration_watch", "answered"]);
-    let before = seen.get();
+    let answered =
+        shared.metrics.store_calls.with_label_values(&["configuration_watch", "answered"]);
+    let before = answered.get();
     set.store.put("config", "main", &configuration(6));
-    wait_until("the older one was seen", async || seen.get() > before).await;
+    wait_until("the older version has arrived", async || answered.get() > before).await;
     assert_eq!(version(), Some(7));
 }
 
 #[tokio::test]
-async fn store_forgets_history_read_anew() {
+async fn objects_listed_again_after_store_compaction() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     set.store.put("config", "main", &configuration(3));
     set.store.compact();
@@ -367,10 +377,10 @@
     wait_until("version 3 is in force", async || version() == Some(3)).await;
 }
 
-/// Symptom: a request is cut by a planned stop. Sequence: the node gets the signal while a stream is
-/// under way and another caller still comes.
+/// Guards against requests that are cut off by a planned stop. The node is told to stop while a
+/// stream is in progress, and another caller still connects.
 #[tokio::test]
-async fn stop_under_way_finished() {
+async fn stop_waits_for_requests_in_progress() {
     let mut set =
         Deployment::new().await.with_engines(0, 1).await.with_plain(1).await.with_nodes(2).await;
     set.runners[0].set_faults(Faults { pause: Duration::from_millis(60), ..Faults::default() });
@@ -378,20 +388,27 @@
     let front = node.shared.me.front;
     let caller = set.caller.clone();
     let stream =
-        tokio::spawn(async move { caller.send(front, &generation("/count/a", "s1")).await });
-    wait_until("the stream runs", async || set.runners[0].running() == 1).await;
+        tokio::spawn(
+            async move { caller.send(front, &generation_request("/count/a", "s1")).await },
+        );
+    wait_until("the stream is in progress", async || set.runners[0].running() == 1).await;
     let other = set.nodes[0].shared.clone();
     let stop = tokio::spawn(node.stop());
-    wait_until("the other node knows", async || other.roster().fronts().is_empty()).await;
+    wait_until("the other node knows about the stop", async || other.roster().fronts().is_empty())
+        .await;
     let late = set.caller.send(front, &Ask::new("/board/a", "r1")).await;
-    assert_eq!(late.status, Some(StatusCode::OK), "a caller with an old answer is served");
-    let told = stream.await.expect("the caller does not panic");
-    assert_eq!((told.text(), told.whole), (whole_stream(12), true));
-    assert_eq!(stop.await.expect("the stop does not panic"), 0);
+    assert_eq!(
+        late.status,
+        Some(StatusCode::OK),
+        "a caller with an outdated lookup result is served"
+    );
+    let response = stream.await.expect("the caller task does not panic");
+    assert_eq!((response.text(), response.whole), (stream_text(12), true));
+    assert_eq!(stop.await.expect("the stop task does not panic"), 0);
 }
 
 #[tokio::test]
-async fn lookup_all_ready_nodes() {
+async fn lookup_returns_all_ready_nodes() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(3).await;
     let lookup = set.nodes[0].shared.settings.lookup;
     let ask = Ask {
@@ -399,10 +416,10 @@
         body: Bytes::new(),
         ..Ask::new("/api/lookup?name=kitchen.example&region=r&zone=zaal-dom", "l1")
     };
-    let told = set.caller.send(lookup, &ask).await;
-    let answer: serde_json::Value = serde_json::from_slice(&told.body).expect("it is JSON");
+    let response = set.caller.send(lookup, &ask).await;
+    let answer: serde_json::Value = serde_json::from_slice(&response.body).expect("valid JSON");
     let mut addresses: Vec<String> =
-        serde_json::from_value(answer["addresses"].clone()).expect("a list of texts");
+        serde_json::from_value(answer["addresses"].clone()).expect("a list of strings");
     let mut fronts: Vec<String> = set.nodes.iter().map(|n| n.shared.me.front.to_string()).collect();
     addresses.sort();
     fronts.sort();
@@ -410,10 +427,10 @@
     assert!(answer["ttlS"].as_f64().is_some_and(|ttl| ttl > 0.0 && ttl <= 5.0));
 }
 
-/// Symptom: the store refuses calls. Sequence: many nodes start at once. Every node must get through
-/// within the store's rate, and calls do not grow with requests.
+/// Guards against nodes that cannot start because many start at once and exceed the store's rate
+/// limit, and against store calls whose number grows with the requests.
 #[tokio::test]
-async fn store_rate_small_all_start() {
+async fn nodes_start_within_store_rate_limit() {
     let mut set = Deployment::new().await.with_plain(1).await;
     set.store.set_rate(30);
     for at in 0..10 {
@@ -428,14 +445,14 @@
     assert!(after - before < 50, "{} store calls for 50 requests", after - before);
 }
 
-/// Symptom: a runner gets orders from two holders. Sequence: demand calls for more reading; several
-/// nodes see it. One gives the orders, under one fencing number.
+/// Guards against orders to runners from two lease holders. Demand calls for more prefill capacity and
+/// several nodes notice; only one of them gives orders, all under one fencing token.
 #[tokio::test]
-async fn orders_demand_one_holder() {
+async fn stage_orders_given_by_one_lease_holder() {
     let set = Deployment::new().await.with_engines(1, 5).await.with_nodes(3).await;
     let headers =
         [("model", "m"), ("token-count", "90000,80"), ("prompt-prefix", "5c1e:40000,91bd:50000")];
-    let given = || set.runners.iter().flat_map(Runner::orders).collect::<Vec<_>>();
+    let orders = || set.runners.iter().flat_map(Runner::orders).collect::<Vec<_>>();
     wait_until("an order is given", async || {
         for n in 0..6 {
             let headers = &headers;
@@ -443,25 +460,29 @@
             let ask = Ask { headers, ..Ask::new("/count/a", &id) };
             set.send(n % 3, &ask).await;
         }
-        !given().is_empty()
+        !orders().is_empty()
     })
     .await;
-    let orders = given();
+    let orders = orders();
     assert!(orders.iter().all(|order| order.stage == "prefill"));
     let first = &orders[0];
     assert!(orders.iter().all(|o| (&o.holder, o.token) == (&first.holder, first.token)));
-    // The number of a lease that nobody has held in the store's era.
-    let first = Point::new(Era(1), 0).number();
-    assert_eq!(set.store.get("sardinepick-leases", "runners").expect("a lease")["epoch"], first);
+    // The epoch of a lease that has not been held before in this era of the store.
+    let first_epoch = Point::new(Era(1), 0).number();
+    assert_eq!(
+        set.store.get("sardinepick-leases", "runners").expect("a lease")["epoch"],
+        first_epoch
+    );
 }
 
-/// Symptom: a runner that has become another stage's is never used again. Cause: its refusal of work
-/// for the old stage was taken for that of another life at its address.
+/// Guards against a runner that is never used again after a change of its stage. It refuses requests
+/// for the previous stage, which must not be confused with a refusal by another incarnation at its
+/// address.
 #[tokio::test]
-async fn stage_changed_runner_still_used() {
+async fn runner_used_after_stage_change() {
     let set = Deployment::new().await.with_engines(1, 1).await.with_nodes(1).await;
     let shared = set.nodes[0].shared.clone();
-    set.send(0, &generation("/count/a", "s0")).await;
+    set.send(0, &generation_request("/count/a", "s0")).await;
     set.store.set_fault(Fault::Silent);
     let order = serde_json::json!({"operation": "stage", "stage": "decode", "holder": "h",
         "fencingToken": 1});
@@ -470,31 +491,33 @@
     set.caller.send(set.runners[0].address(), &ask).await;
     for n in 0..3 {
         let id = format!("s{n}");
-        let told = set.send(0, &generation("/count/a", &id)).await;
-        assert_eq!((told.text(), told.whole), (whole_stream(12), true));
+        let response = set.send(0, &generation_request("/count/a", &id)).await;
+        assert_eq!((response.text(), response.whole), (stream_text(12), true));
     }
     assert!(shared.register().runners().all(|r| !r.health.is_gone()));
 }
 
-/// Symptom: a runner gets a request long after its caller has left, and after it has said that it
-/// leaves. Sequence: the path to a runner is cut, a request is sent on it, the caller gives up, the
-/// path is back. Cause: the connection was closed, and what was not delivered went out all the same.
+/// Guards against a request that reaches a runner long after its caller has given up, even after the
+/// runner has announced that it is leaving. The network path to the runner is interrupted, a request
+/// is sent, and the caller gives up. If the connection is then merely closed, the kernel still
+/// delivers the unsent data once the path is back.
 #[tokio::test]
-async fn call_given_up_never_delivered() {
+async fn cancelled_request_never_delivered() {
     let mut set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    // An address whose owner takes the connection and reads nothing, with room for little: the rest
-    // stays with the sender, as behind a cut.
-    let cut = tokio::net::TcpSocket::new_v4().expect("a socket");
-    cut.set_recv_buffer_size(4_096).expect("it can be small");
-    cut.bind((own_ip(), 0).into()).expect("a free address");
-    let cut = cut.listen(8).expect("it is bound");
+    // Accepts a connection without reading from it. The receive buffer is small, so most of the
+    // request stays in the sender's buffer, as on an interrupted path.
+    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
+    socket.set_recv_buffer_size(4_096).expect("a small receive buffer");
+    socket.bind((own_ip(), 0).into()).expect("a free address");
+    let listener = socket.listen(8).expect("a bound socket");
     let mut entry = set.runners[0].entry();
-    entry["address"] = serde_json::json!(cut.local_addr().expect("it is bound").to_string());
+    entry["address"] =
+        serde_json::json!(listener.local_addr().expect("a bound socket").to_string());
     entry["born"] = serde_json::json!(entry["born"].as_u64().expect("a number") + 1);
     set.store.put("servers", &set.runners[0].id, &entry);
-    let address = cut.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("a bound socket");
     let shared = set.nodes.remove(0).shared;
-    wait_until("the node knows", async || {
+    wait_until("the node knows the address", async || {
         shared.register().runners().any(|r| r.entry.address == address)
     })
     .await;
@@ -502,17 +525,17 @@
     let body = Bytes::from(vec![7; 60_000]);
     let ask = Ask { deadline, body, ..Ask::new("/eggs/order", "egg") };
     let front = shared.me.front;
-    let (told, accepted) = tokio::join!(set.caller.send(front, &ask), cut.accept());
-    assert_ne!(told.status, Some(StatusCode::OK));
-    let (mut stream, _) = accepted.expect("the node connects");
+    let (response, accepted) = tokio::join!(set.caller.send(front, &ask), listener.accept());
+    assert_ne!(response.status, Some(StatusCode::OK));
+    let (mut stream, _) = accepted.expect("a connection from the node");
     let mut bytes = Vec::new();
-    // It may end with an error or without: what counts is what came.
+    // The connection may end with or without an error; only the received bytes matter.
     let _ = tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut bytes).await;
     assert!(bytes.len() < 50_000, "{} bytes were delivered", bytes.len());
 }
 
 #[tokio::test]
-async fn metrics_after_request_counted() {
+async fn request_counted_in_metrics() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     set.ask("/board/a", "r1").await;
     let text = String::from_utf8(set.nodes[0].shared.metrics.text()).expect("metrics are text");
