--- a/node/tests/copy.rs
+++ b/node/tests/copy.rs
@@ -1,4 +1,4 @@
-//! Copying a configuration from nodes of which some do not do their part.
+//! Fetching a configuration from peers, some of which are faulty.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,54 +18,54 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
-use tonic::{Request, Response, Status as Refusal};
+use tonic::{Request, Response, Status};
 
-/// What a node does when it is asked for a copy.
+/// How a faulty peer handles a request for its configuration.
 #[derive(Clone, Copy, Debug)]
-enum Conduct {
-    /// It answers nothing.
+enum PeerFault {
+    /// Never responds.
     Silent,
-    /// It says for ever that the other has to wait.
-    Delaying,
-    /// It sends the other to this node.
-    Referring(SocketAddr),
-    /// It gives bytes that are no configuration.
-    Garbling,
-    /// Its copy does not end.
-    Endless,
-    /// It breaks off in the middle.
-    Breaking,
+    /// Tells the caller to wait, without end.
+    EndlessWait,
+    /// Redirects the caller to this node.
+    Redirect(SocketAddr),
+    /// Sends bytes that are not a configuration.
+    InvalidContent,
+    /// Sends a copy that never ends.
+    EndlessContent,
+    /// Ends the stream in the middle of the copy.
+    Truncated,
 }
 
 #[derive(Debug)]
-struct Bad(Conduct);
+struct FaultyPeer(PeerFault);
 
-type Parts = mpsc::Sender<Result<pb::CopyPart, Refusal>>;
+type PartSender = mpsc::Sender<Result<pb::CopyPart, Status>>;
 
 fn content(bytes: Vec<u8>) -> pb::CopyPart {
     pb::CopyPart { content: bytes, ..Default::default() }
 }
 
-impl Bad {
-    async fn answer(conduct: Conduct, parts: &Parts) {
+impl FaultyPeer {
+    async fn respond(fault: PeerFault, parts: &PartSender) {
         let send = async |part: pb::CopyPart| parts.send(Ok(part)).await.is_ok();
-        match conduct {
-            Conduct::Silent => sleep(Duration::from_secs(60)).await,
-            Conduct::Delaying => {
+        match fault {
+            PeerFault::Silent => sleep(Duration::from_secs(60)).await,
+            PeerFault::EndlessWait => {
                 while send(pb::CopyPart::default()).await {
                     sleep(Duration::from_millis(50)).await;
                 }
             }
-            Conduct::Referring(next) => {
+            PeerFault::Redirect(next) => {
                 let elsewhere = Some(next.to_string());
                 send(pb::CopyPart { elsewhere, ..Default::default() }).await;
             }
-            Conduct::Garbling => {
+            PeerFault::InvalidContent => {
                 let end = Some(pb::CopyEnd { name: "main".to_owned(), revision: 9, era: None });
                 send(pb::CopyPart { end, ..content(vec![7; 100]) }).await;
             }
-            Conduct::Endless => while send(content(vec![7; 16 << 10])).await {},
-            Conduct::Breaking => {
+            PeerFault::EndlessContent => while send(content(vec![7; 16 << 10])).await {},
+            PeerFault::Truncated => {
                 send(content(vec![7; 100])).await;
             }
         }
@@ -73,84 +73,90 @@
 }
 
 #[tonic::async_trait]
-impl Fleet for Bad {
-    type TellStream = ReceiverStream<Result<pb::Knowledge, Refusal>>;
-    type CopyStream = ReceiverStream<Result<pb::CopyPart, Refusal>>;
+impl Fleet for FaultyPeer {
+    type TellStream = ReceiverStream<Result<pb::Knowledge, Status>>;
+    type CopyStream = ReceiverStream<Result<pb::CopyPart, Status>>;
 
-    async fn meet(&self, _: Request<pb::Nodes>) -> Result<Response<pb::Nodes>, Refusal> {
-        Err(Refusal::unimplemented("it knows nobody"))
+    async fn meet(&self, _: Request<pb::Nodes>) -> Result<Response<pb::Nodes>, Status> {
+        Err(Status::unimplemented("this peer knows no other nodes"))
     }
 
     async fn tell(
         &self,
         _: Request<pb::KnowledgeRequest>,
-    ) -> Result<Response<Self::TellStream>, Refusal> {
-        Err(Refusal::unavailable("nothing is told here"))
+    ) -> Result<Response<Self::TellStream>, Status> {
+        Err(Status::unavailable("this peer sends no register"))
     }
 
     async fn copy(
         &self,
         _: Request<pb::CopyRequest>,
-    ) -> Result<Response<Self::CopyStream>, Refusal> {
+    ) -> Result<Response<Self::CopyStream>, Status> {
         let (parts, receiver) = mpsc::channel(1);
-        let conduct = self.0;
-        tokio::spawn(async move { Self::answer(conduct, &parts).await });
+        let fault = self.0;
+        tokio::spawn(async move { Self::respond(fault, &parts).await });
         Ok(Response::new(ReceiverStream::new(receiver)))
     }
 }
 
-/// A node that says by beats to `other` that it has version 2.
-async fn add_bad(name: &str, address: SocketAddr, conduct: Conduct, other: SocketAddr) {
+/// Starts a faulty peer. Its heartbeats tell `receiver` that it has version 2 of the configuration.
+async fn start_faulty_peer(
+    name: &str,
+    address: SocketAddr,
+    fault: PeerFault,
+    receiver: SocketAddr,
+) {
     let listener = TcpListener::bind(address).await.expect("a free address");
-    let server = tonic::transport::Server::builder().add_service(FleetServer::new(Bad(conduct)));
+    let server =
+        tonic::transport::Server::builder().add_service(FleetServer::new(FaultyPeer(fault)));
     tokio::spawn(server.serve_with_incoming(TcpListenerStream::new(listener)));
-    let beat = beat::ready(name.parse().expect("a name"), address, ConfigVersion(2));
+    let heartbeat = beat::ready(name.parse().expect("a name"), address, ConfigVersion(2));
     let socket = UdpSocket::bind(address).await.expect("a free address");
     tokio::spawn(async move {
-        while socket.send_to(&beat.encode(), other).await.is_ok() {
+        while socket.send_to(&heartbeat.encode(), receiver).await.is_ok() {
             sleep(Duration::from_millis(50)).await;
         }
     });
 }
 
-/// A node whose store is silent and that hears others.
-async fn cut_off(set: &Deployment, others: Vec<SocketAddr>) -> Running {
-    let away = Deployment::new().await;
-    away.store.set_fault(Fault::Silent);
-    let settings = settings("edge-9", away.store.address(), others);
+/// Starts a node whose store does not respond, so that it depends on its peers.
+async fn start_node_without_store(set: &Deployment, peers: Vec<SocketAddr>) -> Running {
+    let unreachable = Deployment::new().await;
+    unreachable.store.set_fault(Fault::Silent);
+    let settings = settings("edge-9", unreachable.store.address(), peers);
     let node = run::start(settings, Arc::new(System), Metrics::default()).await;
     assert!(set.nodes.iter().all(|node| node.shared.is_ready()));
     node.expect("free addresses")
 }
 
-/// A node asks one of those that say that they have a newer configuration. If that one is dead, cut
-/// off or wrong, it must not hold the node up: another is asked.
+/// Guards against a node that is held up by a faulty peer. It asks one of the peers that claim a newer
+/// configuration; if that peer is dead, unreachable or faulty, it must ask another.
 #[tokio::test]
-async fn learn_most_holders_bad_copied_from_good() {
+async fn configuration_fetched_despite_faulty_peers() {
     let mut set = Deployment::new().await;
     set.store.put("config", "main", &large_configuration(2, 200));
     set.add_node("edge-0", Vec::new()).await;
     set.wait_ready().await;
-    let node = cut_off(&set, vec![set.nodes[0].shared.me.peer]).await;
+    let node = start_node_without_store(&set, vec![set.nodes[0].shared.me.peer]).await;
     let addresses: Vec<SocketAddr> = (0..7).map(|_| free_address(own_ip())).collect();
-    let conducts = [
-        Conduct::Silent,
-        Conduct::Delaying,
-        Conduct::Referring(addresses[3]),
-        Conduct::Referring(addresses[2]),
-        Conduct::Garbling,
-        Conduct::Endless,
-        Conduct::Breaking,
+    let faults = [
+        PeerFault::Silent,
+        PeerFault::EndlessWait,
+        PeerFault::Redirect(addresses[3]),
+        PeerFault::Redirect(addresses[2]),
+        PeerFault::InvalidContent,
+        PeerFault::EndlessContent,
+        PeerFault::Truncated,
     ];
-    for (at, conduct) in conducts.into_iter().enumerate() {
-        add_bad(&format!("bad-{at}"), addresses[at], conduct, node.shared.me.peer).await;
+    for (at, fault) in faults.into_iter().enumerate() {
+        start_faulty_peer(&format!("bad-{at}"), addresses[at], fault, node.shared.me.peer).await;
     }
-    let began = Instant::now();
-    wait_until("the good node's configuration is in force", async || {
+    let start = Instant::now();
+    wait_until("the configuration is in force", async || {
         node.shared.status().version == ConfigVersion(2)
     })
     .await;
-    println!("in force after {:?}", began.elapsed());
+    println!("in force after {:?}", start.elapsed());
     let routes = node.shared.configuration.load().as_ref().map(|c| c.routes());
-    assert_eq!(routes, Some(204), "it is the good node's");
+    assert_eq!(routes, Some(204), "not the configuration of the healthy node");
 }
