--- a/node/tests/thin_links.rs
+++ b/node/tests/thin_links.rs
@@ -1,4 +1,4 @@
-//! Many nodes with thin links learn a large configuration from each other.
+//! Distribution of large configurations and registers over links of low bandwidth.
 
 use sardinepick_lib::fleet::runner::State;
 use sardinepick_lib::id::ConfigVersion;
@@ -10,122 +10,119 @@
 use sardinepick_testutils::fleet::store::Fault;
 use serde_json::json;
 
-/// Bytes a second of a link of 10 Mbit/s.
-const THIN: f64 = 1.25e6;
-/// Nodes.
+/// The rate of a link of 10 Mbit/s, in bytes per second.
+const LINK_RATE: f64 = 1.25e6;
 const NODES: usize = 40;
-/// Nodes of these that follow the store.
+/// The number of nodes that follow the store.
 const FOLLOWERS: usize = 3;
-/// Routes that are added at once.
-const ROUTES: usize = 1_400;
+/// The number of routes that are added at once.
+const ADDED_ROUTES: usize = 1_400;
 
-/// Adds nodes behind links of `rate` bytes a second, until a few of them follow the store for all.
-async fn fleet(mut set: Deployment, rate: f64) -> (Deployment, Vec<Link>) {
+/// Adds nodes behind links of `rate` bytes per second, and waits until only a few of them follow the
+/// store.
+async fn add_nodes(mut set: Deployment, rate: f64) -> (Deployment, Vec<Link>) {
     let mut links = Vec::with_capacity(NODES);
     for at in 0..NODES {
         links.push(set.add_node_behind(&format!("edge-{at}"), rate).await);
     }
     set.wait_ready().await;
     for kind in ["config", "servers"] {
-        wait_until("a few nodes follow the store", async || set.store.watches(kind) <= FOLLOWERS)
-            .await;
+        wait_until("only a few nodes follow the store", async || {
+            set.store.watches(kind) <= FOLLOWERS
+        })
+        .await;
     }
     (set, links)
 }
 
-/// An operator added 1,400 routes at once, and nodes still handled requests by the version before
-/// 3.7 s after the new one had been acknowledged. All nodes that do not follow the store had asked one
-/// of the three that do for the whole configuration in the same instant. Each copy had one second,
-/// the links of the three were shared by 28 copies each, so none arrived; what had arrived was thrown
-/// away and all asked again, the same node again. Nodes that tell others sent 2.7 to 3.3 MB in the
-/// first second, of which nothing was used:
-///
-///     9.3635 b-2  asking a node: no answer in time  node e-11
-///     9.4306 d-6  asking a node: no answer in time  node b-3
-///     9.4361 c-12 asking a node: no answer in time  node c-4
-///     10.6472 b-5 asking a node: no answer in time  node e-14
-///     11.9484 b-15 asking a node: no answer in time  node d-6
-///     12.8951 b-15 configuration in force  version 8  was 2
+/// Guards against all nodes fetching a large configuration from the same few peers at once. After an
+/// operator had added 1,400 routes, nodes still handled requests by the previous version 3.7 s after
+/// the new one had been acknowledged. All nodes that do not follow the store had asked one of the
+/// three that do for the configuration at the same time. Each transfer had a time-out of one second,
+/// and 28 transfers shared the link of each of the three, so none completed. The partial transfers
+/// were discarded and started again, at the same peer. The sending nodes sent 2.7 to 3.3 MB in the
+/// first second, none of which was used.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn configuration_large_thin_links_sent_once_to_each() {
-    let (set, links) = fleet(Deployment::new().await, THIN).await;
+async fn large_configuration_sent_once_to_each_node() {
+    let (set, links) = add_nodes(Deployment::new().await, LINK_RATE).await;
     let carried = || links.iter().map(Link::carried).sum::<u64>();
     let before = carried();
-    let next = large_configuration(2, ROUTES);
+    let next = large_configuration(2, ADDED_ROUTES);
     set.store.put("config", "main", &next);
     wait_until("all nodes have the configuration in force", async || {
         set.nodes.iter().all(|node| node.shared.status().version == ConfigVersion(2))
     })
     .await;
-    let sent = carried() - before;
-    let copy = compress(next.to_string().as_bytes()).len() as u64;
-    let whole = copy * NODES as u64;
+    let sent_bytes = carried() - before;
+    let copy_bytes = compress(next.to_string().as_bytes()).len() as u64;
+    let max_bytes = copy_bytes * NODES as u64;
     assert!(
-        sent <= whole,
-        "{sent} bytes were sent between nodes, more than one copy to each ({whole})"
+        sent_bytes <= max_bytes,
+        "{sent_bytes} bytes were sent between nodes, more than one copy to each ({max_bytes})"
     );
     let most = links.iter().map(Link::carried).max().unwrap_or_default();
-    println!("{sent} bytes between nodes, {most} at most by one; {whole} for a copy to each");
+    println!(
+        "{sent_bytes} bytes between nodes, at most {most} by one node; {max_bytes} for a copy to each"
+    );
 }
 
-/// A node gave work to a runner 3.2 s after that had said that it leaves, and knew of it 4.4 s after.
-/// What nodes tell each other of runners came in one answer with the configuration, behind its hundreds of kilobytes, and was thrown
-/// away with it:
-///
-///     8.508  i-c453397783 says that it leaves
-///     11.9484 b-15 asking a node: no answer in time  node d-6
-///     12.8951 b-15 configuration in force  version 8  was 2
-///     12.8951 b-15 runner leaves  runner i-c453397783
+/// Guards against register changes that are delayed by a large configuration. A node sent a request to
+/// a runner 3.2 s after the runner had begun to drain, and knew of the draining after 4.4 s. Changes of
+/// the register were in the same response as the configuration, behind hundreds of kilobytes of it, and
+/// were discarded with it when the response timed out.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn register_change_not_behind_large_configuration() {
-    /// Bytes a second: a copy takes three seconds, so that what waits behind it shows.
-    const THINNER: f64 = 1e5;
+async fn register_change_overtakes_large_configuration() {
+    /// In bytes per second. A copy takes three seconds, so a change that waits behind it is noticed.
+    const SLOW_LINK_RATE: f64 = 1e5;
     let set = Deployment::new().await.with_plain(2).await;
-    let (set, _links) = fleet(set, THINNER).await;
-    set.store.put("config", "main", &large_configuration(2, ROUTES));
-    wait_until("copies are under way", async || {
-        let holds = |node: &Running| node.shared.status().version == ConfigVersion(2);
-        set.nodes.iter().filter(|node| holds(node)).count() >= FOLLOWERS
+    let (set, _links) = add_nodes(set, SLOW_LINK_RATE).await;
+    set.store.put("config", "main", &large_configuration(2, ADDED_ROUTES));
+    wait_until("copies are in progress", async || {
+        let is_current = |node: &Running| node.shared.status().version == ConfigVersion(2);
+        set.nodes.iter().filter(|node| is_current(node)).count() >= FOLLOWERS
     })
     .await;
     let runner = &set.runners[0];
     runner.drain();
-    let knows = |node: &Running| {
+    let knows_draining = |node: &Running| {
         let register = node.shared.register();
-        let told = register.runners().find(|r| r.entry.id.as_str() == runner.id);
-        told.is_none_or(|r| r.entry.state == State::Draining)
+        let known = register.runners().find(|r| r.entry.id.as_str() == runner.id);
+        known.is_none_or(|r| r.entry.state == State::Draining)
     };
-    wait_until("all nodes know that the runner leaves", async || set.nodes.iter().all(knows)).await;
-    let behind = |node: &&Running| node.shared.status().version < ConfigVersion(2);
-    let behind = set.nodes.iter().filter(behind).count();
-    assert!(behind > 0, "the register came no sooner than the last copy of the configuration");
+    wait_until("all nodes know that the runner drains", async || {
+        set.nodes.iter().all(knows_draining)
+    })
+    .await;
+    let is_behind = |node: &&Running| node.shared.status().version < ConfigVersion(2);
+    let behind = set.nodes.iter().filter(is_behind).count();
+    assert!(behind > 0, "all copies of the configuration arrived before the register change");
 }
 
-/// A node that starts behind a thin link never reads a configuration of a megabyte and refuses all
-/// callers. A call to the store had 0.7 s in all, the megabyte takes 0.84 s on a link of 10 Mbit/s; what
-/// had come by then was thrown away and asked for again. In the record of the large configurations all
-/// nodes with such links asked the store again and again for 4,249 routes: they received 57 and 65 MB in
-/// two seconds where the other nodes had sent 9 and 50.
+/// Guards against a node that starts behind a slow link, never receives a configuration of a megabyte,
+/// and refuses all callers. A call to the store had a time-out of 0.7 s for the whole response, but a
+/// megabyte takes 0.84 s on a link of 10 Mbit/s; the partial response was discarded and requested again.
+/// With a configuration of 4,249 routes, nodes behind such links received 57 and 65 MB in two seconds,
+/// while the other nodes had sent 9 and 50 MB.
 #[tokio::test]
-async fn configuration_megabyte_thin_link_read() {
-    /// Routes of a configuration of a megabyte.
-    const MOST_ROUTES: usize = 4_000;
+async fn megabyte_configuration_received_over_slow_link() {
+    /// The number of routes in a configuration of a megabyte.
+    const ROUTES: usize = 4_000;
     let mut set = Deployment::new().await;
-    set.store.put("config", "main", &large_configuration(2, MOST_ROUTES));
-    set.add_node_far("edge-0", THIN).await;
+    set.store.put("config", "main", &large_configuration(2, ROUTES));
+    set.add_node_far("edge-0", LINK_RATE).await;
     set.wait_ready().await;
 }
 
-/// Nodes that start while the store is away learn all runners from the few nodes that know them. The
-/// answer had one second in all; with the entries of 1,600 runners and many nodes that ask at once over
-/// a thin link it never ends, as with a configuration, and the nodes refuse all callers until the store
-/// is back.
+/// Guards against nodes that start during a store outage, never receive the whole register, and refuse
+/// all callers until the store is back. They learn the runners from the few nodes that know them. The
+/// response had a time-out of one second, too short for the entries of 1,600 runners when many nodes
+/// request them at once over a slow link.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn register_whole_thin_link_learned() {
-    /// Runners, as many as a node is to know.
+async fn whole_register_received_over_slow_link() {
+    /// The largest number of runners that a node must support.
     const RUNNERS: usize = 1_600;
-    /// Nodes that start.
-    const STARTING: usize = 12;
+    /// The number of nodes that start during the outage.
+    const STARTING_NODES: usize = 12;
     let mut set = Deployment::new().await;
     for at in 0..RUNNERS {
         let address = format!("10.1.{}.{}:8482", at >> 8, at & 255);
@@ -135,17 +132,17 @@
         });
         set.store.put("servers", &format!("i-{at}"), &entry);
     }
-    set.add_node_behind("edge-0", THIN).await;
-    let ready = async |set: &Deployment| {
+    set.add_node_behind("edge-0", LINK_RATE).await;
+    let wait_ready = async |set: &Deployment| {
         wait_until("all nodes are ready", async || set.nodes.iter().all(|n| n.shared.is_ready()))
             .await;
     };
-    ready(&set).await;
+    wait_ready(&set).await;
     set.store.set_fault(Fault::Busy);
-    for at in 1..=STARTING {
-        set.add_node_behind(&format!("edge-{at}"), THIN).await;
+    for at in 1..=STARTING_NODES {
+        set.add_node_behind(&format!("edge-{at}"), LINK_RATE).await;
     }
-    ready(&set).await;
+    wait_ready(&set).await;
     let known = set.nodes.iter().map(|node| node.shared.register().runners().count());
     assert_eq!(known.min(), Some(RUNNERS));
 }
