--- a/node/benches/processes.rs
+++ b/node/benches/processes.rs
@@ -1,4 +1,4 @@
-//! `cargo bench --bench processes`: what real idle nodes use, at 3, 9 and 27 processes.
+//! `cargo bench --bench processes`: resource usage of idle nodes, with 3, 9 and 27 processes.
 
 use std::path::Path;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 
 const EXE: &str = env!("CARGO_BIN_EXE_sardinepickd");
 const ENGINES: usize = 18;
-const WATCHED: Duration = Duration::from_secs(10);
+const MEASURED_TIME: Duration = Duration::from_secs(10);
 
-/// The sum of the peer bytes in a node's metrics.
+/// The total of `sardinepick_peer_bytes_total` in a node's metrics.
 async fn peer_bytes(caller: &Caller, plan: &Plan) -> f64 {
-    let asked = caller.ask(plan.front, Method::GET, "/metrics", &[], "").await;
-    let (_, text) = asked.expect("the node answers");
+    let response = caller.ask(plan.front, Method::GET, "/metrics", &[], "").await;
+    let (_, text) = response.expect("a response of the node");
     let lines = text.lines().filter(|l| l.starts_with("sardinepick_peer_bytes_total{"));
     lines.filter_map(|l| l.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
@@ -41,7 +41,7 @@
         engines.push(engine);
     }
     config += "commit";
-    // The deployment's own periods, not the short ones of tests.
+    // The default periods, not the short ones of tests.
     let plan = |at: usize| {
         let plan = Plan::new(&format!("entry-{at}"), "a", platform.address());
         Plan { hurried: false, ..plan }
@@ -50,21 +50,21 @@
     platform.set_vms(plans.iter().map(Plan::vm).collect());
     let daemons: Vec<Daemon> = plans.iter().map(|p| Daemon::start(Path::new(EXE), p)).collect();
     let operator = Caller::new(ADMIN_KEY);
-    wait_until("the first change is taken", || async {
-        let made = operator.command(plans[0].front, &config).await;
-        made.is_ok_and(|(status, _)| status.is_success())
+    wait_until("the first configuration change is accepted", || async {
+        let changed = operator.command(plans[0].front, &config).await;
+        changed.is_ok_and(|(status, _)| status.is_success())
     })
     .await;
     for plan in &plans {
         wait_ready(plan.front).await;
     }
-    tokio::time::sleep(WATCHED / 2).await;
+    tokio::time::sleep(MEASURED_TIME / 2).await;
     let calls = platform.calls();
     let mut before = Vec::new();
     for (daemon, plan) in daemons.iter().zip(&plans) {
         before.push((daemon.usage(), peer_bytes(&operator, plan).await));
     }
-    tokio::time::sleep(WATCHED).await;
+    tokio::time::sleep(MEASURED_TIME).await;
     let (mut cpu, mut rss, mut bytes) = (0, 0, 0.0);
     for ((daemon, plan), (usage, sent)) in daemons.iter().zip(&plans).zip(before) {
         let now = daemon.usage();
@@ -73,7 +73,7 @@
         bytes += peer_bytes(&operator, plan).await - sent;
     }
     let later = platform.calls();
-    let seconds = WATCHED.as_secs_f64();
+    let seconds = MEASURED_TIME.as_secs_f64();
     let nodes = count as f64;
     let calls =
         (later.reads + later.writes + later.watches) - (calls.reads + calls.writes + calls.watches);
--- a/node/benches/soak.rs
+++ b/node/benches/soak.rs
@@ -1,8 +1,8 @@
-//! The soak: `cargo bench --bench soak -- --seed 1 --seconds 30 --nodes 6 --callers 12 --count 10`; with
-//! `--ending` the one of requests under which runners end, with `--copies` one whose store comes back
-//! from copies.
+//! A randomized soak test: `cargo bench --bench soak -- --seed 1 --seconds 30 --nodes 6 --callers 12
+//! --count 10`. With `--ending` it sends requests that crash runners, with `--copies` its store is
+//! restored from backups.
 //!
-//! Runs seeds one after the other and fails if any breaks a promise.
+//! Runs one seed after the other and fails if any of them violates an invariant.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -15,13 +15,13 @@
 fn options() -> Options {
     let mut options = Options::new();
     options.optopt("", "seed", "the first seed", "N");
-    options.optopt("", "count", "how many seeds", "N");
-    options.optopt("", "seconds", "how long each lasts", "N");
-    options.optopt("", "nodes", "how many processes", "N");
-    options.optopt("", "callers", "how many callers", "N");
-    options.optflag("", "copies", "with a store that comes back from copies");
-    options.optflag("", "ending", "of requests under which runners end");
-    options.optflag("", "bench", "given by cargo");
+    options.optopt("", "count", "number of seeds", "N");
+    options.optopt("", "seconds", "duration of the faults per seed", "N");
+    options.optopt("", "nodes", "number of node processes", "N");
+    options.optopt("", "callers", "number of callers", "N");
+    options.optflag("", "copies", "restore the store from backups");
+    options.optflag("", "ending", "send requests that crash runners");
+    options.optflag("", "bench", "passed by cargo, ignored");
     options
 }
 
@@ -36,7 +36,7 @@
     };
     let number = |name, default| matches.opt_get_default::<u64>(name, default).unwrap_or(default);
     let (first, count) = (number("seed", 1), number("count", 1));
-    let mut good = true;
+    let mut passed = true;
     for seed in first..first + count {
         let plan = Plan {
             seed,
@@ -50,14 +50,14 @@
         let report = if ending { ending::run(exe, plan).await } else { soak::run(exe, plan).await };
         match report {
             Ok(report) => {
-                good &= report.broken.is_empty();
+                passed &= report.broken.is_empty();
                 println!("seed {seed}: {report}");
             }
             Err(error) => {
-                good = false;
-                println!("seed {seed}: not run: {error}");
+                passed = false;
+                println!("seed {seed}: failed to run: {error}");
             }
         }
     }
-    if good { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/node/examples/trial.rs
+++ b/node/examples/trial.rs
@@ -1,6 +1,6 @@
-//! A whole deployment in one process, put through its paces: three nodes, model engines, a plain
-//! service and the platform's stand-in. It prints what it did and what was answered, and exits
-//! with an error when an answer is wrong, lost, cut or doubled.
+//! An end-to-end trial of a deployment in one process: three nodes, model engines, a plain service
+//! and a simulated platform. Prints the steps and their results, and exits with an error if a response
+//! is wrong, lost, cut off or duplicated.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 const POSTS: usize = 30;
 const TOKENS: u64 = 40;
 
-/// What callers saw, counted.
+/// The results of requests, as seen by callers.
 #[derive(Default)]
 struct Tally {
     answered: usize,
@@ -44,7 +44,7 @@
 
     fn report(&self, what: &str) -> bool {
         println!(
-            "{what}: {} answered, {} refused, {} cut, {} promises broken",
+            "{what}: {} answered, {} refused, {} cut, {} invariants violated",
             self.answered,
             self.refused,
             self.cut,
@@ -101,8 +101,8 @@
     }
 }
 
-/// Streams completions as callers do: each looks up an address first.
-async fn complete_many(deployment: &Deployment, name: &str) -> JoinSet<(String, String, Told)> {
+/// Starts streaming completions. Each caller looks up an address first, as real ones do.
+async fn start_completions(deployment: &Deployment, name: &str) -> JoinSet<(String, String, Told)> {
     let mut tasks = JoinSet::new();
     let entry = deployment.cluster.front(0);
     for n in 0..COMPLETIONS {
@@ -110,38 +110,38 @@
         let id = format!("{name}-{n}");
         let prompt = format!("{name}: how many eggs for {n} rooms? {}", "occupied. ".repeat(n));
         tasks.spawn(async move {
-            let listing = caller.look_up(entry).await;
-            let peer = listing.map_or(entry, |l| l.addresses[n % l.addresses.len()]);
-            let told = caller.complete(peer, "telraad", &id, &prompt, TOKENS).await;
-            (id, prompt, told)
+            let lookup = caller.look_up(entry).await;
+            let peer = lookup.map_or(entry, |l| l.addresses[n % l.addresses.len()]);
+            let response = caller.complete(peer, "telraad", &id, &prompt, TOKENS).await;
+            (id, prompt, response)
         });
     }
     tasks
 }
 
-async fn tally_completions(
+async fn check_completions(
     deployment: &Deployment,
     mut tasks: JoinSet<(String, String, Told)>,
 ) -> Tally {
     let mut tally = Tally::default();
     while let Some(done) = tasks.join_next().await {
-        let (id, prompt, told) = done.expect("callers do not panic");
+        let (id, prompt, response) = done.expect("the caller task does not panic");
         let starts = deployment.engines.iter().map(|e| e.started(&id)).sum();
-        let violation = check_completion(&id, &prompt, TOKENS, &told.seen, starts);
-        if !matches!(told.seen, Seen::Answer(_)) {
-            println!("  {id}: status {}: {}", told.status, told.body);
+        let violation = check_completion(&id, &prompt, TOKENS, &response.seen, starts);
+        if !matches!(response.seen, Seen::Answer(_)) {
+            println!("  {id}: status {}: {}", response.status, response.body);
         }
-        tally.count(&told.seen, violation);
+        tally.count(&response.seen, violation);
     }
     tally
 }
 
-/// Posts orders of bread, each twice under the same key to two nodes: the second must repeat the
-/// first one's answer and not order bread again.
-async fn post_many(deployment: &Deployment) -> Tally {
+/// Posts orders, each twice with the same idempotency key to two nodes. The second attempt must
+/// return the first response and must not place the order again.
+async fn check_posts(deployment: &Deployment) -> Tally {
     let mut tally = Tally::default();
-    let listing = deployment.caller.look_up(deployment.cluster.front(0)).await;
-    let epoch = listing.map_or(0, |l| l.epoch);
+    let lookup = deployment.caller.look_up(deployment.cluster.front(0)).await;
+    let epoch = lookup.map_or(0, |l| l.epoch);
     for n in 0..POSTS {
         let body = format!("bread for hall {n}");
         let key = format!("order-{n}");
@@ -149,11 +149,14 @@
         for attempt in 1..=2 {
             let keyed = Keyed { key: &key, attempt, epoch };
             let front = deployment.cluster.front((n + attempt as usize) % NODES);
-            let told = deployment.caller.post(front, "ontbijtbord", &body, Some(&keyed)).await;
-            if !matches!(told.seen, Seen::Answer(_)) {
-                println!("  {key} attempt {attempt}: status {}: {}", told.status, told.body);
+            let response = deployment.caller.post(front, "ontbijtbord", &body, Some(&keyed)).await;
+            if !matches!(response.seen, Seen::Answer(_)) {
+                println!(
+                    "  {key} attempt {attempt}: status {}: {}",
+                    response.status, response.body
+                );
             }
-            seen.push(told.seen);
+            seen.push(response.seen);
         }
         let effects = deployment.plain.effects(&body);
         let violation = check_call(&key, &seen, effects);
@@ -166,20 +169,20 @@
 }
 
 async fn run() -> bool {
-    let mut right = true;
+    let mut passed = true;
     println!("starting {NODES} nodes, {ENGINES} engines and a plain service");
     let mut deployment = deploy().await;
 
-    let tasks = complete_many(&deployment, "steady").await;
-    right &= tally_completions(&deployment, tasks).await.report("completions");
-    right &= post_many(&deployment).await.report("orders, each sent twice");
+    let tasks = start_completions(&deployment, "steady").await;
+    passed &= check_completions(&deployment, tasks).await.report("completions");
+    passed &= check_posts(&deployment).await.report("orders, each sent twice");
 
     let generation = deployment.cluster.change("set service telraad priority = high").await;
-    println!("changed the configuration: generation {generation} is in force on all nodes");
+    println!("changed the configuration: all nodes use generation {generation}");
 
-    let tasks = complete_many(&deployment, "drain").await;
+    let tasks = start_completions(&deployment, "drain").await;
     deployment.cluster.change("drain runner telraad-1").await;
-    right &= tally_completions(&deployment, tasks)
+    passed &= check_completions(&deployment, tasks)
         .await
         .report("completions while telraad-1 was drained");
     let drained = &deployment.engines[0];
@@ -189,26 +192,25 @@
     let engine = &deployment.engines[1];
     wait_until("telraad-2 has its new role", || async { engine.role() == Role::Decode }).await;
     let conflicts: u32 = deployment.engines.iter().map(Engine::conflicts).sum();
-    println!("re-roled telraad-2 to decode by {} order(s)", engine.orders().len());
-    right &= conflicts == 0;
+    println!("changed the role of telraad-2 to decode, with {} order(s)", engine.orders().len());
+    passed &= conflicts == 0;
     tokio::time::sleep(Duration::from_millis(400)).await;
 
-    let tasks = complete_many(&deployment, "leave").await;
+    let tasks = start_completions(&deployment, "leave").await;
     let node = deployment.cluster.nodes[NODES - 1].take().expect("the node runs");
     let stopped = node.stop(std::future::pending()).await;
     println!("stopped a node gracefully: {} requests cut", stopped.cut);
-    right &= stopped.cut == 0;
-    right &=
-        tally_completions(&deployment, tasks).await.report("completions while a node was stopped");
-    let doubled = deployment.plain.doubled();
-    println!("orders that ran twice: {}", doubled.len());
-    right &= account_usage().await;
-    right && doubled.is_empty()
+    passed &= stopped.cut == 0;
+    passed &=
+        check_completions(&deployment, tasks).await.report("completions while a node was stopped");
+    let duplicates = deployment.plain.doubled();
+    println!("orders that ran more than once: {}", duplicates.len());
+    passed &= check_usage_reports().await;
+    passed && duplicates.is_empty()
 }
 
-/// Sends requests with keys to nodes that serve on the platform, and waits until their usage has been
-/// reported.
-async fn account_usage() -> bool {
+/// Sends requests with API keys to nodes, and waits until their usage has been reported to the platform.
+async fn check_usage_reports() -> bool {
     let set = fleet::Deployment::new().await.with_platform(Duration::from_millis(500)).await;
     let accounts = [("hotel", &[CALLER_KEY][..], None)];
     set.store.put("config", "main", &fleet::with_accounts(1, &accounts));
@@ -218,33 +220,33 @@
         let ask = fleet_caller::Ask { headers: &headers, ..fleet_caller::Ask::new("/count/a", id) };
         set.send(0, &ask).await.status.map_or(0, |status| status.as_u16())
     };
-    let (platform, _) = set.platform.as_ref().expect("it has one");
-    // What began before all nodes were there is not reported.
+    let (platform, _) = set.platform.as_ref().expect("the deployment has a platform");
+    // Windows that began before all nodes had started are not reported.
     wait_until("windows are reported", || async { !platform.windows().is_empty() }).await;
     let (known, unknown) = (ask("with-a-key", CALLER_KEY).await, ask("with-another", "none").await);
-    println!("a request with a key: {known}; with one that nobody has: {unknown}");
+    println!("status with a valid key: {known}, with an unknown key: {unknown}");
     let reported = || platform.windows().values().filter_map(|c| c.get("hotel")).sum::<u64>();
     wait_until("usage is reported", || async { reported() > 0 }).await;
     println!("usage reported to the platform: {} request(s) of hotel", reported());
     (known, unknown, reported()) == (200, 401, 1)
 }
 
-/// The trial must end by itself.
-const LIMIT: Duration = Duration::from_secs(60);
+/// The time within which the trial must finish.
+const TIME_LIMIT: Duration = Duration::from_secs(60);
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    match tokio::time::timeout(LIMIT, run()).await {
+    match tokio::time::timeout(TIME_LIMIT, run()).await {
         Ok(true) => {
-            println!("all answers were right, whole and single");
+            println!("all responses were correct and complete, without duplicates");
             ExitCode::SUCCESS
         }
         Ok(false) => {
-            println!("something was not right, see above");
+            println!("the trial failed, see above");
             ExitCode::FAILURE
         }
         Err(_) => {
-            println!("the trial did not end within {LIMIT:?}");
+            println!("the trial did not finish within {TIME_LIMIT:?}");
             ExitCode::FAILURE
         }
     }
