--- a/lib/tests/history.rs
+++ b/lib/tests/history.rs
@@ -73,35 +73,35 @@
 #[test]
 fn observe_accepts_later_era_only() {
     let now = Instant::now();
-    let mut present = CurrentEra::default();
-    assert_eq!(present.observe(Era(4), now), EraChange::First);
-    assert_eq!(present.grace_until(now, GRACE), None, "no era was known before");
-    assert_eq!(present.observe(Era(5), now), EraChange::Later { before: Era(4) });
-    assert_eq!(present.observe(Era(4), now), EraChange::Earlier);
-    assert_eq!((present.era(), present.observe(Era(5), now)), (Era(5), EraChange::Same));
-    assert_eq!(present.grace_until(now, GRACE), Some(now + GRACE));
-    assert_eq!(present.grace_until(now + GRACE, GRACE), None);
+    let mut current_era = CurrentEra::default();
+    assert_eq!(current_era.observe(Era(4), now), EraChange::First);
+    assert_eq!(current_era.grace_until(now, GRACE), None, "no era was known before");
+    assert_eq!(current_era.observe(Era(5), now), EraChange::Later { before: Era(4) });
+    assert_eq!(current_era.observe(Era(4), now), EraChange::Earlier);
+    assert_eq!((current_era.era(), current_era.observe(Era(5), now)), (Era(5), EraChange::Same));
+    assert_eq!(current_era.grace_until(now, GRACE), Some(now + GRACE));
+    assert_eq!(current_era.grace_until(now + GRACE, GRACE), None);
 }
 
 /// A single corrupted header must not make all later answers look out of date.
 #[test]
 fn observe_accepts_skipped_era_on_second_report() {
     let now = Instant::now();
-    let mut present = CurrentEra::default();
-    present.observe(Era(1), now);
-    assert_eq!(present.observe(MAX_ERA, now), EraChange::Unconfirmed);
-    assert_eq!((present.observe(Era(1), now), present.era()), (EraChange::Same, Era(1)));
-    assert_eq!(present.observe(Era(3), now), EraChange::Unconfirmed);
-    assert_eq!(present.observe(Era(3), now), EraChange::Later { before: Era(1) });
+    let mut current_era = CurrentEra::default();
+    current_era.observe(Era(1), now);
+    assert_eq!(current_era.observe(MAX_ERA, now), EraChange::Unconfirmed);
+    assert_eq!((current_era.observe(Era(1), now), current_era.era()), (EraChange::Same, Era(1)));
+    assert_eq!(current_era.observe(Era(3), now), EraChange::Unconfirmed);
+    assert_eq!(current_era.observe(Era(3), now), EraChange::Later { before: Era(1) });
 }
 
-/// A draining runner must not be used again because a backup shows its earlier state.
+/// A draining runner must not be used again because a backup contains its earlier state.
 #[test]
 fn apply_backup_keeps_runner_draining() {
     let mut register = register_with(entry(1, 90, 5, State::Draining));
     assert_eq!(register.apply(entry(2, 20, 3, State::Ready)), Change::None);
     assert_eq!(state(&register), Some(State::Draining));
-    // The same if the runner's write count does not tell.
+    // A higher write count of the runner makes no difference.
     assert_eq!(register.apply(entry(3, 21, 9, State::Ready)), Change::None);
     assert_eq!(state(&register), Some(State::Draining));
 }
--- a/lib/tests/scale.rs
+++ b/lib/tests/scale.rs
@@ -23,19 +23,19 @@
 }
 
 fn supply(regular: [u32; 4], reclaimable: [u32; 4]) -> Vec<Supply> {
-    let one = |at: usize| {
+    let in_data_centre = |at: usize| {
         let kinds = [regular[at], reclaimable[at]];
         Supply { ready: kinds, serving: kinds }
     };
-    (0..4).map(one).collect()
+    (0..4).map(in_data_centre).collect()
 }
 
-/// A platform that carries out orders. New runners serve after their boot time, removed ones leave at
-/// once.
+/// A simulated platform that executes orders. New runners serve after their boot time, removed ones
+/// leave immediately.
 struct Platform {
     runners: Vec<Supply>,
     booting: Vec<(Instant, usize, usize, u32)>,
-    /// Until when no reclaimable runners are available.
+    /// No reclaimable runners are available before this time.
     unavailable_until: Option<Instant>,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Carries out an order. Returns false if no runners are available.
+    /// Executes an order. Returns false if no runners are available.
     fn execute(&mut self, now: Instant, order: &Order) -> bool {
         let kind = usize::from(order.kind == Kind::Reclaimable);
         if kind == 1 && self.unavailable_until.is_some_and(|until| now < until) {
@@ -67,9 +67,9 @@
             .filter(|b| (b.1, b.2) == (order.data_centre, kind))
             .map(|b| b.3)
             .sum();
-        let have = runners.ready[kind] + booting;
-        if order.count > have {
-            self.booting.push((now + S * 4, order.data_centre, kind, order.count - have));
+        let current_count = runners.ready[kind] + booting;
+        if order.count > current_count {
+            self.booting.push((now + S * 4, order.data_centre, kind, order.count - current_count));
         } else {
             runners.ready[kind] = runners.ready[kind].min(order.count);
             runners.serving[kind] = runners.ready[kind];
@@ -89,10 +89,10 @@
     /// The price per second, relative to that of one regular runner.
     fn price(&self) -> f64 {
         let prices = [0.85, 1.2, 1.0, 1.1];
-        let of = |(s, price): (&Supply, f64)| {
+        let price_of = |(s, price): (&Supply, f64)| {
             (f64::from(s.ready[0]) + 0.22 * f64::from(s.ready[1])) * price
         };
-        self.runners.iter().zip(prices).map(of).sum()
+        self.runners.iter().zip(prices).map(price_of).sum()
     }
 }
 
@@ -127,7 +127,7 @@
     (min_serving, price)
 }
 
-/// Regular runners must not be given back before their reclaimable replacements serve.
+/// Regular runners must not be released before their reclaimable replacements serve.
 #[test]
 fn plan_reclaimable_first_then_fewer_regular() {
     let mut platform = Platform::new(35);
@@ -140,7 +140,7 @@
     assert!(platform.price() < 60.0, "{} per second", platform.price());
 }
 
-/// Enough runners must serve while all reclaimable ones of a data centre are taken back and none are
+/// Enough runners must serve while all reclaimable ones of a data centre are reclaimed and none are
 /// available for ten seconds, under a load that alternates every 2.8 s.
 #[test]
 fn plan_data_centre_reclaimed_enough_left() {
@@ -178,10 +178,10 @@
             }
         },
     );
-    assert!(platform.serving() >= 112, "{} serve", platform.serving());
+    assert!(platform.serving() >= 112, "{} serving at the end", platform.serving());
 }
 
-/// Runners must not be given back while the required number is not known yet.
+/// Runners must not be released while the required number is not known yet.
 #[test]
 fn plan_not_stable_only_increases() {
     let mut planner = Planner::default();
