--- a/lib/src/config/change.rs
+++ b/lib/src/config/change.rs
@@ -66,16 +66,16 @@
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum ChangeError {
     /// The object to create already exists.
-    #[error("{0} already exists")]
+    #[error("{0} exists already")]
     Exists(Key),
     /// The object to edit does not exist.
     #[error("{0} does not exist")]
     Absent(Key),
     /// The resulting configuration would be invalid.
-    #[error("the change would make the configuration invalid: {}", join_errors(.0))]
+    #[error("the change leaves the configuration wrong: {}", join_errors(.0))]
     Invalid(Vec<ObjectError>),
     /// Another change wrote what this one read or wrote.
-    #[error("{key} was changed by {author} in generation {generation} since you read it")]
+    #[error("{key} was changed by {author} in generation {generation} after you looked")]
     Conflict {
         /// The object that both changes touch.
         key: Key,
@@ -85,9 +85,7 @@
         generation: Generation,
     },
     /// The head no longer lists all changes since the base, so conflicts cannot be detected.
-    #[error(
-        "generation {0} is too old to base a change on; read the configuration again and repeat the command"
-    )]
+    #[error("generation {0} is too old to change; look again and repeat the command")]
     TooOld(Generation),
 }
 
--- a/lib/src/config/read.rs
+++ b/lib/src/config/read.rs
@@ -145,7 +145,7 @@
     let mut r = Reader::new(record);
     let text = |v: &str| Some(SmolStr::new(v));
     let version = r.required(Field::Version, "a version such as 3", text);
-    let weights = r.optional(Field::Weights, "a location in the weight store", text);
+    let weights = r.optional(Field::Weights, "a place in the weight store", text);
     let model = version.map(|version| Model {
         name: record.key.name.clone(),
         version,
--- a/lib/src/hash.rs
+++ b/lib/src/hash.rs
@@ -22,7 +22,7 @@
 
 /// An error from parsing a [`Digest`].
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
-#[error("digest does not have {} hexadecimal digits", DIGEST_LEN * 2)]
+#[error("a digest is {} hexadecimal digits", DIGEST_LEN * 2)]
 pub struct DigestError;
 
 impl Digest {
--- a/lib/src/id.rs
+++ b/lib/src/id.rs
@@ -17,10 +17,10 @@
     #[error("a name must not be empty")]
     Empty,
     /// The text is longer than allowed, such as [`MAX_NAME_LEN`] bytes.
-    #[error("name of {0} bytes is too long")]
+    #[error("a name has at most {MAX_NAME_LEN} bytes, this one has {0}")]
     TooLong(usize),
     /// The name contains a character that is not allowed.
-    #[error("character {0:?} is not allowed in a name, only a-z, 0-9, '-', '_' and '.'")]
+    #[error("a name is made of a-z, 0-9, '-', '_' and '.', not {0:?}")]
     Character(char),
 }
 
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Fault {
     /// The connection failed; no byte of the request was sent.
-    #[error("connection to {peer} failed: {detail}")]
+    #[error("connecting to {peer}: {detail}")]
     Connect {
         /// The runner.
         peer: Name,
@@ -43,7 +43,7 @@
         detail: SmolStr,
     },
     /// The runner refused the request without starting it.
-    #[error("{peer} refused the request before starting it: {detail}")]
+    #[error("{peer} refused the request unstarted: {detail}")]
     Refused {
         /// The runner.
         peer: Name,
@@ -51,7 +51,7 @@
         detail: SmolStr,
     },
     /// The response was interrupted or never arrived.
-    #[error("response of {peer} was interrupted: {detail}")]
+    #[error("answer of {peer} broke off: {detail}")]
     Interrupted {
         /// The runner.
         peer: Name,
@@ -59,7 +59,7 @@
         detail: SmolStr,
     },
     /// The response does not match the request: a token is missing or the format is wrong.
-    #[error("response of {peer} is invalid: {detail}")]
+    #[error("answer of {peer} does not fit: {detail}")]
     Invalid {
         /// The runner.
         peer: Name,
--- a/node/src/upstream/completions.rs
+++ b/node/src/upstream/completions.rs
@@ -151,7 +151,7 @@
         detail: SmolStr::new(error.to_string()),
     })?;
     if chunk.id.as_ref().is_some_and(|named| named != id) {
-        let detail = SmolStr::new_static("event of another request");
+        let detail = SmolStr::new_static("an event of another request");
         return Err(Fault::Invalid { peer: peer.name.clone(), detail });
     }
     let mut frames = Vec::with_capacity(2);
