--- a/wire/src/mark.rs
+++ b/wire/src/mark.rs
@@ -8,7 +8,7 @@
 /// Decodes an era. Nodes of earlier versions send none and are assumed to be in the era `present`.
 ///
 /// # Errors
-/// The era is above [`LAST_ERA`].
+/// The era is above [`MAX_ERA`].
 pub fn decode_era(era: Option<u32>, present: Era) -> Result<Era, WireError> {
     let era = era.map_or(present, Era);
     if era > MAX_ERA { Err(WireError::Value("era")) } else { Ok(era) }
@@ -17,7 +17,7 @@
 /// Decodes a mark from its order and era.
 ///
 /// # Errors
-/// The era is above [`LAST_ERA`].
+/// The era is above [`MAX_ERA`].
 pub fn decode_mark(
     order: u64,
     era: Option<u32>,
@@ -29,7 +29,7 @@
 /// Decodes a point from its revision and era.
 ///
 /// # Errors
-/// The era is above [`LAST_ERA`].
+/// The era is above [`MAX_ERA`].
 pub fn decode_point(revision: u64, era: Option<u32>, present: Era) -> Result<Point, WireError> {
     Ok(Point::new(decode_era(era, present)?, revision))
 }
