--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -1,14 +1,14 @@
-//! The machine's clock, counting the time in which the machine was suspended.
+//! The system clock, including time spent in suspension.
 //!
-//! A holder of a lease whose VM was suspended and resumed would find its lease still valid on a
-//! clock that stands still meanwhile, and would give orders next to its successor.
+//! With a clock that stops during suspension, the holder of a lease whose VM was suspended and
+//! resumed would consider its lease still valid and send orders alongside its successor.
 
 use std::time::{Duration, Instant, SystemTime};
 
 use rustix::time::{ClockId, clock_gettime};
 use sardinepick_lib::clock::Clock;
 
-/// A clock that counts suspension.
+/// A monotonic clock that includes time in suspension.
 #[derive(Clone, Copy, Debug)]
 pub struct Boot {
     base: Instant,
--- a/node/src/explain.rs
+++ b/node/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a request would go where, and why the roles of a service are as they are.
+//! Explanations of where a request would go and of the roles of a service.
 
 use sardinepick_lib::id::Name;
 use sardinepick_lib::language::statement::HypotheticalRequest;
@@ -8,9 +8,9 @@
 
 use crate::node::Node;
 
-/// The lengths that are assumed where the operator does not say.
-const PROMPT: u32 = 500;
-const OUTPUT: u32 = 100;
+/// The default lengths of a hypothetical request in tokens.
+const DEFAULT_PROMPT: u32 = 500;
+const DEFAULT_OUTPUT: u32 = 100;
 
 fn table(columns: &[&'static str], rows: Vec<Vec<SmolStr>>) -> Table {
     Table {
@@ -24,12 +24,12 @@
     format_smolstr!("{value:.3}")
 }
 
-/// What is predicted of every runner for a request, the best first; `None` if there is no such
-/// service.
-pub fn request(node: &Node, probe: &HypotheticalRequest) -> Option<Table> {
-    let pool = node.pool(&probe.service)?;
-    let prompt = probe.prompt.map_or(PROMPT, |t| t.0);
-    let output = probe.output.map_or(OUTPUT, |t| t.0);
+/// Returns the prediction for a request at every runner, the best first; `None` if the service does
+/// not exist.
+pub fn request(node: &Node, hypothetical: &HypotheticalRequest) -> Option<Table> {
+    let pool = node.pool(&hypothetical.service)?;
+    let prompt = hypothetical.prompt.map_or(DEFAULT_PROMPT, |t| t.0);
+    let output = hypothetical.output.map_or(DEFAULT_OUTPUT, |t| t.0);
     let work = pool.estimate_work(prompt, output, Prefix::default());
     let mut lines = pool.explain(&work);
     lines.sort_by(|a, b| {
@@ -62,7 +62,7 @@
     Some(table(&columns, rows.collect()))
 }
 
-/// The last decision on the roles of a service, by the node that holds its lease.
+/// Returns the last decision on the roles of a service, made by the node that holds its lease.
 pub fn roles(node: &Node, service: &Name) -> Table {
     let views = node.authority.views();
     let view = views.get(service);
@@ -76,13 +76,13 @@
         };
         return table(&["why"], vec![vec![why]]);
     };
-    let division = |d: sardinepick_lib::role::RoleCounts| {
+    let role_counts = |d: sardinepick_lib::role::RoleCounts| {
         format_smolstr!("{} prefill, {} decode, {} mixed", d.prefill, d.decode, d.mixed)
     };
     let row = vec![
         decision.why.to_smolstr(),
-        division(decision.current),
-        division(decision.target),
+        role_counts(decision.current),
+        role_counts(decision.target),
         seconds(decision.gain),
         seconds(decision.cost),
     ];
--- a/node/src/gather.rs
+++ b/node/src/gather.rs
@@ -1,4 +1,4 @@
-//! Live rows put together from all nodes.
+//! Collecting live query rows from all nodes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::rows;
 
-/// Rows with the nodes that should have answered and did not.
+/// The rows of a query.
 pub struct Gathered {
     /// The rows.
     pub rows: Vec<Row>,
@@ -19,8 +19,8 @@
     pub missing: Vec<SmolStr>,
 }
 
-/// The rows of a subject. Those that differ from node to node are asked of all nodes that take part;
-/// the others are the configuration's, which is the same everywhere.
+/// Returns the rows of a subject. Rows that differ between nodes are collected from all active
+/// nodes; the others come from the configuration, which is the same on all nodes.
 pub async fn gather(node: &Arc<Node>, subject: Subject) -> Gathered {
     let mut gathered = Gathered { rows: rows::live(node, subject), missing: Vec::new() };
     if !matches!(subject, Subject::Runners | Subject::Leases | Subject::Accounts) {
@@ -36,17 +36,17 @@
         let active = members.peers().filter(|p| p.is_active());
         active.map(|p| (p.update.name.clone(), p.update.addresses.peer)).collect()
     };
-    let asked = peers
+    let queries = peers
         .into_iter()
         .map(|(name, address)| async move { (name, node.peers.rows(address, subject_name).await) });
-    for (name, answer) in futures_util::future::join_all(asked).await {
+    for (name, answer) in futures_util::future::join_all(queries).await {
         let Ok(rows) = answer else {
             gathered.missing.push(name.to_smolstr());
             continue;
         };
         for row in rows {
             let row = Row { cells: row.cells.iter().map(SmolStr::new).collect() };
-            // A node with another configuration may have rows of another form for a moment.
+            // A node with a different configuration may temporarily return rows in another format.
             if row.cells.len() == subject.columns().len() {
                 merge(subject, &mut by_name, row);
             }
@@ -60,32 +60,32 @@
     cell.parse().ok()
 }
 
-/// Takes another node's row in: counts are added up; of two reports the younger one holds; of two
-/// views of a lease the one with the higher epoch does.
+/// Merges another node's row: counts are added up, the newer of two reports is kept, and so is the
+/// view of a lease with the higher epoch.
 fn merge(subject: Subject, rows: &mut BTreeMap<SmolStr, Row>, other: Row) {
     let Some(row) = rows.get_mut(&other.cells[0]) else {
         rows.insert(other.cells[0].clone(), other);
         return;
     };
-    let place = |column| subject.columns().iter().position(|c| *c == column);
+    let index_of = |column| subject.columns().iter().position(|c| *c == column);
     if subject == Subject::Leases {
-        let epoch = place(Column::Epoch).expect("leases have an epoch");
+        let epoch = index_of(Column::Epoch).expect("leases have an epoch");
         if number(&other.cells[epoch]) > number(&row.cells[epoch]) {
             *row = other;
         }
         return;
     }
-    let sum = place(Column::InFlight).map(|at| {
+    let sum = index_of(Column::InFlight).map(|at| {
         let (a, b) = (number(&row.cells[at]), number(&other.cells[at]));
         (at, if a.is_none() && b.is_none() { None } else { Some(a.unwrap_or(0) + b.unwrap_or(0)) })
     });
-    if let Some(age) = place(Column::Age) {
-        let younger = match (number(&row.cells[age]), number(&other.cells[age])) {
+    if let Some(age) = index_of(Column::Age) {
+        let is_newer = match (number(&row.cells[age]), number(&other.cells[age])) {
             (Some(mine), Some(theirs)) => theirs < mine,
             (None, Some(_)) => true,
             (_, None) => false,
         };
-        if younger {
+        if is_newer {
             *row = other;
         }
     }
--- a/node/src/lock.rs
+++ b/node/src/lock.rs
@@ -1,9 +1,9 @@
-//! Locking state that parts of the node share.
+//! Locking of shared state.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex whose holders do not panic in the middle of a change; if one did, what it guards is
-/// still a hint or is replaced as a whole.
+/// Locks a mutex and ignores poisoning. The guarded values are hints or are replaced as a whole, so
+/// they remain usable even if a holder panicked.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `sardinepickd`, a node of sardinepick.
+//! `sardinepickd`, the node daemon of sardinepick.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -10,20 +10,20 @@
 use sardinepick_node::{logging, run, serve};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The exit code for a wrong call, as in BSD's sysexits.
-const USAGE: u8 = 64;
-/// The exit code for wrong settings.
-const CONFIG: u8 = 78;
-/// The exit code for an address that cannot be had.
-const UNAVAILABLE: u8 = 69;
-/// The exit code after requests were cut.
-const CUT: u8 = 75;
+/// The exit code for wrong usage, as in BSD's sysexits.
+const EXIT_USAGE: u8 = 64;
+/// The exit code for invalid settings.
+const EXIT_CONFIG: u8 = 78;
+/// The exit code for an unavailable address.
+const EXIT_UNAVAILABLE: u8 = 69;
+/// The exit code after requests were aborted.
+const EXIT_ABORTED_REQUESTS: u8 = 75;
 
 fn options() -> Options {
     let mut options = Options::new();
     options.optopt("s", "settings", "the settings file", "FILE");
     options.optflag("", "serve", "serve on a platform that keeps configuration and runners");
-    options.optflag("c", "check", "check the settings and end");
+    options.optflag("c", "check", "check the settings and exit");
     options.optflag("h", "help", "print this help");
     options.optflag("V", "version", "print the version");
     options
@@ -35,7 +35,7 @@
         Ok(matches) => matches,
         Err(error) => {
             eprintln!("sardinepickd: {error}; see --help");
-            return ExitCode::from(USAGE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     if matches.opt_present("help") {
@@ -48,7 +48,7 @@
     }
     let Some(file) = matches.opt_str("settings") else {
         eprintln!("sardinepickd: --settings FILE is needed; see --help");
-        return ExitCode::from(USAGE);
+        return ExitCode::from(EXIT_USAGE);
     };
     if matches.opt_present("serve") {
         return serve_on_platform(&file, matches.opt_present("check"));
@@ -57,7 +57,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(CONFIG);
+            return ExitCode::from(EXIT_CONFIG);
         }
     };
     if matches.opt_present("check") {
@@ -68,20 +68,21 @@
     match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime.block_on(serve(settings)),
         Err(error) => {
-            eprintln!("sardinepickd: starting the runtime: {error}");
+            eprintln!("sardinepickd: failed to start the runtime: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Runs a node on a platform that keeps configuration and runners. One thread does all the work: an
-/// entry VM has a part of one core, and threads would only wake each other.
+/// Runs a node on a platform that manages configuration and runners. It uses a single-threaded
+/// runtime: an entry VM has a fraction of one core, so more threads would only add context
+/// switches.
 fn serve_on_platform(file: &str, check: bool) -> ExitCode {
     let settings = match serve::settings::Settings::read(Path::new(file)) {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(CONFIG);
+            return ExitCode::from(EXIT_CONFIG);
         }
     };
     if check {
@@ -93,7 +94,7 @@
     match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime.block_on(run_on_platform(file, settings, metrics)),
         Err(error) => {
-            eprintln!("sardinepickd: starting the runtime: {error}");
+            eprintln!("sardinepickd: failed to start the runtime: {error}");
             ExitCode::FAILURE
         }
     }
@@ -118,24 +119,24 @@
         Ok(running) => running,
         Err(error) => {
             eprintln!("sardinepickd: {error}");
-            return ExitCode::from(UNAVAILABLE);
+            return ExitCode::from(EXIT_UNAVAILABLE);
         }
     };
     loop {
         tokio::select! {
             _ = hangup.recv() => running.reload(Path::new(file)),
-            () = asked(&mut terminate, &mut interrupt) => break,
+            () = stop_signal(&mut terminate, &mut interrupt) => break,
         }
     }
     let cut = tokio::select! {
         cut = running.stop() => cut,
         _ = interrupt.recv() => 1,
     };
-    if cut > 0 { ExitCode::from(CUT) } else { ExitCode::SUCCESS }
+    if cut > 0 { ExitCode::from(EXIT_ABORTED_REQUESTS) } else { ExitCode::SUCCESS }
 }
 
-/// Waits for the next signal that asks the process to end.
-async fn asked(terminate: &mut Signal, interrupt: &mut Signal) {
+/// Waits for the next signal to terminate.
+async fn stop_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
@@ -152,10 +153,10 @@
         Ok(running) => running,
         Err(error) => {
             eprintln!("sardinepickd: {error}");
-            return ExitCode::from(UNAVAILABLE);
+            return ExitCode::from(EXIT_UNAVAILABLE);
         }
     };
-    asked(&mut terminate, &mut interrupt).await;
-    let stopped = running.stop(asked(&mut terminate, &mut interrupt)).await;
-    if stopped.cut > 0 { ExitCode::from(CUT) } else { ExitCode::SUCCESS }
+    stop_signal(&mut terminate, &mut interrupt).await;
+    let stopped = running.stop(stop_signal(&mut terminate, &mut interrupt)).await;
+    if stopped.cut > 0 { ExitCode::from(EXIT_ABORTED_REQUESTS) } else { ExitCode::SUCCESS }
 }
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, in the form that Prometheus reads.
+//! Prometheus metrics.
 
 use prometheus::{
     Encoder as _, Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge,
@@ -9,9 +9,9 @@
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests by service and how they ended.
+    /// Requests by service and outcome.
     pub requests: IntCounterVec,
-    /// Tokens passed to callers.
+    /// Tokens forwarded to clients.
     pub tokens: IntCounter,
     /// Attempts beyond the first, by kind.
     pub retries: IntCounterVec,
@@ -21,24 +21,24 @@
     pub first_token: HistogramVec,
     /// Seconds between tokens.
     pub token_gap: Histogram,
-    /// Claims of request keys by verdict.
+    /// Claims of idempotency keys by verdict.
     pub claims: IntCounterVec,
-    /// Calls to the platform by step.
+    /// Calls to the platform by operation.
     pub store_calls: IntCounterVec,
     /// Bytes to and from other nodes, by kind and direction.
     pub peer_bytes: IntCounterVec,
-    /// Orders to engines by answer.
+    /// Orders to engines by response.
     pub orders: IntCounterVec,
-    /// The generation in force.
+    /// The configuration generation in force.
     pub generation: IntGauge,
-    /// Nodes that take part.
+    /// Active nodes.
     pub members: IntGauge,
-    /// Requests under way at this node.
+    /// Requests in progress at this node.
     pub under_way: IntGauge,
 }
 
 const FIRST_TOKEN_BUCKETS: [f64; 10] = [0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 2.5, 5.0, 15.0];
-const GAP_BUCKETS: [f64; 9] = [0.001, 0.005, 0.01, 0.02, 0.04, 0.076, 0.15, 0.5, 2.0];
+const TOKEN_GAP_BUCKETS: [f64; 9] = [0.001, 0.005, 0.01, 0.02, 0.04, 0.076, 0.15, 0.5, 2.0];
 
 impl Default for Metrics {
     fn default() -> Self {
@@ -47,10 +47,10 @@
 }
 
 impl Metrics {
-    /// Metrics that all stand at nought.
+    /// Creates metrics that are all zero.
     ///
     /// # Panics
-    /// Never: the names below are right and each is used once.
+    /// Never: all names are valid and unique.
     pub fn new() -> Self {
         let registry = Registry::new();
         let name = |n: &str| format!("sardinepick_{n}");
@@ -77,7 +77,7 @@
         .expect("opts");
         let token_gap = Histogram::with_opts(
             HistogramOpts::new(name("token_gap_seconds"), "Seconds between tokens")
-                .buckets(GAP_BUCKETS.to_vec()),
+                .buckets(TOKEN_GAP_BUCKETS.to_vec()),
         )
         .expect("opts");
         registry.register(Box::new(first_token.clone())).expect("registered once");
@@ -100,11 +100,11 @@
         }
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the text format.
     pub fn text(&self) -> Vec<u8> {
         let mut out = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut out) {
-            log::error!("writing metrics: {error}");
+            log::error!("failed to encode metrics: {error}");
         }
         out
     }
--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -15,7 +15,7 @@
 use strum::{Display, EnumString};
 use thiserror::Error;
 
-/// One mistake in a settings file.
+/// A mistake in a settings file.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("{file}: [{section}] {key}: {problem}; accepted: {accepted}")]
 pub struct Mistake {
@@ -27,11 +27,11 @@
     pub key: String,
     /// What is wrong.
     pub problem: String,
-    /// The accepted form.
+    /// The accepted values.
     pub accepted: String,
 }
 
-/// Why settings are not taken.
+/// An error that makes settings unusable.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -39,10 +39,10 @@
     Read {
         /// The file.
         file: String,
-        /// What the system says.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file is not INI.
+    /// The file is not in INI format.
     #[error("{file}: line {line}, column {column}: {message}")]
     Form {
         /// The file.
@@ -51,22 +51,22 @@
         line: usize,
         /// The column.
         column: usize,
-        /// What the reader says.
+        /// The parse error.
         message: String,
     },
-    /// The file has mistakes; all of them.
+    /// All mistakes in the file.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     Mistakes(Vec<Mistake>),
 }
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, Display, EnumString, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -77,41 +77,41 @@
     pub name: Name,
     /// Its data centre.
     pub data_centre: Name,
-    /// Where callers and operators reach it.
+    /// The address for clients and operators.
     pub front: SocketAddr,
-    /// Where other nodes reach it, by datagram and call.
+    /// The address for other nodes, for datagrams and calls.
     pub peer: SocketAddr,
-    /// The platform's object API and VM list.
+    /// The address of the platform's API.
     pub platform: SocketAddr,
-    /// Where other nodes are looked for until the VM list has been read.
+    /// The addresses of nodes to contact until the VM list has been read.
     pub seeds: Vec<SocketAddr>,
-    /// The digest of a key that administers as long as no operator is configured.
+    /// The digest of a key that has all rights as long as no operator is configured.
     pub bootstrap_key: Option<Digest>,
-    /// How large a request body may be, in bytes.
+    /// The maximum size of a request body in bytes.
     pub max_body: usize,
-    /// How many requests of one service may wait at this node.
+    /// The maximum number of queued requests per service at this node.
     pub queue: usize,
-    /// How long the body of a request may take to arrive.
+    /// The timeout for receiving a request body.
     pub body_timeout: Duration,
-    /// How long callers may keep a listing.
+    /// How long clients may cache the list of addresses.
     pub validity: Duration,
-    /// How long a graceful shutdown may take before it cuts.
+    /// How long a graceful shutdown may take before requests are aborted.
     pub shutdown_limit: Duration,
-    /// How often runners are asked for their load.
+    /// How often the load of runners is queried.
     pub load_period: Duration,
-    /// How long an upstream may leave a request without a sign of life.
+    /// How long an upstream may send nothing for a request in progress.
     pub stall_timeout: Duration,
-    /// How long a connection to an upstream may take.
+    /// The timeout for connecting to an upstream.
     pub connect_timeout: Duration,
-    /// How long a call to the platform may take.
+    /// The timeout of a call to the platform.
     pub platform_timeout: Duration,
-    /// How often the platform's VM list is read.
+    /// How often the VM list is read.
     pub list_period: Duration,
-    /// The lease on services.
+    /// The terms of leases on services.
     pub term: Term,
-    /// The least severe log lines that are written.
+    /// The log level.
     pub log_level: LevelFilter,
-    /// How they are written.
+    /// The log format.
     pub log_format: LogFormat,
 }
 
@@ -127,7 +127,7 @@
 pub(crate) const NAME_FORM: &str = "a name of a-z, 0-9, '-', '_' and '.'";
 pub(crate) const ADDRESS_FORM: &str = "an IP address and port such as 10.0.0.7:8000";
 pub(crate) const SPAN_FORM: &str = "a time such as 500ms, 30s or 5m";
-const BYTES_FORM: &str = "a number of bytes from 1024 to 67108864";
+const BODY_BYTES_FORM: &str = "a number of bytes from 1024 to 67108864";
 const QUEUE_FORM: &str = "a whole number from 1 to 1000000";
 pub(crate) const LEVEL_FORM: &str = "off, error, warn, info, debug or trace";
 pub(crate) const FORMAT_FORM: &str = "text or json";
@@ -143,8 +143,7 @@
 /// The sections of a settings file and the keys of each.
 pub(crate) type Sections = [(&'static str, &'static [&'static str])];
 
-/// Reads the text of a settings file whole: `collect` takes the values, and all mistakes are found
-/// at once.
+/// Parses the text of a settings file with `collect` and reports all mistakes at once.
 pub(crate) fn parse_sections<T>(
     file: &str,
     text: &str,
@@ -165,7 +164,7 @@
     }
 }
 
-/// The text of a settings file.
+/// Reads a settings file. Returns its path as text and its content.
 pub(crate) fn read_file(path: &Path) -> Result<(String, String), SettingsError> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -260,30 +259,30 @@
 
 pub(crate) fn within<T: FromStr + PartialOrd + Display + Copy>(
     text: &str,
-    least: T,
-    most: T,
+    min: T,
+    max: T,
 ) -> Option<T> {
-    parsed(text).filter(|value| *value >= least && *value <= most)
+    parsed(text).filter(|value| *value >= min && *value <= max)
 }
 
-const LEAST_BODY: usize = 1024;
-const MOST_BODY: usize = 64 << 20;
-const MOST_QUEUE: usize = 1_000_000;
+const MIN_BODY_BYTES: usize = 1024;
+const MAX_BODY_BYTES: usize = 64 << 20;
+const MAX_QUEUE: usize = 1_000_000;
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// Everything that is wrong with it, at once.
+    /// All mistakes in it, at once.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let (file, text) = read_file(path)?;
         Self::parse(&file, &text)
     }
 
-    /// Checks the text of a file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// Everything that is wrong with it, at once.
+    /// All mistakes in it, at once.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         parse_sections(file, text, &SECTIONS, collect)
     }
@@ -299,9 +298,10 @@
     let platform_timeout = r.span("platform", "timeout", Duration::from_secs(2));
     let list_period = r.span("platform", "list_period", Duration::from_secs(2));
     let bootstrap_key = r.optional("administration", "bootstrap_key", KEY_FORM, parsed);
-    let max_body =
-        r.optional("limits", "max_body", BYTES_FORM, |t| within(t, LEAST_BODY, MOST_BODY));
-    let queue = r.optional("limits", "queue", QUEUE_FORM, |t| within(t, 1, MOST_QUEUE));
+    let max_body = r.optional("limits", "max_body", BODY_BYTES_FORM, |t| {
+        within(t, MIN_BODY_BYTES, MAX_BODY_BYTES)
+    });
+    let queue = r.optional("limits", "queue", QUEUE_FORM, |t| within(t, 1, MAX_QUEUE));
     let body_timeout = r.span("limits", "body_timeout", Duration::from_secs(20));
     let validity = r.span("limits", "validity", sardinepick_lib::directory::VALIDITY);
     let shutdown_limit = r.span("limits", "shutdown_limit", Duration::from_secs(120));
--- a/node/src/store.rs
+++ b/node/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's object API and VM list, behind one interface, and their HTTP form.
+//! The interface to the platform's object API and VM list, and its HTTP implementation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,15 +19,15 @@
 use strum::{Display, IntoStaticStr};
 use thiserror::Error;
 
-/// A step of the work with the platform.
+/// An operation of the platform's API.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub enum Step {
+pub enum Operation {
     /// Reading an object.
     Get,
     /// Writing an object.
     Put,
-    /// Removing an object.
+    /// Deleting an object.
     Delete,
     /// Listing objects.
     List,
@@ -37,48 +37,48 @@
     Vms,
 }
 
-/// Why a call to the platform failed.
+/// An error of a call to the platform.
 #[derive(Clone, Debug, Error)]
 pub enum StoreError {
-    /// The object has another revision than expected: nothing was written.
-    #[error("{step} {object} at {peer}: the object has another revision")]
+    /// The object's revision differs from the expected one. Nothing was written.
+    #[error("{operation} {object} at {peer}: unexpected revision")]
     Conflict {
-        /// The step.
-        step: Step,
+        /// The operation.
+        operation: Operation,
         /// The object.
         object: SmolStr,
         /// The platform.
         peer: SocketAddr,
     },
-    /// The platform could not be reached: nothing was written.
-    #[error("{step} {object} at {peer}: not reached: {detail}")]
+    /// The platform is unreachable. Nothing was written.
+    #[error("{operation} {object} at {peer}: unreachable: {detail}")]
     Unreachable {
-        /// The step.
-        step: Step,
+        /// The operation.
+        operation: Operation,
         /// The object.
         object: SmolStr,
         /// The platform.
         peer: SocketAddr,
-        /// What the transport says.
+        /// The transport error.
         detail: SmolStr,
     },
-    /// No answer came. A write may have taken effect.
-    #[error("{step} {object} at {peer}: no answer: {detail}")]
+    /// No response arrived. A write may have taken effect.
+    #[error("{operation} {object} at {peer}: no response: {detail}")]
     Lost {
-        /// The step.
-        step: Step,
+        /// The operation.
+        operation: Operation,
         /// The object.
         object: SmolStr,
         /// The platform.
         peer: SocketAddr,
-        /// What the transport says.
+        /// The transport error.
         detail: SmolStr,
     },
-    /// The platform refused the call: nothing was written.
-    #[error("{step} {object} at {peer}: refused with {status}")]
+    /// The platform refused the call. Nothing was written.
+    #[error("{operation} {object} at {peer}: refused with status {status}")]
     Refused {
-        /// The step.
-        step: Step,
+        /// The operation.
+        operation: Operation,
         /// The object.
         object: SmolStr,
         /// The platform.
@@ -89,13 +89,13 @@
 }
 
 impl StoreError {
-    /// Whether a write that failed so may have taken effect.
+    /// Returns whether a write that failed with this error may have taken effect.
     pub fn may_have_written(&self) -> bool {
         matches!(self, StoreError::Lost { .. })
     }
 }
 
-/// An object with its revision.
+/// An object.
 #[derive(Clone, Debug)]
 pub struct Object {
     /// The revision.
@@ -104,22 +104,22 @@
     pub value: Bytes,
 }
 
-/// A changed object as a watch tells it.
+/// An entry of a listing or a watch.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Changed {
+pub struct ObjectRevision {
     /// The object.
     pub name: SmolStr,
     /// Its revision.
     pub revision: u64,
 }
 
-/// The platform's service.
+/// The platform's API.
 #[async_trait]
 pub trait Store: Send + Sync {
-    /// Reads an object; `None` if there is none.
+    /// Reads an object. Returns `None` if it does not exist.
     async fn get(&self, object: &str) -> Result<Option<Object>, StoreError>;
 
-    /// Writes an object if it has the expected revision, or does not exist where none is expected.
+    /// Writes an object if it has the expected revision, or does not exist if `expected` is `None`.
     async fn put(
         &self,
         object: &str,
@@ -127,25 +127,25 @@
         value: Bytes,
     ) -> Result<Point, StoreError>;
 
-    /// Removes an object if it has the expected revision.
+    /// Deletes an object if it has the expected revision.
     async fn delete(&self, object: &str, expected: Point) -> Result<(), StoreError>;
 
-    /// Names the objects below a prefix.
-    async fn list(&self, prefix: &str) -> Result<Vec<Changed>, StoreError>;
+    /// Lists the objects whose names start with a prefix.
+    async fn list(&self, prefix: &str) -> Result<Vec<ObjectRevision>, StoreError>;
 
-    /// Waits up to `wait` for objects below a prefix to change after a revision.
+    /// Waits up to `wait` for changes after a revision to objects whose names start with a prefix.
     async fn watch(
         &self,
         prefix: &str,
         after: Point,
         wait: Duration,
-    ) -> Result<Vec<Changed>, StoreError>;
+    ) -> Result<Vec<ObjectRevision>, StoreError>;
 
     /// Reads the VM list.
     async fn vms(&self) -> Result<Vec<Vm>, StoreError>;
 }
 
-/// The platform's service over HTTP.
+/// The platform's API over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     peer: SocketAddr,
@@ -155,7 +155,7 @@
 }
 
 impl HttpStore {
-    /// The platform at `peer`, with its calls counted by step in `calls`.
+    /// Creates a client for the platform at `peer` that counts its calls by operation in `calls`.
     pub fn new(peer: SocketAddr, timeout: Duration, calls: IntCounterVec) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(timeout));
@@ -171,20 +171,20 @@
             .method(method)
             .uri(uri)
             .body(Full::new(body))
-            .expect("object names are made of characters that paths allow")
+            .expect("object names contain only characters that are valid in paths")
     }
 
     async fn call(
         &self,
-        step: Step,
+        operation: Operation,
         object: &str,
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<(Response<()>, Bytes), StoreError> {
-        let name: &str = step.into();
+        let name: &str = operation.into();
         self.calls.with_label_values(&[name]).inc();
         let lost = |detail: String| StoreError::Lost {
-            step,
+            operation,
             object: SmolStr::new(object),
             peer: self.peer,
             detail: SmolStr::new(detail),
@@ -194,7 +194,7 @@
                 self.client.request(request).await.map_err(|error| {
                     if error.is_connect() {
                         StoreError::Unreachable {
-                            step,
+                            operation,
                             object: SmolStr::new(object),
                             peer: self.peer,
                             detail: SmolStr::new(error.to_string()),
@@ -208,13 +208,13 @@
             Ok((Response::from_parts(parts, ()), body.to_bytes()))
         };
         let (head, body) = match tokio::time::timeout(timeout, exchange).await {
-            Ok(done) => done?,
-            Err(_) => return Err(lost(format!("none within {timeout:?}"))),
+            Ok(result) => result?,
+            Err(_) => return Err(lost(format!("timed out after {timeout:?}"))),
         };
         let status = head.status();
         if status == StatusCode::PRECONDITION_FAILED {
             return Err(StoreError::Conflict {
-                step,
+                operation,
                 object: SmolStr::new(object),
                 peer: self.peer,
             });
@@ -226,19 +226,24 @@
             return Ok((head, body));
         }
         let status = status.as_u16();
-        Err(StoreError::Refused { step, object: SmolStr::new(object), peer: self.peer, status })
+        Err(StoreError::Refused {
+            operation,
+            object: SmolStr::new(object),
+            peer: self.peer,
+            status,
+        })
     }
 
     async fn read_json<T: for<'de> Deserialize<'de>>(
         &self,
-        step: Step,
+        operation: Operation,
         path: &str,
         timeout: Duration,
     ) -> Result<T, StoreError> {
         let request = self.request(Method::GET, path, Bytes::new());
-        let (_, body) = self.call(step, path, request, timeout).await?;
+        let (_, body) = self.call(operation, path, request, timeout).await?;
         serde_json::from_slice(&body).map_err(|error| StoreError::Lost {
-            step,
+            operation,
             object: SmolStr::new(path),
             peer: self.peer,
             detail: SmolStr::new(error.to_string()),
@@ -255,7 +260,7 @@
 impl Store for HttpStore {
     async fn get(&self, object: &str) -> Result<Option<Object>, StoreError> {
         let request = self.request(Method::GET, &format!("/v1/objects/{object}"), Bytes::new());
-        let (head, value) = self.call(Step::Get, object, request, self.timeout).await?;
+        let (head, value) = self.call(Operation::Get, object, request, self.timeout).await?;
         if head.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
@@ -277,7 +282,7 @@
                 request.headers_mut().insert(header::IF_NONE_MATCH, HeaderValue::from_static("*"))
             }
         };
-        let (head, _) = self.call(Step::Put, object, request, self.timeout).await?;
+        let (head, _) = self.call(Operation::Put, object, request, self.timeout).await?;
         Ok(revision(&head))
     }
 
@@ -285,11 +290,11 @@
         let path = format!("/v1/objects/{object}");
         let mut request = self.request(Method::DELETE, &path, Bytes::new());
         request.headers_mut().insert(header::IF_MATCH, expected.revision.0.into());
-        self.call(Step::Delete, object, request, self.timeout).await.map(|_| ())
+        self.call(Operation::Delete, object, request, self.timeout).await.map(|_| ())
     }
 
-    async fn list(&self, prefix: &str) -> Result<Vec<Changed>, StoreError> {
-        self.read_json(Step::List, &format!("/v1/list?prefix={prefix}"), self.timeout).await
+    async fn list(&self, prefix: &str) -> Result<Vec<ObjectRevision>, StoreError> {
+        self.read_json(Operation::List, &format!("/v1/list?prefix={prefix}"), self.timeout).await
     }
 
     async fn watch(
@@ -297,14 +302,14 @@
         prefix: &str,
         after: Point,
         wait: Duration,
-    ) -> Result<Vec<Changed>, StoreError> {
+    ) -> Result<Vec<ObjectRevision>, StoreError> {
         let millis = wait.as_millis();
         let path =
             format!("/v1/watch?prefix={prefix}&after={}&timeout_ms={millis}", after.revision);
-        self.read_json(Step::Watch, &path, self.timeout + wait).await
+        self.read_json(Operation::Watch, &path, self.timeout + wait).await
     }
 
     async fn vms(&self) -> Result<Vec<Vm>, StoreError> {
-        self.read_json(Step::Vms, "/v1/vms", self.timeout).await
+        self.read_json(Operation::Vms, "/v1/vms", self.timeout).await
     }
 }
