--- a/node/tests/processes.rs
+++ b/node/tests/processes.rs
@@ -1,7 +1,7 @@
-//! The real program as nine processes under steady load, while one is killed and one paused every
-//! few seconds and runners are drained and re-roled throughout.
+//! Runs the daemon as nine processes under constant load, while every few seconds one process is
+//! killed and one suspended, and runners are drained and change roles.
 //!
-//! It takes some ten seconds; `SARDINEPICK_RUN_SECONDS` makes it longer.
+//! The test takes about ten seconds; `SARDINEPICK_RUN_SECONDS` changes the duration.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -26,7 +26,7 @@
 const EXE: &str = env!("CARGO_BIN_EXE_sardinepickd");
 const NODES: usize = 9;
 const ENGINES: usize = 6;
-const CALLERS: usize = 24;
+const CLIENTS: usize = 24;
 const TOKENS: u64 = 30;
 const KEY: &str = "clerk-key";
 const DEFAULT_SECONDS: u64 = 9;
@@ -59,12 +59,12 @@
     }
 }
 
-struct Back {
+struct Backends {
     engines: Vec<Engine>,
     plain: Plain,
 }
 
-fn config(back: &Back) -> String {
+fn config(backends: &Backends) -> String {
     let key = Digest::of(KEY.as_bytes());
     let mut config = format!(
         "begin; create model telraad-7b version = 3; \
@@ -72,9 +72,9 @@
          create service ontbijtbord form = plain, deadline = 3s; \
          create runner ontbijtbord-1 service = ontbijtbord, address = {}, data_centre = zaal-dom; \
          create account clerk key = {key}, rate = 10000, burst = 10000, concurrency = 1000; ",
-        back.plain.address()
+        backends.plain.address()
     );
-    for (at, engine) in back.engines.iter().enumerate() {
+    for (at, engine) in backends.engines.iter().enumerate() {
         config += &format!(
             "create runner telraad-{at} service = telraad, address = {}, \
              data_centre = zaal-dom, fencing = checked, slots = 32; ",
@@ -84,12 +84,13 @@
     config + "commit"
 }
 
-/// Asks any of the nodes for addresses until one answers.
+/// Asks the nodes for addresses in turn until one responds.
 async fn look_up(caller: &Caller, fronts: &[SocketAddr], from: usize) -> (SocketAddr, u64) {
-    for turn in 0.. {
-        let front = fronts[(from + turn) % fronts.len()];
-        let asked = tokio::time::timeout(Duration::from_millis(500), caller.look_up(front)).await;
-        if let Ok(Ok(listing)) = asked
+    for attempt in 0.. {
+        let front = fronts[(from + attempt) % fronts.len()];
+        let response =
+            tokio::time::timeout(Duration::from_millis(500), caller.look_up(front)).await;
+        if let Ok(Ok(listing)) = response
             && let Some(address) = listing.addresses.first()
         {
             return (*address, listing.epoch);
@@ -98,12 +99,12 @@
     unreachable!("the loop does not end")
 }
 
-/// One caller: completions and orders in turn until told to stop. An order that got no answer is
-/// repeated once under its key.
-async fn call(
+/// Runs one client: completions and orders in turn until stopped. An order without a response is
+/// retried once with its key.
+async fn run_client(
     at: usize,
     fronts: Arc<Vec<SocketAddr>>,
-    back: Arc<Back>,
+    backends: Arc<Backends>,
     stop: Arc<AtomicBool>,
 ) -> Tally {
     let caller = Caller::new(KEY);
@@ -117,13 +118,13 @@
         if n % 3 < 2 {
             let prompt = format!("{id}: how many eggs? {}", "rooms ".repeat(n % 50));
             let ask = caller.complete(front, "telraad", &id, &prompt, TOKENS);
-            let Ok(told) = tokio::time::timeout(Duration::from_secs(10), ask).await else {
+            let Ok(reply) = tokio::time::timeout(Duration::from_secs(10), ask).await else {
                 tally.cut += 1;
                 continue;
             };
-            let starts = back.engines.iter().map(|e| e.started(&id)).sum();
-            tally.count(&told.seen);
-            tally.violations.extend(check_completion(&id, &prompt, TOKENS, &told.seen, starts));
+            let starts = backends.engines.iter().map(|e| e.started(&id)).sum();
+            tally.count(&reply.seen);
+            tally.violations.extend(check_completion(&id, &prompt, TOKENS, &reply.seen, starts));
             continue;
         }
         let mut seen = Vec::new();
@@ -131,27 +132,27 @@
             let (front, _) = look_up(&caller, &fronts, at + n + attempt as usize).await;
             let keyed = Keyed { key: &id, attempt, epoch };
             let ask = caller.post(front, "ontbijtbord", &id, Some(&keyed));
-            let told = tokio::time::timeout(Duration::from_secs(5), ask).await;
-            let one = told.map_or(Seen::Cut, |told| told.seen);
-            let again = !matches!(one, Seen::Answer(_));
-            seen.push(one);
-            if !again {
+            let reply = tokio::time::timeout(Duration::from_secs(5), ask).await;
+            let outcome = reply.map_or(Seen::Cut, |reply| reply.seen);
+            let retry = !matches!(outcome, Seen::Answer(_));
+            seen.push(outcome);
+            if !retry {
                 break;
             }
         }
         tally.count(seen.last().expect("there was an attempt"));
-        tally.violations.extend(check_call(&id, &seen, back.plain.effects(&id)));
+        tally.violations.extend(check_call(&id, &seen, backends.plain.effects(&id)));
     }
     tally
 }
 
-/// Symptom: under churn an answer is wrong, a refusal false, or an order doubled. Sequence: nodes
-/// are killed, paused and started again, runners drained and re-roled, all under load. Cause: any of
-/// these two together may hit a request in any of its states.
+/// Nodes are killed, suspended and restarted, and runners are drained and change roles, all under
+/// load. Any two of these may hit a request in any of its states. No response may be wrong, no
+/// refusal may wrongly say "not run", and no order may run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn nine_processes_under_churn() {
     let seconds = std::env::var("SARDINEPICK_RUN_SECONDS").ok().and_then(|s| s.parse().ok());
-    let span = Duration::from_secs(seconds.unwrap_or(DEFAULT_SECONDS));
+    let run_time = Duration::from_secs(seconds.unwrap_or(DEFAULT_SECONDS));
     let platform = Platform::start(free_address(own_ip())).await.expect("a free address");
     let mut engines = Vec::new();
     for _ in 0..ENGINES {
@@ -159,16 +160,16 @@
         engines.push(engine.expect("a free address"));
     }
     let plain = Plain::start(free_address(own_ip())).await.expect("a free address");
-    let back = Arc::new(Back { engines, plain });
+    let backends = Arc::new(Backends { engines, plain });
     let plan = |at| Plan::new(&format!("entry-{at}"), "zaal-dom", platform.address());
     let plans: Vec<Plan> = (0..NODES).map(plan).collect();
     platform.set_vms(plans.iter().map(Plan::vm).collect());
     let start = |plan: &Plan| Daemon::start(Path::new(EXE), plan);
     let mut daemons: Vec<Daemon> = plans.iter().map(start).collect();
     let operator = Caller::new(ADMIN_KEY);
-    wait_until("the first change is taken", || async {
-        let made = operator.command(plans[0].front, &config(&back)).await;
-        made.is_ok_and(|(status, _)| status.is_success())
+    wait_until("the first change is applied", || async {
+        let result = operator.command(plans[0].front, &config(&backends)).await;
+        result.is_ok_and(|(status, _)| status.is_success())
     })
     .await;
     for plan in &plans {
@@ -178,16 +179,16 @@
     let fronts: Arc<Vec<SocketAddr>> = Arc::new(plans.iter().map(|p| p.front).collect());
     let stop = Arc::new(AtomicBool::new(false));
     let mut calls = JoinSet::new();
-    for at in 0..CALLERS {
-        calls.spawn(call(at, fronts.clone(), back.clone(), stop.clone()));
+    for at in 0..CLIENTS {
+        calls.spawn(run_client(at, fronts.clone(), backends.clone(), stop.clone()));
     }
-    let until = Instant::now() + span;
+    let until = Instant::now() + run_time;
     let mut turn = 0;
     let (mut kills, mut pauses, mut changes) = (0, 0, 0);
     while Instant::now() < until {
-        let (victim, sleeper) = (1 + turn % (NODES - 1), 1 + (turn + 4) % (NODES - 1));
+        let (victim, suspended) = (1 + turn % (NODES - 1), 1 + (turn + 4) % (NODES - 1));
         daemons[victim].kill();
-        daemons[sleeper].pause();
+        daemons[suspended].pause();
         kills += 1;
         pauses += 1;
         let runner = turn % ENGINES;
@@ -197,11 +198,11 @@
             format!("set runner telraad-{} role = {role}", (runner + 1) % ENGINES),
         ];
         for command in &commands {
-            let made = operator.command(plans[0].front, command).await;
-            changes += u32::from(made.is_ok_and(|(status, _)| status.is_success()));
+            let result = operator.command(plans[0].front, command).await;
+            changes += u32::from(result.is_ok_and(|(status, _)| status.is_success()));
         }
         sleep(Duration::from_millis(1500)).await;
-        daemons[sleeper].resume();
+        daemons[suspended].resume();
         daemons[victim] = start(&plans[victim]);
         let resume = format!("resume runner telraad-{runner}");
         let _ = operator.command(plans[0].front, &resume).await;
@@ -210,10 +211,10 @@
     stop.store(true, Ordering::Relaxed);
     let mut tally = Tally::default();
     while let Some(done) = calls.join_next().await {
-        tally.add(done.expect("callers do not panic"));
+        tally.add(done.expect("clients do not panic"));
     }
     let usage: Vec<_> = daemons.iter().map(Daemon::usage).collect();
-    let conflicts: u32 = back.engines.iter().map(Engine::conflicts).sum();
+    let conflicts: u32 = backends.engines.iter().map(Engine::conflicts).sum();
     println!(
         "{kills} kills, {pauses} pauses, {changes} changes: {} answered, {} refused not run, \
          {} refused unknown, {} cut, {conflicts} conflicting orders, {} violations; \
@@ -226,15 +227,15 @@
         usage.iter().map(|u| u.rss_kb).max().unwrap_or(0),
     );
     assert_eq!(tally.violations, []);
-    assert_eq!(back.plain.doubled(), Vec::<String>::new());
+    assert_eq!(backends.plain.doubled(), Vec::<String>::new());
     assert_eq!(conflicts, 0);
-    assert!(tally.answered > 100, "hardly anything was answered: {tally:?}");
+    assert!(tally.answered > 100, "too few requests were answered: {tally:?}");
     assert!(changes > 0);
 
-    // Every planned stop is graceful: asked to end, a node ends with code 0.
+    // A planned stop is graceful: the node exits with code 0.
     daemons[0].terminate();
     let daemon = std::sync::Mutex::new(daemons.remove(0));
-    wait_until("the node has ended", || async {
+    wait_until("the node has exited", || async {
         daemon.lock().expect("not poisoned").ended().is_some()
     })
     .await;
--- a/node/tests/settings.rs
+++ b/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The worked settings of both deployments, and what is said of wrong ones.
+//! The example settings of both deployments, and the errors for invalid settings.
 
 use std::path::{Path, PathBuf};
 
@@ -15,36 +15,37 @@
 fn check_deployment(name: &str, services: [&str; 2], runners: [usize; 2]) {
     for at in 1..=8 {
         let file = deployment(name).join(format!("entry-{at}.ini"));
-        let settings = Settings::read(&file).expect("a worked example is right");
+        let settings = Settings::read(&file).expect("the example settings are valid");
         assert_eq!(settings.name.as_str(), format!("entry-{at}"));
     }
-    let text = std::fs::read_to_string(deployment(name).join("first.txt")).expect("it is there");
-    let statements = parse(&text).expect("it is in the language");
+    let text =
+        std::fs::read_to_string(deployment(name).join("first.txt")).expect("the example exists");
+    let statements = parse(&text).expect("the example parses");
     let [Statement::Change(edits)] = statements.as_slice() else {
         panic!("one batch, not {statements:?}");
     };
-    let snapshot = prepare(&Snapshot::default(), edits).expect("it is right").snapshot;
+    let snapshot = prepare(&Snapshot::default(), edits).expect("the example is valid").snapshot;
     for (service, count) in services.into_iter().zip(runners) {
-        let service = service.parse().expect("a right name");
+        let service = service.parse().expect("the service name is valid");
         assert_eq!(snapshot.runners(&service).count(), count);
     }
 }
 
 #[test]
-fn worked_examples_van_houtkamp() {
+fn example_settings_van_houtkamp() {
     check_deployment("van-houtkamp", ["telraad", "ontbijtbord"], [9, 4]);
 }
 
 #[test]
-fn worked_examples_profiltryckeri() {
+fn example_settings_profiltryckeri() {
     check_deployment("profiltryckeri", ["tryckassistent", "orderdisk"], [18, 4]);
 }
 
 #[test]
-fn parse_all_mistakes_at_once() {
+fn parse_reports_all_mistakes() {
     let text = "[node]\nname = Entry 1\nfront = somewhere\npeer = 0.0.0.0:1\ncolour = red\n\
                 [limits]\nqueue = 0\n[kitchen]\neggs = 12\n";
-    let error = Settings::parse("wrong.ini", text).expect_err("it is wrong");
+    let error = Settings::parse("wrong.ini", text).expect_err("the settings are invalid");
     expect![[r#"
         wrong.ini: [node] colour: is not a known key; accepted: keys name, data_centre, front, peer, seeds
         wrong.ini: [kitchen] eggs: is in no known section; accepted: sections node, platform, administration, limits, upstream, log
