--- a/node/src/configuration.rs
+++ b/node/src/configuration.rs
@@ -221,8 +221,8 @@
 /// Activates the latest fetched or written configuration on this node.
 pub fn install(node: &Node) {
     let snapshot = {
-        let spreader = node.spreader();
-        spreader.installed().snapshot.clone()
+        let fetcher = node.spreader();
+        fetcher.installed().snapshot.clone()
     };
     if snapshot.generation <= node.config.load().generation {
         return;
--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -126,7 +126,7 @@
 
 pub(crate) const NAME_FORM: &str = "a name of a-z, 0-9, '-', '_' and '.'";
 pub(crate) const ADDRESS_FORM: &str = "an IP address and port such as 10.0.0.7:8000";
-pub(crate) const SPAN_FORM: &str = "a time such as 500ms, 30s or 5m";
+pub(crate) const DURATION_FORM: &str = "a time such as 500ms, 30s or 5m";
 const BODY_BYTES_FORM: &str = "a number of bytes from 1024 to 67108864";
 const QUEUE_FORM: &str = "a whole number from 1 to 1000000";
 pub(crate) const LEVEL_FORM: &str = "off, error, warn, info, debug or trace";
@@ -213,9 +213,9 @@
         self.optional(section, key, accepted, parse)
     }
 
-    pub(crate) fn span(&mut self, section: &str, key: &str, default: Duration) -> Duration {
+    pub(crate) fn duration(&mut self, section: &str, key: &str, default: Duration) -> Duration {
         let accepted = |text: &str| parse_duration(text).filter(|s| !s.is_zero());
-        self.optional(section, key, SPAN_FORM, accepted).unwrap_or(default)
+        self.optional(section, key, DURATION_FORM, accepted).unwrap_or(default)
     }
 
     fn check_names(&mut self, sections: &Sections) {
@@ -295,22 +295,22 @@
     let peer = r.required("node", "peer", ADDRESS_FORM, usable_address);
     let seeds = r.optional("node", "seeds", "addresses with ',' between them", addresses);
     let platform = r.required("platform", "address", ADDRESS_FORM, usable_address);
-    let platform_timeout = r.span("platform", "timeout", Duration::from_secs(2));
-    let list_period = r.span("platform", "list_period", Duration::from_secs(2));
+    let platform_timeout = r.duration("platform", "timeout", Duration::from_secs(2));
+    let list_period = r.duration("platform", "list_period", Duration::from_secs(2));
     let bootstrap_key = r.optional("administration", "bootstrap_key", KEY_FORM, parsed);
     let max_body = r.optional("limits", "max_body", BODY_BYTES_FORM, |t| {
         within(t, MIN_BODY_BYTES, MAX_BODY_BYTES)
     });
     let queue = r.optional("limits", "queue", QUEUE_FORM, |t| within(t, 1, MAX_QUEUE));
-    let body_timeout = r.span("limits", "body_timeout", Duration::from_secs(20));
-    let validity = r.span("limits", "validity", sardinepick_lib::directory::VALIDITY);
-    let shutdown_limit = r.span("limits", "shutdown_limit", Duration::from_secs(120));
-    let load_period = r.span("upstream", "load_period", Duration::from_secs(1));
-    let stall_timeout = r.span("upstream", "stall_timeout", Duration::from_secs(10));
-    let connect_timeout = r.span("upstream", "connect_timeout", Duration::from_secs(1));
+    let body_timeout = r.duration("limits", "body_timeout", Duration::from_secs(20));
+    let validity = r.duration("limits", "validity", sardinepick_lib::directory::VALIDITY);
+    let shutdown_limit = r.duration("limits", "shutdown_limit", Duration::from_secs(120));
+    let load_period = r.duration("upstream", "load_period", Duration::from_secs(1));
+    let stall_timeout = r.duration("upstream", "stall_timeout", Duration::from_secs(10));
+    let connect_timeout = r.duration("upstream", "connect_timeout", Duration::from_secs(1));
     let term = Term {
-        ttl: r.span("upstream", "lease_ttl", Term::default().ttl),
-        margin: r.span("upstream", "lease_margin", Term::default().margin),
+        ttl: r.duration("upstream", "lease_ttl", Term::default().ttl),
+        margin: r.duration("upstream", "lease_margin", Term::default().margin),
     };
     let log_level = r.optional("log", "level", LEVEL_FORM, parsed);
     let log_format = r.optional("log", "format", FORMAT_FORM, parsed);
--- a/node/src/write.rs
+++ b/node/src/write.rs
@@ -240,8 +240,8 @@
         return Ok(Installed::default());
     }
     let current = {
-        let spreader = node.spreader();
-        spreader.installed().clone()
+        let fetcher = node.spreader();
+        fetcher.installed().clone()
     };
     if current.head.operation == head.operation {
         return Ok(current);
