--- a/node/src/claims.rs
+++ b/node/src/claims.rs
@@ -37,7 +37,7 @@
 
 /// Decides a claim as the owner. If the claim has a newer table version, the table is refreshed
 /// first.
-pub async fn judge(node: &Node, claim: &Claim) -> Verdict {
+pub async fn decide(node: &Node, claim: &Claim) -> Verdict {
     let verdict = node.register().claim(claim);
     if verdict != Verdict::Doubt(Doubt::TooNew) {
         return verdict;
@@ -123,7 +123,7 @@
         claimant,
     };
     let verdict = if owner.address == node.settings.peer {
-        judge(node, &claim).await
+        decide(node, &claim).await
     } else {
         match node.peers.claim(owner.address, &claim).await {
             Ok(verdict) => verdict,
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -10,7 +10,7 @@
 
 /// A monotonic clock that includes time in suspension.
 #[derive(Clone, Copy, Debug)]
-pub struct Boot {
+pub struct BootClock {
     base: Instant,
     start: Duration,
 }
@@ -21,13 +21,13 @@
     Duration::new(seconds, u32::try_from(time.tv_nsec).unwrap_or_default())
 }
 
-impl Default for Boot {
+impl Default for BootClock {
     fn default() -> Self {
         Self { base: Instant::now(), start: since_boot() }
     }
 }
 
-impl Clock for Boot {
+impl Clock for BootClock {
     fn now(&self) -> Instant {
         self.base + since_boot().saturating_sub(self.start)
     }
--- a/node/src/completion.rs
+++ b/node/src/completion.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 use crate::node::Node;
-use crate::pool::{Permit, RunnerAttempt, Shared};
+use crate::pool::{Permit, RunnerAttempt, SharedPool};
 use crate::upstream::{Completion, Frame, Frames, Peer};
 
 /// The maximum number of attempts for one request.
@@ -224,7 +224,7 @@
 /// A completion in progress.
 struct CompletionTask {
     node: Arc<Node>,
-    pool: Shared,
+    pool: SharedPool,
     request: Request,
     completion: Completion,
     work: Work,
--- a/node/src/configuration.rs
+++ b/node/src/configuration.rs
@@ -118,8 +118,8 @@
 async fn watch_once(node: &Node, seen: &mut Point) -> Result<(), FetchError> {
     if let Some((revision, head)) = read_head(node).await? {
         *seen = (*seen).max(revision);
-        node.spreader().on_head(head);
-        node.wanted.notify_one();
+        node.config_fetcher().on_head(head);
+        node.fetch_requested.notify_one();
     }
     node.store.watch(HEAD, *seen, WATCH_TIMEOUT).await?;
     Ok(())
@@ -130,7 +130,7 @@
     loop {
         tokio::select! {
             () = node.stopped() => return,
-            () = node.wanted.notified() => {}
+            () = node.fetch_requested.notified() => {}
             () = tokio::time::sleep(FETCH_INTERVAL) => {}
         }
         fetch_pending(&node, &socket).await;
@@ -140,13 +140,13 @@
 async fn fetch_pending(node: &Arc<Node>, socket: &UdpSocket) {
     loop {
         let now = node.clock.now();
-        let Some(action) = node.spreader().poll(now) else { return };
+        let Some(action) = node.config_fetcher().poll(now) else { return };
         match execute(node, action).await {
             Ok(true) => activate(node, socket).await,
             Ok(false) => {}
             Err(error) => {
                 log::debug!(error:% = error; "failed to fetch a configuration");
-                node.spreader().on_fetch_failed();
+                node.config_fetcher().on_fetch_failed();
                 return;
             }
         }
@@ -165,10 +165,10 @@
                 Source::Store => read_head(node).await?.map(|(_, head)| head),
             };
             match head {
-                Some(head) if head.generation >= node.spreader().wanted() => {
-                    node.spreader().on_head(head);
+                Some(head) if head.generation >= node.config_fetcher().wanted() => {
+                    node.config_fetcher().on_head(head);
                 }
-                _ => node.spreader().on_fetch_failed(),
+                _ => node.config_fetcher().on_fetch_failed(),
             }
             Ok(false)
         }
@@ -181,7 +181,7 @@
                 }
                 Source::Store => read_chunks(node, &digests).await?,
             };
-            let installed = node.spreader().on_chunks(chunks)?.is_some();
+            let installed = node.config_fetcher().on_chunks(chunks)?.is_some();
             Ok(installed)
         }
     }
@@ -221,7 +221,7 @@
 /// Activates the latest fetched or written configuration on this node.
 pub fn install(node: &Node) {
     let snapshot = {
-        let fetcher = node.spreader();
+        let fetcher = node.config_fetcher();
         fetcher.installed().snapshot.clone()
     };
     if snapshot.generation <= node.config.load().generation {
--- a/node/src/dump.rs
+++ b/node/src/dump.rs
@@ -141,7 +141,7 @@
         incarnation: node.incarnation.0,
         state,
         generation: node.config.load().generation.0,
-        wanted_generation: node.spreader().wanted().0,
+        wanted_generation: node.config_fetcher().wanted().0,
         table_version: node.table.load().newest().0,
         keys: node.register().len(),
         members,
--- a/node/src/front/plain.rs
+++ b/node/src/front/plain.rs
@@ -35,7 +35,7 @@
     Cause, DEFAULT_RETRY_AFTER, MAX_ATTEMPTS, RequestError, priority_and_deadline,
 };
 use crate::node::Node;
-use crate::pool::{Permit, RunnerAttempt, Shared};
+use crate::pool::{Permit, RunnerAttempt, SharedPool};
 use crate::upstream::{Failure, Peer, completions};
 
 /// The header with the idempotency key of a request.
@@ -329,7 +329,7 @@
         }
     }
 
-    async fn admit(&self, pool: &Shared) -> Result<Permit, RequestError> {
+    async fn admit(&self, pool: &SharedPool) -> Result<Permit, RequestError> {
         let node = &self.node;
         let (priority, allowed) =
             priority_and_deadline(&self.snapshot, &self.service, &self.account, self.deadline);
--- a/node/src/logging.rs
+++ b/node/src/logging.rs
@@ -24,9 +24,9 @@
 
 /// The number of lines dropped since the process started.
 #[derive(Clone, Debug, Default)]
-pub struct Dropped(Arc<AtomicU64>);
+pub struct DroppedLines(Arc<AtomicU64>);
 
-impl Dropped {
+impl DroppedLines {
     /// Returns the number.
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
@@ -36,7 +36,7 @@
 /// The sending end of the queue of lines.
 struct QueueWriter {
     lines: SyncSender<Vec<u8>>,
-    dropped: Dropped,
+    dropped: DroppedLines,
 }
 
 impl Write for QueueWriter {
@@ -53,7 +53,7 @@
 }
 
 /// Writes lines in batches, and reports how many were dropped as soon as there is room again.
-fn write_lines(lines: &Receiver<Vec<u8>>, dropped: &Dropped, mut out: impl Write) {
+fn write_lines(lines: &Receiver<Vec<u8>>, dropped: &DroppedLines, mut out: impl Write) {
     let mut reported = 0;
     while let Ok(mut batch) = lines.recv() {
         // Without a limit, a fast writer would keep this loop from ever writing the batch.
@@ -80,9 +80,9 @@
 ///
 /// # Errors
 /// The thread cannot be started.
-pub fn queue(out: impl Write + Send + 'static) -> io::Result<(impl Write + Send, Dropped)> {
+pub fn queue(out: impl Write + Send + 'static) -> io::Result<(impl Write + Send, DroppedLines)> {
     let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
-    let dropped = Dropped::default();
+    let dropped = DroppedLines::default();
     let counted = dropped.clone();
     std::thread::Builder::new()
         .name("log".to_owned())
@@ -92,7 +92,7 @@
 
 /// Starts logging to standard output and returns the counter of dropped lines. Only the first call
 /// in a process has an effect.
-pub fn start(level: LevelFilter, format: LogFormat) -> Dropped {
+pub fn start(level: LevelFilter, format: LogFormat) -> DroppedLines {
     start_to(level, format, io::stdout())
 }
 
@@ -101,7 +101,7 @@
     level: LevelFilter,
     format: LogFormat,
     out: impl Write + Send + 'static,
-) -> Dropped {
+) -> DroppedLines {
     let mut builder = env_logger::Builder::new();
     builder.filter_level(level).write_style(env_logger::WriteStyle::Never);
     let dropped = match queue(out) {
@@ -113,7 +113,7 @@
             eprintln!(
                 "sardinepickd: cannot start the log thread, logging to standard error: {error}"
             );
-            Dropped::default()
+            DroppedLines::default()
         }
     };
     // These libraries log too much at their lower levels.
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use getopts::Options;
-use sardinepick_node::clock::Boot;
+use sardinepick_node::clock::BootClock;
 use sardinepick_node::settings::Settings;
 use sardinepick_node::{logging, run, serve};
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -114,7 +114,7 @@
         eprintln!("sardinepickd: cannot listen for signals");
         return ExitCode::FAILURE;
     };
-    let clock = Arc::new(Boot::default());
+    let clock = Arc::new(BootClock::default());
     let running = match serve::run::start(settings, clock, metrics).await {
         Ok(running) => running,
         Err(error) => {
@@ -149,7 +149,7 @@
         eprintln!("sardinepickd: cannot listen for signals");
         return ExitCode::FAILURE;
     };
-    let running = match run::start(settings, Arc::new(Boot::default())).await {
+    let running = match run::start(settings, Arc::new(BootClock::default())).await {
         Ok(running) => running,
         Err(error) => {
             eprintln!("sardinepickd: {error}");
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -26,7 +26,7 @@
 use crate::front::plain;
 use crate::metrics::Metrics;
 use crate::peer::client::Peers;
-use crate::pool::{Pool, Shared};
+use crate::pool::{Pool, SharedPool};
 use crate::settings::Settings;
 use crate::store::Store;
 use crate::tables::NewerTable;
@@ -55,18 +55,18 @@
     /// The table of key owners.
     pub table: ArcSwap<Table>,
     /// The node that last announced a newer table.
-    pub table_wanted: NewerTable,
+    pub newer_table: NewerTable,
     /// The control of engines.
     pub authority: Authority,
     /// Signals that the configuration in force has changed.
     pub installed: Notify,
     /// Signals that a newer configuration can be fetched.
-    pub wanted: Notify,
+    pub fetch_requested: Notify,
     socket: OnceLock<Arc<UdpSocket>>,
     members: Mutex<Members>,
     config_fetcher: Mutex<ConfigFetcher>,
     register: Mutex<Register>,
-    pools: Mutex<HashMap<Name, Shared>>,
+    pools: Mutex<HashMap<Name, SharedPool>>,
     rng: Mutex<StdRng>,
     next_request: AtomicU64,
     next_claim: AtomicU64,
@@ -106,10 +106,10 @@
             socket: OnceLock::new(),
             config: ArcSwap::default(),
             table: ArcSwap::default(),
-            table_wanted: NewerTable::default(),
+            newer_table: NewerTable::default(),
             authority: Authority::default(),
             installed: Notify::new(),
-            wanted: Notify::new(),
+            fetch_requested: Notify::new(),
             peers: Peers::new(metrics.clone()),
             http: plain::client(settings.connect_timeout),
             settings,
@@ -137,7 +137,7 @@
     }
 
     /// Locks the configuration fetcher.
-    pub fn spreader(&self) -> MutexGuard<'_, ConfigFetcher> {
+    pub fn config_fetcher(&self) -> MutexGuard<'_, ConfigFetcher> {
         self.config_fetcher.lock().expect("configuration fetcher lock poisoned")
     }
 
@@ -174,12 +174,12 @@
     }
 
     /// Returns the pool of a service if it is configured.
-    pub fn pool(&self, service: &Name) -> Option<Shared> {
+    pub fn pool(&self, service: &Name) -> Option<SharedPool> {
         self.pools.lock().expect("pools lock poisoned").get(service).cloned()
     }
 
     /// Returns all pools.
-    pub fn pools(&self) -> Vec<Shared> {
+    pub fn pools(&self) -> Vec<SharedPool> {
         let pools = self.pools.lock().expect("pools lock poisoned");
         pools.values().cloned().collect()
     }
--- a/node/src/peer/gossip.rs
+++ b/node/src/peer/gossip.rs
@@ -16,7 +16,7 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use crate::node::Node;
-use crate::pool::Shared;
+use crate::pool::SharedPool;
 use crate::upstream::Peer;
 
 /// How often the membership protocol runs.
@@ -112,11 +112,11 @@
             let table = message.status.table;
             let out = node.members().receive(node.clock.now(), source, *message);
             if generation > node.config.load().generation {
-                node.spreader().on_advertised(&from, generation);
-                node.wanted.notify_one();
+                node.config_fetcher().on_advertised(&from, generation);
+                node.fetch_requested.notify_one();
             }
             if table > node.table.load().newest() {
-                node.table_wanted.hear(&from, table);
+                node.newer_table.record(&from, table);
             }
             send_all(node, socket, out).await;
         }
@@ -130,7 +130,7 @@
         for (runner, _) in pool.runners() {
             let hash = RunnerHash::from(&runner);
             if let Some(load) = loads.iter().find(|l| l.runner == hash) {
-                pool.take_report(&runner, load.age, load.report);
+                pool.apply_report(&runner, load.age, load.report);
             }
         }
     }
@@ -224,7 +224,7 @@
 
 /// A runner that this node observes.
 struct Observed {
-    pool: Shared,
+    pool: SharedPool,
     peer: Peer,
     others: Vec<Name>,
 }
@@ -281,6 +281,6 @@
         }
     };
     let age = node.clock.now().saturating_duration_since(sent) / 2;
-    pool.take_report(&peer.name, age, report);
+    pool.apply_report(&peer.name, age, report);
     Some((others, Load { runner: RunnerHash::from(&peer.name), age, report }))
 }
--- a/node/src/peer/server.rs
+++ b/node/src/peer/server.rs
@@ -43,7 +43,7 @@
         request: Request<pb::ClaimRequest>,
     ) -> Result<Response<pb::ClaimReply>, Status> {
         let claim = request.into_inner().try_into().map_err(invalid)?;
-        let verdict = claims::judge(&self.node, &claim).await;
+        let verdict = claims::decide(&self.node, &claim).await;
         Ok(Response::new((&verdict).into()))
     }
 
@@ -64,7 +64,7 @@
     }
 
     async fn head(&self, _: Request<pb::Empty>) -> Result<Response<pb::HeadReply>, Status> {
-        let head = self.node.spreader().installed().head.clone();
+        let head = self.node.config_fetcher().installed().head.clone();
         let head = serde_json::to_vec(&head).map_err(invalid)?;
         Ok(Response::new(pb::HeadReply { head }))
     }
@@ -73,8 +73,8 @@
         &self,
         request: Request<pb::ChunksRequest>,
     ) -> Result<Response<pb::ChunksReply>, Status> {
-        let spreader = self.node.spreader();
-        let held = &spreader.installed().chunks;
+        let fetcher = self.node.config_fetcher();
+        let held = &fetcher.installed().chunks;
         let mut chunks = Vec::new();
         for digest in request.into_inner().digests {
             let digest: [u8; DIGEST_LEN] =
--- a/node/src/pool.rs
+++ b/node/src/pool.rs
@@ -29,7 +29,7 @@
 const OUTPUT_SHARE_GAIN: f64 = 0.02;
 
 /// A shared reference to a pool.
-pub type Shared = Arc<Pool>;
+pub type SharedPool = Arc<Pool>;
 
 /// The runner pool of one service.
 pub struct Pool {
@@ -316,7 +316,7 @@
     }
 
     /// Applies a load report that is `age` old.
-    pub fn take_report(&self, runner: &Name, age: Duration, report: Report) {
+    pub fn apply_report(&self, runner: &Name, age: Duration, report: Report) {
         let now = self.clock.now();
         let at = now.checked_sub(age).unwrap_or(now);
         let mut inner = self.lock();
--- a/node/src/serve/metrics.rs
+++ b/node/src/serve/metrics.rs
@@ -6,7 +6,7 @@
     Opts, Registry, TextEncoder,
 };
 
-use crate::logging::Dropped;
+use crate::logging::DroppedLines;
 
 /// The metrics of one node.
 #[derive(Clone, Debug)]
@@ -82,7 +82,7 @@
     pub configuration_copy_bytes: IntCounterVec,
     /// Invalid objects in the store, by kind and reason.
     pub invalid_objects: IntCounterVec,
-    dropped: Dropped,
+    dropped: DroppedLines,
 }
 
 const FIRST_BYTE_BUCKETS: [f64; 12] =
@@ -272,7 +272,7 @@
                 "Objects of other writers in the store",
                 &["what", "reason"],
             ),
-            dropped: Dropped::default(),
+            dropped: DroppedLines::default(),
             registry: m.0,
         }
     }
@@ -280,7 +280,7 @@
 
 impl Metrics {
     /// Creates metrics that include the number of dropped log lines.
-    pub fn new(dropped: Dropped) -> Self {
+    pub fn new(dropped: DroppedLines) -> Self {
         Self { dropped, ..Self::default() }
     }
 
--- a/node/src/tables.rs
+++ b/node/src/tables.rs
@@ -45,7 +45,7 @@
 
 impl NewerTable {
     /// Records that `peer` has `version`.
-    pub fn hear(&self, peer: &Name, version: Version) {
+    pub fn record(&self, peer: &Name, version: Version) {
         *self.source.lock().expect("source lock poisoned") = Some((peer.clone(), version));
         self.notify.notify_one();
     }
@@ -86,7 +86,7 @@
     loop {
         tokio::select! {
             () = node.stopped() => return,
-            () = node.table_wanted.notify.notified() => fetch(&node).await,
+            () = node.newer_table.notify.notified() => fetch(&node).await,
             _ = ticks.tick() => {
                 if let Err(error) = update(&node, &mut last_written).await {
                     log::warn!(error:% = error; "failed to update the owner table");
@@ -97,7 +97,7 @@
 }
 
 async fn fetch(node: &Node) {
-    let Some((peer, version)) = node.table_wanted.take() else { return };
+    let Some((peer, version)) = node.newer_table.take() else { return };
     let since = node.table.load().newest();
     let Some(address) = node.peer_address(&peer) else { return };
     if version <= since {
--- a/node/src/write.rs
+++ b/node/src/write.rs
@@ -180,7 +180,11 @@
         return Ok(Attempt::HeadReplaced);
     }
     let generation = next.generation;
-    node.spreader().install_own(Installed { head: next, snapshot: prepared.snapshot, chunks: all });
+    node.config_fetcher().install_own(Installed {
+        head: next,
+        snapshot: prepared.snapshot,
+        chunks: all,
+    });
     configuration::install(node);
     Ok(Attempt::Applied(generation))
 }
@@ -240,7 +244,7 @@
         return Ok(Installed::default());
     }
     let current = {
-        let fetcher = node.spreader();
+        let fetcher = node.config_fetcher();
         fetcher.installed().clone()
     };
     if current.head.operation == head.operation {
--- a/node/tests/failures.rs
+++ b/node/tests/failures.rs
@@ -250,7 +250,7 @@
         &format!("peer = {}\nseeds = {}", plan.peer, fixture.cluster.plans[0].peer),
     );
     let settings = sardinepick_node::settings::Settings::parse("entry-9", &ini);
-    let clock = std::sync::Arc::new(sardinepick_node::clock::Boot::default());
+    let clock = std::sync::Arc::new(sardinepick_node::clock::BootClock::default());
     let late = sardinepick_node::run::start(settings.expect("right settings"), clock);
     let late = late.await.expect("free addresses");
     wait_ready(plan.front).await;
--- a/testutils/src/cluster.rs
+++ b/testutils/src/cluster.rs
@@ -9,7 +9,7 @@
 use http::Method;
 use sardinepick_lib::hash::Digest;
 use sardinepick_lib::member::Vm;
-use sardinepick_node::clock::Boot;
+use sardinepick_node::clock::BootClock;
 use sardinepick_node::run::{Running, start};
 use sardinepick_node::settings::Settings;
 use tokio::time::{Instant, sleep};
@@ -122,7 +122,7 @@
     /// The settings are wrong or an address is taken.
     pub async fn start(&self) -> Running {
         let settings = Settings::parse(&self.name, &self.ini()).expect("the settings are right");
-        start(settings, Arc::new(Boot::default())).await.expect("the addresses are free")
+        start(settings, Arc::new(BootClock::default())).await.expect("the addresses are free")
     }
 }
 
