--- a/node/src/authority.rs
+++ b/node/src/authority.rs
@@ -37,7 +37,7 @@
 const ROLE_CHANGE_DOWNTIME: Duration = Duration::from_secs(10);
 
 /// The minimum time between two role changes of one engine.
-const MIN_ROLE_TIME: Duration = Duration::from_secs(60);
+const MIN_ROLE_CHANGE_INTERVAL: Duration = Duration::from_secs(60);
 
 /// How often the reservation of a runner is renewed on the nodes that share it.
 const RESERVE_INTERVAL: Duration = Duration::from_millis(500);
@@ -56,12 +56,12 @@
 /// This node's view of the control of one service, for operators.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceView {
-    /// The lease as last read.
+    /// The lease as last seen.
     pub lease: Option<lease::Record>,
-    /// When it was read.
-    pub seen: Option<Instant>,
+    /// When it was last seen.
+    pub seen_at: Option<Instant>,
     /// The epoch of the lease while this node holds it.
-    pub held: Option<Epoch>,
+    pub held_epoch: Option<Epoch>,
     /// The last role decision.
     pub decision: Option<Decision>,
 }
@@ -81,7 +81,7 @@
     /// Returns how many leases this node holds.
     pub fn held_leases(&self) -> usize {
         let views = self.views.lock().expect("views lock poisoned");
-        views.values().filter(|v| v.held.is_some()).count()
+        views.values().filter(|v| v.held_epoch.is_some()).count()
     }
 
     fn update(&self, service: &Name, change: impl FnOnce(&mut ServiceView)) {
@@ -168,8 +168,8 @@
             let held = self.lease.authority(now);
             let record = self.lease.record().cloned();
             self.node.authority.update(&self.service, |view| {
-                view.held = held;
-                view.seen = record.as_ref().map(|_| now);
+                view.held_epoch = held;
+                view.seen_at = record.as_ref().map(|_| now);
                 view.lease = record;
             });
             if held.is_some() {
@@ -326,7 +326,7 @@
             away: ROLE_CHANGE_DOWNTIME,
             extra,
             away_limit: f64::from(service.away_limit.0) / 100.0,
-            dwell: MIN_ROLE_TIME,
+            dwell: MIN_ROLE_CHANGE_INTERVAL,
         };
         role::decide(now, &engines, &pool_state.estimate, change_cost, MIXED_EFFICIENCY)
     }
--- a/node/src/dump.rs
+++ b/node/src/dump.rs
@@ -129,7 +129,7 @@
         service: service.to_string(),
         holder: view.lease.as_ref().and_then(|r| r.holder.as_ref()).map(|h| h.name.to_string()),
         epoch: view.lease.as_ref().map(|r| r.epoch.0),
-        held_here: view.held.is_some(),
+        held_here: view.held_epoch.is_some(),
         doubtful: view
             .lease
             .iter()
--- a/node/src/rows.rs
+++ b/node/src/rows.rs
@@ -195,7 +195,7 @@
                 Column::Service => service.to_smolstr(),
                 Column::Holder => or_none(record.holder.as_ref().map(|h| h.name.clone())),
                 Column::Epoch => record.epoch.to_smolstr(),
-                Column::Age => age(now, view.seen),
+                Column::Age => age(now, view.seen_at),
                 _ => NONE,
             })
         })
--- a/node/src/sweep.rs
+++ b/node/src/sweep.rs
@@ -41,11 +41,11 @@
             () = node.stopped() => return,
             () = tokio::time::sleep(SWEEP_INTERVAL) => {}
         }
-        let mine = {
+        let is_sweeper = {
             let members = node.members();
             assignment::duty_node(DUTY, members.serving()) == Some(&node.settings.name)
         };
-        if !mine {
+        if !is_sweeper {
             continue;
         }
         match sweep(&node, KEPT_OPERATIONS).await {
@@ -62,7 +62,7 @@
 pub async fn sweep(node: &Node, kept: usize) -> Result<usize, FetchError> {
     let listed = node.store.list(PREFIX).await?;
     let Some((revision, head)) = read_head(node).await? else { return Ok(0) };
-    let needed = needed(node, &head, kept).await?;
+    let needed = needed_chunks(node, &head, kept).await?;
     let unused: Vec<(String, Point)> = listed
         .into_iter()
         .filter(|entry| {
@@ -91,7 +91,11 @@
 }
 
 /// Returns the chunks of the head and of the last `kept` operations.
-async fn needed(node: &Node, head: &Head, kept: usize) -> Result<HashSet<Digest>, FetchError> {
+async fn needed_chunks(
+    node: &Node,
+    head: &Head,
+    kept: usize,
+) -> Result<HashSet<Digest>, FetchError> {
     let mut needed = HashSet::from([head.operation, head.root]);
     let mut roots = HashSet::from([head.root]);
     for operation in write::history(node, kept).await? {
@@ -107,7 +111,8 @@
                     needed.extend(root.chunks.into_iter().flatten());
                 }
             }
-            // The root of the oldest operation's parent may have been deleted by an earlier sweep.
+            // The oldest operation that is kept may refer to a parent whose root was deleted by an earlier
+            // sweep.
             Err(FetchError::Missing(digest)) if digest != head.root => {}
             Err(error) => return Err(error),
         }
--- a/node/src/tables.rs
+++ b/node/src/tables.rs
@@ -114,7 +114,7 @@
     let me = members.me();
     let mine = (me.state == State::Serving).then_some(me);
     let others = members.peers().filter(|p| p.accepts_clients()).map(|p| &p.update);
-    let mut members_now: Vec<Member> = mine
+    let mut current: Vec<Member> = mine
         .into_iter()
         .chain(others)
         .map(|u| Member {
@@ -123,8 +123,8 @@
             address: u.addresses.peer,
         })
         .collect();
-    members_now.sort();
-    members_now
+    current.sort();
+    current
 }
 
 async fn update(node: &Node, last_written: &mut Option<Instant>) -> Result<(), TableError> {
@@ -136,26 +136,26 @@
         *last_written = None;
         return Ok(());
     }
-    let members_now = current_members(node);
+    let current = current_members(node);
     let now = node.clock.now();
     let elapsed = last_written.map(|at| now.saturating_duration_since(at));
-    let changed = node.table.load().members() != members_now.as_slice();
+    let changed = node.table.load().members() != current.as_slice();
     let due = match elapsed {
         None => true,
         Some(elapsed) => {
             (changed && elapsed >= MIN_VERSION_INTERVAL) || elapsed >= MAX_VERSION_INTERVAL
         }
     };
-    if members_now.is_empty() || !due {
+    if current.is_empty() || !due {
         return Ok(());
     }
     let revision = refresh(node).await?;
     *last_written = Some(now);
     let table = node.table.load_full();
-    if elapsed.is_none() && table.members() == members_now.as_slice() {
+    if elapsed.is_none() && table.members() == current.as_slice() {
         return Ok(());
     }
-    let next = table.with_next_version(members_now);
+    let next = table.with_next_version(current);
     let value = Bytes::from(serde_json::to_vec(&next)?);
     match node.store.put(OBJECT, revision, value).await {
         Ok(_) => apply(node, &next),
--- a/node/tests/failures.rs
+++ b/node/tests/failures.rs
@@ -167,7 +167,7 @@
     wait_until("the engine works", || async { fixture.engines[0].running() > 4 }).await;
     fixture.cluster.change("set runner telraad-0 role = decode").await;
     while let Some(seen) = calls.join_next().await {
-        let seen = seen.expect("callers do not panic");
+        let seen = seen.expect("clients do not panic");
         assert!(matches!(&seen, Seen::Answer(text) if *text == expected(PROMPT, 400)), "{seen:?}");
     }
     wait_until("the engine has its role", || async { fixture.engines[0].role() == Role::Decode })
