--- a/node/src/sweep.rs
+++ b/node/src/sweep.rs
@@ -49,8 +49,8 @@
             continue;
         }
         match sweep(&node, KEPT_OPERATIONS).await {
-            Ok(removed) => log::info!(chunks = removed; "deleted unused chunks"),
-            Err(error) => log::warn!(error:% = error; "failed to sweep chunks"),
+            Ok(removed) => log::info!(chunks = removed; "swept"),
+            Err(error) => log::warn!(error:% = error; "sweeping"),
         }
     }
 }
