--- a/node/src/completion.rs
+++ b/node/src/completion.rs
@@ -79,20 +79,18 @@
     pub fn text(&self) -> String {
         match self {
             Cause::Admission(refusal) => match refusal.reason {
-                sardinepick_lib::admit::Reason::Rate => {
-                    "the account exceeds its request rate".to_owned()
-                }
+                sardinepick_lib::admit::Reason::Rate => "the account is beyond its rate".to_owned(),
                 sardinepick_lib::admit::Reason::Concurrency => {
-                    "the account has too many requests in progress".to_owned()
+                    "the account has too many requests under way".to_owned()
                 }
-                sardinepick_lib::admit::Reason::Late => "the deadline cannot be met".to_owned(),
+                sardinepick_lib::admit::Reason::Late => "the answer would come too late".to_owned(),
                 sardinepick_lib::admit::Reason::Full => "the queue is full".to_owned(),
             },
-            Cause::NoRunner => "no runner of the service accepts work".to_owned(),
+            Cause::NoRunner => "no runner of the service takes work".to_owned(),
             Cause::Upstream(fault) => fault.to_string(),
-            Cause::Deadline => "the deadline has passed".to_owned(),
-            Cause::NotServing => "this node does not accept requests".to_owned(),
-            Cause::NoService => "the service does not exist".to_owned(),
+            Cause::Deadline => "the time for the answer is over".to_owned(),
+            Cause::NotServing => "this node takes no requests".to_owned(),
+            Cause::NoService => "there is no such service".to_owned(),
             Cause::Claim(reason) => reason.to_string(),
         }
     }
@@ -377,7 +375,7 @@
             let frame = match next {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(fault))) => return AttemptEnd::Fault { fault, leaving: false },
-                Ok(None) => return interrupted(peer, "the stream ended without its closing frame"),
+                Ok(None) => return interrupted(peer, "ended without its closing frame"),
                 Err(_) if self.remaining().is_zero() => return AttemptEnd::DeadlinePassed,
                 Err(_) => return interrupted(peer, "no sign of life"),
             };
--- a/node/src/front/admin.rs
+++ b/node/src/front/admin.rs
@@ -169,8 +169,8 @@
     let statements = parse(&command.text).map_err(|error| bad_request("syntax", error))?;
     let changes = statements.iter().filter(|s| is_change(s)).count();
     if changes > 1 {
-        let message = "a command may change the configuration only once; put several edits \
-                       between begin and commit";
+        let message = "a command may change the configuration once; put edits between begin and \
+                       commit";
         return Err(bad_request("several_changes", message));
     }
     for statement in &statements {
@@ -239,10 +239,7 @@
     if operator.right >= required {
         return Ok(());
     }
-    let message = format!(
-        "{} has the right to {}, but this requires {required}",
-        operator.name, operator.right
-    );
+    let message = format!("{} may {}, and this needs {required}", operator.name, operator.right);
     Err(client_error(ClientErrorStatusCode::FORBIDDEN, "forbidden", message))
 }
 
@@ -329,7 +326,7 @@
             cells: vec![
                 key.to_smolstr(),
                 SmolStr::new_static(effect),
-                format_smolstr!("{in_flight} requests of this node in progress"),
+                format_smolstr!("{in_flight} requests of this node under way"),
             ],
         });
     }
--- a/node/src/front/body.rs
+++ b/node/src/front/body.rs
@@ -23,9 +23,7 @@
             code: SmolStr::new_static("body_too_large"),
             ..ApiError::bad_request("", format!("the body has more than {max_bytes} bytes"))
         }),
-        Ok(Err(error)) => {
-            Err(ApiError::bad_request("", format!("the body was interrupted: {error}")))
-        }
+        Ok(Err(error)) => Err(ApiError::bad_request("", format!("the body broke off: {error}"))),
         Err(_) => Err(ApiError {
             status: StatusCode::REQUEST_TIMEOUT,
             code: SmolStr::new_static("body_too_slow"),
--- a/node/src/front/completions.rs
+++ b/node/src/front/completions.rs
@@ -149,7 +149,7 @@
 
 fn parse<T: for<'de> Deserialize<'de>>(bytes: &[u8]) -> Result<T, ApiError> {
     serde_json::from_slice(bytes)
-        .map_err(|error| ApiError::bad_request("", format!("the body is invalid: {error}")))
+        .map_err(|error| ApiError::bad_request("", format!("the body: {error}")))
 }
 
 async fn handle(
@@ -225,7 +225,7 @@
         Some(millis) => Ok(Some(Duration::from_millis(millis))),
         None => Err(ApiError::bad_request(
             DEADLINE_HEADER,
-            "the deadline must be a positive whole number of milliseconds",
+            "the deadline is a whole number of milliseconds",
         )),
     }
 }
@@ -244,7 +244,7 @@
         Ok(text) if !text.is_empty() && text.len() <= MAX_ID_LEN => Ok(SmolStr::new(text)),
         _ => Err(ApiError::bad_request(
             REQUEST_ID_HEADER,
-            format!("a request ID is text of 1 to {MAX_ID_LEN} bytes"),
+            format!("a request id is text of 1 to {MAX_ID_LEN} bytes"),
         )),
     }
 }
@@ -386,7 +386,7 @@
                     return Err(ApiError {
                         status: StatusCode::BAD_GATEWAY,
                         run: sardinepick_lib::outcome::Run::Unknown,
-                        ..ApiError::bad_request("", "the response was interrupted")
+                        ..ApiError::bad_request("", "the answer broke off")
                     });
                 }
             }
--- a/node/src/front/error.rs
+++ b/node/src/front/error.rs
@@ -64,7 +64,7 @@
             status: StatusCode::UNAUTHORIZED,
             kind: "authentication_error",
             code: SmolStr::new_static("invalid_api_key"),
-            ..Self::bad_request("", "the request has no key or an unknown one")
+            ..Self::bad_request("", "the request has no key, or one that is not known")
         }
     }
 
--- a/node/src/front/listener.rs
+++ b/node/src/front/listener.rs
@@ -142,7 +142,7 @@
     let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
     let uri: Uri = format!("http://{}{path}", api.address)
         .parse()
-        .map_err(|_| ApiError::bad_request("path", "the path is not valid"))?;
+        .map_err(|_| ApiError::bad_request("path", "the path is not one"))?;
     remove_framing_headers(&mut head.headers);
     let mut inner = Request::new(Full::new(bytes));
     *inner.method_mut() = head.method;
@@ -159,7 +159,7 @@
             status: StatusCode::SERVICE_UNAVAILABLE,
             kind: "server_error",
             code: SmolStr::new_static("unavailable"),
-            ..ApiError::bad_request("", format!("the node's API server did not answer: {error}"))
+            ..ApiError::bad_request("", format!("the node's own API does not answer: {error}"))
         }),
     }
 }
--- a/node/src/front/plain.rs
+++ b/node/src/front/plain.rs
@@ -124,7 +124,7 @@
             let task = tokio::spawn(call.run_claimed(key));
             task.await.unwrap_or_else(|error| {
                 log::error!(error:% = error; "task of a call failed");
-                Err(unknown_outcome("the call failed inside the node"))
+                Err(unknown_outcome("the call ended by itself"))
             })
         }
     }
@@ -143,9 +143,7 @@
 fn numeric_header(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, ApiError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let parsed = value.to_str().ok().and_then(|v| v.parse().ok());
-    parsed
-        .map(Some)
-        .ok_or_else(|| ApiError::bad_request(name, format!("{name} must be a whole number")))
+    parsed.map(Some).ok_or_else(|| ApiError::bad_request(name, format!("{name} is a whole number")))
 }
 
 /// Returns the idempotency key of a request. It must come with an epoch: without one, the key
@@ -166,12 +164,12 @@
         .ok_or_else(|| {
             ApiError::bad_request(
                 EPOCH_HEADER,
-                "a request with a key needs the epoch of the address list it was first sent with",
+                "a request with a key needs the epoch of the listing it was first sent by",
             )
         })?;
     let attempt = numeric_header(&head.headers, ATTEMPT_HEADER)?.unwrap_or(1);
     if attempt == 0 {
-        return Err(ApiError::bad_request(ATTEMPT_HEADER, "attempts are numbered from 1"));
+        return Err(ApiError::bad_request(ATTEMPT_HEADER, "attempts are counted from 1"));
     }
     let path = head.uri.path_and_query().map_or("", |p| p.as_str());
     let request = stable_hash(stable_hash(0, path.as_bytes()), bytes);
@@ -417,22 +415,22 @@
         ClaimError::Ended(Outcome::Answered(answer)) => Ok(recorded_response(&answer)),
         ClaimError::Ended(Outcome::NotKept) => Err(ApiError {
             code: SmolStr::new_static("answer_not_kept"),
-            ..unknown_outcome("the request was run; its response was too large to keep")
+            ..unknown_outcome("the request has been run; its answer was too large to keep")
         }),
         ClaimError::Ended(Outcome::Unknown) => {
-            Err(unknown_outcome("an earlier attempt may have run; its response was lost"))
+            Err(unknown_outcome("an earlier attempt may have been run; its answer did not come"))
         }
         ClaimError::OtherRequest => Err(ApiError {
             code: SmolStr::new_static("key_reused"),
             status: StatusCode::UNPROCESSABLE_ENTITY,
-            ..ApiError::bad_request(KEY_HEADER, "the key was used for a different request")
+            ..ApiError::bad_request(KEY_HEADER, "the key was used for another request")
         }),
-        ClaimError::InProgress => Err(unknown_outcome("an earlier attempt is still in progress")),
+        ClaimError::InProgress => Err(unknown_outcome("an earlier attempt is still under way")),
         ClaimError::Doubt(doubt) => Err(unresolved(format!(
-            "the records of this key are not available ({doubt}); look up the addresses again"
+            "the records of this key are out of reach ({doubt}); look up the addresses again"
         ))),
         ClaimError::Unreachable => Err(unresolved(
-            "the owner of this key is unreachable; look up the addresses again".to_owned(),
+            "the owner of this key cannot be reached; look up the addresses again".to_owned(),
         )),
     }
 }
--- a/node/src/write.rs
+++ b/node/src/write.rs
@@ -67,10 +67,10 @@
     #[error("not applied: {0}")]
     NotApplied(FetchError),
     /// Other changes kept replacing the head. The change was not applied.
-    #[error("not applied: the configuration was changed by others in all {MAX_ATTEMPTS} attempts")]
+    #[error("not applied: others changed the configuration {MAX_ATTEMPTS} times meanwhile")]
     Contended,
     /// The response to the head's update was lost and its outcome could not be determined.
-    #[error("unknown whether change {0} was applied; look it up by its ID later")]
+    #[error("unknown whether change {0} was applied; ask for it by its id later")]
     Unknown(ChangeId),
     /// The generation to undo is not in the operation log.
     #[error("generation {0} is not in the operation log")]
