--- a/node/benches/processes.rs
+++ b/node/benches/processes.rs
@@ -7,7 +7,7 @@
 use sardinepick_lib::config::object::Role;
 use sardinepick_testutils::caller::Caller;
 use sardinepick_testutils::cluster::{
-    ADMIN_KEY, Plan, free_address, own_ip, wait_ready, wait_until,
+    ADMIN_KEY, NodeOptions, free_address, own_ip, wait_ready, wait_until,
 };
 use sardinepick_testutils::engine::{Engine, Speed};
 use sardinepick_testutils::measure::figure::Figure;
@@ -19,8 +19,8 @@
 const WATCHED: Duration = Duration::from_secs(10);
 
 /// The sum of the peer bytes in a node's metrics.
-async fn peer_bytes(caller: &Caller, plan: &Plan) -> f64 {
-    let asked = caller.ask(plan.front, Method::GET, "/metrics", &[], "").await;
+async fn peer_bytes(caller: &Caller, plan: &NodeOptions) -> f64 {
+    let asked = caller.fetch(plan.front, Method::GET, "/metrics", &[], "").await;
     let (_, text) = asked.expect("the node answers");
     let lines = text.lines().filter(|l| l.starts_with("sardinepick_peer_bytes_total{"));
     lines.filter_map(|l| l.rsplit(' ').next()?.parse::<f64>().ok()).sum()
@@ -43,11 +43,11 @@
     config += "commit";
     // The deployment's own periods, not the short ones of tests.
     let plan = |at: usize| {
-        let plan = Plan::new(&format!("entry-{at}"), "a", platform.address());
-        Plan { hurried: false, ..plan }
+        let plan = NodeOptions::new(&format!("entry-{at}"), "a", platform.address());
+        NodeOptions { short_periods: false, ..plan }
     };
-    let plans: Vec<Plan> = (0..count).map(plan).collect();
-    platform.set_vms(plans.iter().map(Plan::vm).collect());
+    let plans: Vec<NodeOptions> = (0..count).map(plan).collect();
+    platform.set_vms(plans.iter().map(NodeOptions::vm).collect());
     let daemons: Vec<Daemon> = plans.iter().map(|p| Daemon::start(Path::new(EXE), p)).collect();
     let operator = Caller::new(ADMIN_KEY);
     wait_until("the first change is taken", || async {
--- a/node/benches/soak.rs
+++ b/node/benches/soak.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use getopts::Options;
-use sardinepick_testutils::fleet::soak::Plan;
-use sardinepick_testutils::fleet::{ending, soak};
+use sardinepick_testutils::fleet::soak::SoakOptions;
+use sardinepick_testutils::fleet::{crash_soak, soak};
 
 fn options() -> Options {
     let mut options = Options::new();
@@ -38,19 +38,20 @@
     let (first, count) = (number("seed", 1), number("count", 1));
     let mut good = true;
     for seed in first..first + count {
-        let plan = Plan {
+        let plan = SoakOptions {
             seed,
-            lasts: Duration::from_secs(number("seconds", 20)),
+            duration: Duration::from_secs(number("seconds", 20)),
             nodes: number("nodes", 6) as usize,
             callers: number("callers", 12) as usize,
             copies: matches.opt_present("copies"),
         };
         let exe = Path::new(env!("CARGO_BIN_EXE_sardinepickd"));
         let ending = matches.opt_present("ending");
-        let report = if ending { ending::run(exe, plan).await } else { soak::run(exe, plan).await };
+        let report =
+            if ending { crash_soak::run(exe, plan).await } else { soak::run(exe, plan).await };
         match report {
             Ok(report) => {
-                good &= report.broken.is_empty();
+                good &= report.violations.is_empty();
                 println!("seed {seed}: {report}");
             }
             Err(error) => {
--- a/node/examples/trial.rs
+++ b/node/examples/trial.rs
@@ -8,12 +8,12 @@
 
 use sardinepick_lib::config::object::Role;
 use sardinepick_lib::hash::Digest;
-use sardinepick_testutils::caller::{Caller, Keyed, Told};
+use sardinepick_testutils::caller::{Caller, KeyedAttempt, Reply};
 use sardinepick_testutils::cluster::{Cluster, free_address, own_ip, wait_until};
 use sardinepick_testutils::engine::{Engine, Speed};
 use sardinepick_testutils::fleet::{caller as fleet_caller, deployment as fleet};
-use sardinepick_testutils::invariant::{Seen, Violation, check_call, check_completion};
-use sardinepick_testutils::plain::Plain;
+use sardinepick_testutils::invariant::{Observation, Violation, check_call, check_completion};
+use sardinepick_testutils::plain::PlainService;
 use tokio::task::JoinSet;
 
 const CALLER_KEY: &str = "night-manager-key";
@@ -33,11 +33,11 @@
 }
 
 impl Tally {
-    fn count(&mut self, seen: &Seen, violation: Option<Violation>) {
+    fn count(&mut self, seen: &Observation, violation: Option<Violation>) {
         match seen {
-            Seen::Answer(_) => self.answered += 1,
-            Seen::RefusedNotRun | Seen::RefusedUnknown => self.refused += 1,
-            Seen::Cut => self.cut += 1,
+            Observation::Answer(_) => self.answered += 1,
+            Observation::RefusedNotRun | Observation::RefusedUnknown => self.refused += 1,
+            Observation::Truncated => self.cut += 1,
         }
         self.violations.extend(violation);
     }
@@ -60,7 +60,7 @@
 struct Deployment {
     cluster: Cluster,
     engines: Arc<Vec<Engine>>,
-    plain: Arc<Plain>,
+    plain: Arc<PlainService>,
     caller: Caller,
 }
 
@@ -71,7 +71,7 @@
         let engine = Engine::start(address, Role::Mixed, Speed::default()).await;
         engines.push(engine.expect("the address is free"));
     }
-    let plain = Plain::start(free_address(own_ip())).await.expect("the address is free");
+    let plain = PlainService::start(free_address(own_ip())).await.expect("the address is free");
     let mut config = String::from(
         "begin; create model telraad-7b version = 3, weights = \"telraad/3\"; \
          create service telraad model = telraad-7b, deadline = 20s; \
@@ -102,7 +102,7 @@
 }
 
 /// Streams completions as callers do: each looks up an address first.
-async fn complete_many(deployment: &Deployment, name: &str) -> JoinSet<(String, String, Told)> {
+async fn complete_many(deployment: &Deployment, name: &str) -> JoinSet<(String, String, Reply)> {
     let mut tasks = JoinSet::new();
     let entry = deployment.cluster.front(0);
     for n in 0..COMPLETIONS {
@@ -121,17 +121,17 @@
 
 async fn tally_completions(
     deployment: &Deployment,
-    mut tasks: JoinSet<(String, String, Told)>,
+    mut tasks: JoinSet<(String, String, Reply)>,
 ) -> Tally {
     let mut tally = Tally::default();
     while let Some(done) = tasks.join_next().await {
         let (id, prompt, told) = done.expect("callers do not panic");
-        let starts = deployment.engines.iter().map(|e| e.started(&id)).sum();
-        let violation = check_completion(&id, &prompt, TOKENS, &told.seen, starts);
-        if !matches!(told.seen, Seen::Answer(_)) {
+        let starts = deployment.engines.iter().map(|e| e.start_count(&id)).sum();
+        let violation = check_completion(&id, &prompt, TOKENS, &told.observation, starts);
+        if !matches!(told.observation, Observation::Answer(_)) {
             println!("  {id}: status {}: {}", told.status, told.body);
         }
-        tally.count(&told.seen, violation);
+        tally.count(&told.observation, violation);
     }
     tally
 }
@@ -147,13 +147,13 @@
         let key = format!("order-{n}");
         let mut seen = Vec::new();
         for attempt in 1..=2 {
-            let keyed = Keyed { key: &key, attempt, epoch };
+            let keyed = KeyedAttempt { key: &key, attempt, epoch };
             let front = deployment.cluster.front((n + attempt as usize) % NODES);
             let told = deployment.caller.post(front, "ontbijtbord", &body, Some(&keyed)).await;
-            if !matches!(told.seen, Seen::Answer(_)) {
+            if !matches!(told.observation, Observation::Answer(_)) {
                 println!("  {key} attempt {attempt}: status {}: {}", told.status, told.body);
             }
-            seen.push(told.seen);
+            seen.push(told.observation);
         }
         let effects = deployment.plain.effects(&body);
         let violation = check_call(&key, &seen, effects);
@@ -200,7 +200,7 @@
     right &= stopped.cut == 0;
     right &=
         tally_completions(&deployment, tasks).await.report("completions while a node was stopped");
-    let doubled = deployment.plain.doubled();
+    let doubled = deployment.plain.duplicates();
     println!("orders that ran twice: {}", doubled.len());
     right &= account_usage().await;
     right && doubled.is_empty()
@@ -215,7 +215,10 @@
     let set = set.with_plain(2).await.with_engines(1, 2).await.with_nodes(NODES).await;
     let ask = async |id: &str, key| {
         let headers = [("credential", key), ("token-count", "1460,80")];
-        let ask = fleet_caller::Ask { headers: &headers, ..fleet_caller::Ask::new("/count/a", id) };
+        let ask = fleet_caller::RequestSpec {
+            headers: &headers,
+            ..fleet_caller::RequestSpec::new("/count/a", id)
+        };
         set.send(0, &ask).await.status.map_or(0, |status| status.as_u16())
     };
     let (platform, _) = set.platform.as_ref().expect("it has one");
--- a/node/tests/accounts.rs
+++ b/node/tests/accounts.rs
@@ -4,9 +4,9 @@
 
 use http::StatusCode;
 use sardinepick_testutils::cluster::wait_until;
-use sardinepick_testutils::fleet::caller::{Ask, Told};
+use sardinepick_testutils::fleet::caller::{Reply, RequestSpec};
 use sardinepick_testutils::fleet::deployment::{Deployment, with_accounts};
-use sardinepick_testutils::fleet::runner::{Faults, Runner, Seen};
+use sardinepick_testutils::fleet::runner::{Faults, ReceivedRequest, Runner};
 use sardinepick_testutils::fleet::store::Fault;
 use serde_json::json;
 
@@ -18,15 +18,16 @@
     set.with_plain(2).await.with_engines(2, 2).await.with_nodes(nodes).await
 }
 
-async fn send(set: &Deployment, path: &str, id: &str, key: &str) -> Told {
-    set.send(0, &Ask { headers: &[("credential", key)], ..Ask::new(path, id) }).await
+async fn send(set: &Deployment, path: &str, id: &str, key: &str) -> Reply {
+    set.send(0, &RequestSpec { headers: &[("credential", key)], ..RequestSpec::new(path, id) })
+        .await
 }
 
-fn seen(set: &Deployment, id: &str) -> Vec<Seen> {
-    set.runners.iter().flat_map(Runner::seen).filter(|s| s.id == id).collect()
+fn seen(set: &Deployment, id: &str) -> Vec<ReceivedRequest> {
+    set.runners.iter().flat_map(Runner::received).filter(|s| s.id == id).collect()
 }
 
-fn account(seen: &Seen) -> Option<&str> {
+fn account(seen: &ReceivedRequest) -> Option<&str> {
     seen.headers.get("tenant").and_then(|value| value.to_str().ok())
 }
 
@@ -43,7 +44,8 @@
     let set = deployment(1).await;
     for (path, id) in [("/board/a", "p1"), ("/eggs/a", "p2"), ("/count/a", "g1")] {
         let headers = [("credential", "key-2"), ("tenant", "cellar"), ("token-count", "1460,80")];
-        let response = set.send(0, &Ask { headers: &headers, ..Ask::new(path, id) }).await;
+        let response =
+            set.send(0, &RequestSpec { headers: &headers, ..RequestSpec::new(path, id) }).await;
         assert_eq!(response.status, Some(StatusCode::OK), "{path}");
         let seen = seen(&set, id);
         assert!(!seen.is_empty());
@@ -59,7 +61,7 @@
 async fn resumed_stream_carries_account() {
     let set = deployment(1).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { cut_after: Some(3), ..Faults::default() });
+        runner.set_faults(Faults { abort_after: Some(3), ..Faults::default() });
     }
     send(&set, "/count/a", "g1", "key-1").await;
     let seen = seen(&set, "g1");
@@ -77,11 +79,12 @@
 async fn request_without_valid_key_refused() {
     let set = deployment(1).await;
     assert_eq!(send(&set, "/board/a", "r1", "key-3").await.status, Some(StatusCode::UNAUTHORIZED));
-    assert_eq!(set.ask("/board/a", "r2").await.status, Some(StatusCode::UNAUTHORIZED));
+    assert_eq!(set.send_default("/board/a", "r2").await.status, Some(StatusCode::UNAUTHORIZED));
     let both = [("credential", "key-1"), ("credential", "key-2")];
-    let response = set.send(0, &Ask { headers: &both, ..Ask::new("/board/a", "r3") }).await;
+    let response =
+        set.send(0, &RequestSpec { headers: &both, ..RequestSpec::new("/board/a", "r3") }).await;
     assert_eq!(response.status, Some(StatusCode::UNAUTHORIZED));
-    assert_eq!([set.ran("r1"), set.ran("r2"), set.ran("r3")], [0, 0, 0]);
+    assert_eq!([set.run_count("r1"), set.run_count("r2"), set.run_count("r3")], [0, 0, 0]);
 }
 
 #[tokio::test]
@@ -91,10 +94,11 @@
     configuration["routes"][0]["anonymous"] = json!(true);
     set.store.put("config", "main", &configuration);
     let set = set.with_plain(1).await.with_nodes(1).await;
-    let forged = Ask { headers: &[("tenant", "cellar")], ..Ask::new("/board/a", "r1") };
+    let forged =
+        RequestSpec { headers: &[("tenant", "cellar")], ..RequestSpec::new("/board/a", "r1") };
     assert_eq!(set.send(0, &forged).await.status, Some(StatusCode::OK));
     assert_eq!(account(&seen(&set, "r1")[0]), None);
-    assert_eq!(set.ask("/eggs/a", "r2").await.status, Some(StatusCode::UNAUTHORIZED));
+    assert_eq!(set.send_default("/eggs/a", "r2").await.status, Some(StatusCode::UNAUTHORIZED));
 }
 
 #[tokio::test]
@@ -169,11 +173,12 @@
 async fn revoked_key_refused_running_request_completes() {
     let set = deployment(2).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { pause: Duration::from_millis(100), ..Faults::default() });
+        runner
+            .set_faults(Faults { event_interval: Duration::from_millis(100), ..Faults::default() });
     }
     let under_way = send(&set, "/count/a", "g1", "key-1");
     let revoke = async {
-        wait_until("the stream runs", async || set.ran("g1") > 0).await;
+        wait_until("the stream runs", async || set.run_count("g1") > 0).await;
         let left = with_accounts(2, &[("kitchen", &["key-2"], None)]);
         set.store.put("config", "main", &left);
         wait_in_force(&set, 2).await;
@@ -182,7 +187,7 @@
         assert_eq!(send(&set, "/board/a", "r2", "key-2").await.status, Some(StatusCode::OK));
     };
     let (response, ()) = tokio::join!(under_way, revoke);
-    assert!(response.whole && response.status == Some(StatusCode::OK));
+    assert!(response.complete && response.status == Some(StatusCode::OK));
     // The account's last key is removed, then the account itself; later it returns with another
     // key.
     for (version, accounts) in [(3, vec![("kitchen", &[][..], None)]), (4, vec![])] {
@@ -203,7 +208,7 @@
     for node in &set.nodes {
         let address = node.shared.settings.metrics;
         for path in ["/state", "/metrics"] {
-            let response = set.caller.send(address, &Ask::new(path, "r1")).await;
+            let response = set.caller.send(address, &RequestSpec::new(path, "r1")).await;
             assert!(response.status == Some(StatusCode::OK) && !response.text().contains("key-1"));
         }
     }
--- a/node/tests/back_off.rs
+++ b/node/tests/back_off.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use sardinepick_testutils::fleet::caller::{Ask, Told};
+use sardinepick_testutils::fleet::caller::{Reply, RequestSpec};
 use sardinepick_testutils::fleet::deployment::Deployment;
 use sardinepick_testutils::fleet::runner::Faults;
 use sardinepick_testutils::fleet::signal::Signals;
@@ -15,18 +15,18 @@
 /// The value of `Retry-After` in these tests.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-fn ask<'a>(path: &'a str, id: &'a str) -> Ask<'a> {
+fn ask<'a>(path: &'a str, id: &'a str) -> RequestSpec<'a> {
     let headers: &[_] = if path.starts_with("/count") { &GENERATION } else { &[] };
-    Ask { headers, ..Ask::new(path, id) }
+    RequestSpec { headers, ..RequestSpec::new(path, id) }
 }
 
-fn is_complete(response: &Told) -> bool {
-    response.status == Some(StatusCode::OK) && response.whole
+fn is_complete(response: &Reply) -> bool {
+    response.status == Some(StatusCode::OK) && response.complete
 }
 
 /// Makes a runner reject all requests with `Retry-After`.
 fn reject_all(set: &Deployment, at: usize) {
-    set.runners[at].set_faults(Faults { sheds: true, ..Faults::default() });
+    set.runners[at].set_faults(Faults { refuse: true, ..Faults::default() });
     set.runners[at]
         .set_signals(Signals::none().with("retry-after", RETRY_AFTER.as_secs().to_string()));
 }
@@ -44,10 +44,10 @@
     for at in runners {
         let runner = &set.runners[*at];
         assert!(
-            runner.seen().len() <= 1,
+            runner.received().len() <= 1,
             "{} received {} requests",
             runner.id,
-            runner.seen().len()
+            runner.received().len()
         );
     }
 }
@@ -106,9 +106,9 @@
             (0.9..=1.0).contains(&after),
             "retry-after is {after} s instead of a third of the caller's deadline"
         );
-        assert!(response.took < Duration::from_millis(500));
+        assert!(response.elapsed < Duration::from_millis(500));
     }
-    assert_eq!(set.runners[0].seen().len(), 1);
+    assert_eq!(set.runners[0].received().len(), 1);
 }
 
 /// Guards against a runner that is avoided for longer than it asked for, or by nodes whose requests
@@ -133,7 +133,7 @@
     let long = "9".repeat(4_000);
     let date = "Wed, 21 Oct 2026 07:28:00 GMT";
     for (n, text) in ["-1", "NaN", "inf", "", date, long.as_str()].iter().enumerate() {
-        set.runners[0].set_faults(Faults { sheds: true, ..Faults::default() });
+        set.runners[0].set_faults(Faults { refuse: true, ..Faults::default() });
         set.runners[0].set_signals(Signals::none().with("retry-after", (*text).to_owned()));
         set.send(0, &ask("/board/a", &format!("s{n}"))).await;
         set.runners[0].set_faults(Faults::default());
--- a/node/tests/crash.rs
+++ b/node/tests/crash.rs
@@ -17,10 +17,10 @@
 use sardinepick_node::serve::run::Running;
 use sardinepick_platform::quarantine::QUARANTINE;
 use sardinepick_testutils::cluster::wait_until;
-use sardinepick_testutils::fleet::caller::{Ask, Told};
+use sardinepick_testutils::fleet::caller::{Reply, RequestSpec};
+use sardinepick_testutils::fleet::crashing_runner::CrashingRunner;
 use sardinepick_testutils::fleet::deployment::Deployment;
 use sardinepick_testutils::fleet::runner::Faults;
-use sardinepick_testutils::fleet::supervised::Supervised;
 
 const GENERATION: [(&str, &str); 3] =
     [("model", "m"), ("token-count", "1460,80"), ("prompt-prefix", "5c1e:800,91bd:410,e440:250")];
@@ -33,13 +33,13 @@
     Bytes::from_static(b"a brief that no engine survives")
 }
 
-fn ask<'a>(path: &'a str, id: &'a str, body: &Bytes) -> Ask<'a> {
+fn ask<'a>(path: &'a str, id: &'a str, body: &Bytes) -> RequestSpec<'a> {
     let headers: &[(&str, &str)] = if path.starts_with("/count") { &GENERATION } else { &[] };
-    Ask { headers, body: body.clone(), ..Ask::new(path, id) }
+    RequestSpec { headers, body: body.clone(), ..RequestSpec::new(path, id) }
 }
 
 /// Sends the crashing request `times` times, to one node after the other.
-async fn repeat(set: &Deployment, path: &str, times: usize) -> Vec<Told> {
+async fn repeat(set: &Deployment, path: &str, times: usize) -> Vec<Reply> {
     let mut all = Vec::new();
     for n in 0..times {
         let id = format!("again-{n}");
@@ -55,7 +55,7 @@
             let id = format!("other-{n}");
             let response =
                 set.send(n % set.nodes.len(), &ask(path, &id, &Bytes::from(id.clone()))).await;
-            response.status == Some(StatusCode::OK) && response.whole
+            response.status == Some(StatusCode::OK) && response.complete
         })
         .await;
     }
@@ -63,7 +63,7 @@
 
 async fn check_quarantined_after_threshold(set: &Deployment, path: &str) {
     let responses = repeat(set, path, 12).await;
-    assert_eq!(set.ended_under(&crashing_body()), QUARANTINE_THRESHOLD, "runners crashed");
+    assert_eq!(set.crash_count(&crashing_body()), QUARANTINE_THRESHOLD, "runners crashed");
     let last = responses.last().expect("at least one response");
     assert_eq!(last.status, Some(StatusCode::BAD_REQUEST), "the client must not retry");
     assert_eq!(last.header("retry-after"), None);
@@ -73,7 +73,7 @@
 #[tokio::test]
 async fn stream_repeated_at_all_nodes_quarantined() {
     let mut set = Deployment::new().await.with_engines(2, 0).await;
-    set.add_supervised(Some("decode"), 6, &crashing_body(), RESTART_TIME).await;
+    set.add_crashing_runners(Some("decode"), 6, &crashing_body(), RESTART_TIME).await;
     let set = set.with_nodes(3).await;
     check_quarantined_after_threshold(&set, "/count/a").await;
 }
@@ -81,7 +81,7 @@
 #[tokio::test]
 async fn plain_request_repeated_at_all_nodes_quarantined() {
     let mut set = Deployment::new().await;
-    set.add_supervised(None, 6, &crashing_body(), RESTART_TIME).await;
+    set.add_crashing_runners(None, 6, &crashing_body(), RESTART_TIME).await;
     let set = set.with_nodes(3).await;
     check_quarantined_after_threshold(&set, "/board/a").await;
 }
@@ -90,11 +90,11 @@
 #[tokio::test]
 async fn request_crashing_prefill_quarantined() {
     let mut set = Deployment::new().await.with_engines(0, 2).await;
-    set.add_supervised(Some("prefill"), 6, &crashing_body(), RESTART_TIME).await;
+    set.add_crashing_runners(Some("prefill"), 6, &crashing_body(), RESTART_TIME).await;
     let set = set.with_nodes(2).await;
     repeat(&set, "/count/a", 12).await;
     assert!(
-        set.ended_under(&crashing_body()) <= QUARANTINE_THRESHOLD,
+        set.crash_count(&crashing_body()) <= QUARANTINE_THRESHOLD,
         "a prompt may also be processed by the runner that decodes"
     );
     check_others_served(&set, "/count/a").await;
@@ -104,7 +104,7 @@
 #[tokio::test]
 async fn single_node_quarantines() {
     let mut set = Deployment::new().await;
-    set.add_supervised(None, 6, &crashing_body(), RESTART_TIME).await;
+    set.add_crashing_runners(None, 6, &crashing_body(), RESTART_TIME).await;
     let set = set.with_nodes(1).await;
     check_quarantined_after_threshold(&set, "/board/a").await;
 }
@@ -114,7 +114,7 @@
 #[tokio::test]
 async fn concurrent_repeats_crash_only_runners_in_use() {
     let mut set = Deployment::new().await;
-    set.add_supervised(None, 12, &crashing_body(), RESTART_TIME).await;
+    set.add_crashing_runners(None, 12, &crashing_body(), RESTART_TIME).await;
     let set = set.with_nodes(3).await;
     let tasks: Vec<_> = (0..6)
         .map(|n| {
@@ -128,11 +128,11 @@
     for task in tasks {
         task.await.expect("the task does not panic");
     }
-    let crashed = set.ended_under(&crashing_body());
+    let crashed = set.crash_count(&crashing_body());
     assert!(crashed < 6 + QUARANTINE_THRESHOLD, "{crashed} runners crashed");
     repeat(&set, "/board/a", 12).await;
     assert_eq!(
-        set.ended_under(&crashing_body()),
+        set.crash_count(&crashing_body()),
         crashed,
         "a quarantined request crashed a runner"
     );
@@ -144,7 +144,7 @@
 #[tokio::test]
 async fn node_started_later_learns_quarantine() {
     let mut set = Deployment::new().await;
-    set.add_supervised(None, 6, &crashing_body(), RESTART_TIME).await;
+    set.add_crashing_runners(None, 6, &crashing_body(), RESTART_TIME).await;
     let mut set = set.with_nodes(2).await;
     check_quarantined_after_threshold(&set, "/board/a").await;
     let seeds = vec![set.nodes[0].shared.me.peer];
@@ -155,14 +155,14 @@
         response.status == Some(StatusCode::BAD_REQUEST)
     })
     .await;
-    assert_eq!(set.ended_under(&crashing_body()), QUARANTINE_THRESHOLD);
+    assert_eq!(set.crash_count(&crashing_body()), QUARANTINE_THRESHOLD);
 }
 
 /// Once the runners are fixed, an operator releases the request without a restart.
 #[tokio::test]
 async fn request_released_by_operator_runs_again() {
     let mut set = Deployment::new().await;
-    set.add_supervised(None, 6, &crashing_body(), RESTART_TIME).await;
+    set.add_crashing_runners(None, 6, &crashing_body(), RESTART_TIME).await;
     let set = set.with_nodes(2).await;
     check_quarantined_after_threshold(&set, "/board/a").await;
     let node = &set.nodes[0].shared;
@@ -170,11 +170,11 @@
     let state: serde_json::Value = serde_json::from_str(&state).expect("JSON");
     assert_eq!(state["quarantine"]["requests"][0]["ends"], 3);
     let fingerprint = confirmed(&set.nodes[0]).expect("the request is quarantined");
-    for life in set.supervised.iter().flat_map(Supervised::lives) {
-        life.end_under(Bytes::new());
+    for life in set.crashing_runners.iter().flat_map(CrashingRunner::instances) {
+        life.crash_on(Bytes::new());
     }
     let path = format!("/quarantine/{fingerprint}");
-    let release = Ask { method: Method::DELETE, ..Ask::new(&path, "operator") };
+    let release = RequestSpec { method: Method::DELETE, ..RequestSpec::new(&path, "operator") };
     let response = set.caller.send(node.settings.metrics, &release).await;
     assert_eq!(response.status, Some(StatusCode::OK));
     for at in 0..2 {
@@ -187,13 +187,13 @@
     }
     let again = set.caller.send(node.settings.metrics, &release).await;
     assert_eq!(again.status, Some(StatusCode::NOT_FOUND), "no quarantined request is left");
-    let wrong = Ask { path: "/quarantine/egg", ..release };
+    let wrong = RequestSpec { path: "/quarantine/egg", ..release };
     let response = set.caller.send(node.settings.metrics, &wrong).await;
     assert_eq!(response.status, Some(StatusCode::BAD_REQUEST));
 }
 
-fn state<'a>() -> Ask<'a> {
-    Ask { method: Method::GET, ..Ask::new("/state", "state") }
+fn state<'a>() -> RequestSpec<'a> {
+    RequestSpec { method: Method::GET, ..RequestSpec::new("/state", "state") }
 }
 
 /// The sum of a quarantine metric over all nodes.
@@ -207,14 +207,14 @@
 async fn broken_streams_of_live_runners_not_counted() {
     let set = Deployment::new().await.with_engines(0, 5).await.with_nodes(2).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { cut_after: Some(0), ..Faults::default() });
+        runner.set_faults(Faults { abort_after: Some(0), ..Faults::default() });
     }
     repeat(&set, "/count/a", 6).await;
     for runner in &set.runners {
         runner.set_faults(Faults::default());
     }
     let response = set.send(0, &ask("/count/a", "last", &crashing_body())).await;
-    assert_eq!((response.status, response.whole), (Some(StatusCode::OK), true));
+    assert_eq!((response.status, response.complete), (Some(StatusCode::OK), true));
     assert_eq!(count(&set, "proposed"), 0);
 }
 
@@ -224,7 +224,7 @@
 async fn shutdown_of_leaving_runners_not_counted() {
     let set = Deployment::new().await.with_plain(4).await.with_nodes(1).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { hangs: true, ..Faults::default() });
+        runner.set_faults(Faults { hang: true, ..Faults::default() });
     }
     let (caller, front) = (set.caller.clone(), set.front(0));
     let task =
@@ -306,9 +306,9 @@
     }
 }
 
-fn set_all_hanging(set: &Deployment, hangs: bool) {
+fn set_all_hanging(set: &Deployment, hang: bool) {
     for runner in &set.runners {
-        runner.set_faults(Faults { hangs, ..Faults::default() });
+        runner.set_faults(Faults { hang, ..Faults::default() });
     }
 }
 
@@ -317,7 +317,7 @@
 #[tokio::test]
 async fn quarantine_survives_restart_of_all_nodes() {
     let mut former = Deployment::new().await;
-    former.add_supervised(None, 6, &crashing_body(), RESTART_TIME).await;
+    former.add_crashing_runners(None, 6, &crashing_body(), RESTART_TIME).await;
     let former = former.with_nodes(2).await;
     check_quarantined_after_threshold(&former, "/board/a").await;
     wait_until("the store has the entry", async || former.store.count(QUARANTINE) == 1).await;
@@ -326,13 +326,13 @@
         former.store.get(QUARANTINE, &name).expect("the entry is stored under its fingerprint");
 
     let mut set = Deployment::new().await;
-    set.add_supervised(None, 6, &crashing_body(), RESTART_TIME).await;
+    set.add_crashing_runners(None, 6, &crashing_body(), RESTART_TIME).await;
     set.store.put(QUARANTINE, &name, &kept);
     let set = set.with_nodes(2).await;
     let is_known_to_all = async || set.nodes.iter().all(|n| confirmed(n).as_ref() == Some(&name));
     wait_until("all nodes know the entry", is_known_to_all).await;
     repeat(&set, "/board/a", 4).await;
-    assert_eq!(set.ended_under(&crashing_body()), 0);
+    assert_eq!(set.crash_count(&crashing_body()), 0);
     // A released request is removed from the store.
     let fingerprint = name.parse().expect("valid fingerprint");
     assert!(quarantine::release(&set.nodes[1].shared, &fingerprint));
@@ -351,13 +351,13 @@
 #[tokio::test]
 async fn quarantine_missing_from_restored_store_written_again() {
     let mut set = Deployment::new().await;
-    set.add_supervised(None, 6, &crashing_body(), RESTART_TIME).await;
+    set.add_crashing_runners(None, 6, &crashing_body(), RESTART_TIME).await;
     let set = set.with_nodes(3).await;
     let copy = set.store.copy();
     check_quarantined_after_threshold(&set, "/board/a").await;
     wait_until("the store has the entry", async || set.store.count(QUARANTINE) == 1).await;
-    let lost = set.store.come_back(&copy);
+    let lost = set.store.restore(&copy);
     assert_eq!(set.store.count(QUARANTINE), 0);
-    set.store.write_again(&lost);
+    set.store.replay(&lost);
     wait_until("the store has the entry again", async || set.store.count(QUARANTINE) == 1).await;
 }
--- a/node/tests/drain.rs
+++ b/node/tests/drain.rs
@@ -4,7 +4,7 @@
 
 use http::StatusCode;
 use sardinepick_testutils::cluster::{any_address, wait_until};
-use sardinepick_testutils::fleet::caller::{Ask, Caller, Told};
+use sardinepick_testutils::fleet::caller::{Caller, Reply, RequestSpec};
 use sardinepick_testutils::fleet::deployment::Deployment;
 use sardinepick_testutils::fleet::runner::Faults;
 use sardinepick_testutils::fleet::signal::Signals;
@@ -14,15 +14,15 @@
 const GENERATION: [(&str, &str); 3] =
     [("model", "m"), ("token-count", "1460,80"), ("prompt-prefix", "5c1e:800,91bd:410,e440:250")];
 
-fn generation(id: &str) -> Ask<'_> {
-    Ask { headers: &GENERATION, ..Ask::new("/count/a", id) }
+fn generation(id: &str) -> RequestSpec<'_> {
+    RequestSpec { headers: &GENERATION, ..RequestSpec::new("/count/a", id) }
 }
 
 /// Sends requests to a node until a response announces that the runner is leaving. Returns how many
 /// requests that runner has received.
 async fn send_until_drain_announced(
     set: &Deployment,
-    ask: impl Fn(&str) -> Ask<'_>,
+    ask: impl Fn(&str) -> RequestSpec<'_>,
     leaving: usize,
 ) -> usize {
     set.store.set_fault(Fault::Silent);
@@ -32,7 +32,7 @@
         let response = set.send(0, &ask(&id)).await;
         assert_eq!(response.status, Some(StatusCode::OK), "{id}");
         if response.header("server-leaving").is_some() {
-            return set.runners[leaving].seen().len();
+            return set.runners[leaving].received().len();
         }
     }
     panic!("the leaving runner was never used");
@@ -45,7 +45,7 @@
         let id = format!("h{n}");
         let response = set.send(0, &generation(&id)).await;
         assert!(is_complete(&response));
-        let at = (1..set.runners.len()).find(|at| set.runners[*at].ran(&id) == 1);
+        let at = (1..set.runners.len()).find(|at| set.runners[*at].run_count(&id) == 1);
         let at = at.expect("an engine ran the request");
         if response.header("server-leaving").is_some() {
             return at;
@@ -58,21 +58,21 @@
     panic!("the leaving runner was never used");
 }
 
-fn is_complete(response: &Told) -> bool {
-    response.status == Some(StatusCode::OK) && response.whole
+fn is_complete(response: &Reply) -> bool {
+    response.status == Some(StatusCode::OK) && response.complete
 }
 
 /// Guards against plain requests to a runner that has announced a drain in a response.
 #[tokio::test]
 async fn draining_plain_runner_gets_no_requests() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    let takes = Duration::from_millis(20);
-    set.runners[1].set_faults(Faults { takes, ..Faults::default() });
-    let before = send_until_drain_announced(&set, |id| Ask::new("/board/a", id), 0).await;
+    let response_delay = Duration::from_millis(20);
+    set.runners[1].set_faults(Faults { response_delay, ..Faults::default() });
+    let before = send_until_drain_announced(&set, |id| RequestSpec::new("/board/a", id), 0).await;
     for n in 0..30 {
-        assert!(is_complete(&set.ask("/board/a", &format!("r{n}")).await));
+        assert!(is_complete(&set.send_default("/board/a", &format!("r{n}")).await));
     }
-    assert_eq!(set.runners[0].seen().len(), before);
+    assert_eq!(set.runners[0].received().len(), before);
 }
 
 /// Guards against whole runs and decode stages at an engine that has announced a drain in a
@@ -84,15 +84,15 @@
     for n in 0..30 {
         assert!(is_complete(&set.send(0, &generation(&format!("r{n}"))).await));
     }
-    assert_eq!(set.runners[1].seen().len(), before);
+    assert_eq!(set.runners[1].received().len(), before);
 }
 
 /// Guards against a decode stage at an engine that announces a drain during prefill.
 #[tokio::test]
 async fn decode_runner_drains_during_prefill_other_runner_used() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
-    let takes = Duration::from_millis(400);
-    set.runners[0].set_faults(Faults { takes, ..Faults::default() });
+    let response_delay = Duration::from_millis(400);
+    set.runners[0].set_faults(Faults { response_delay, ..Faults::default() });
     set.store.set_fault(Fault::Silent);
     let tasks: Vec<_> = (0..12)
         .map(|n| {
@@ -103,15 +103,15 @@
             })
         })
         .collect();
-    sleep(takes / 2).await;
+    sleep(response_delay / 2).await;
     // From now on prefill is immediate.
     set.runners[0].set_faults(Faults::default());
     let leaving = drain_decode_runner(&set).await;
-    let before = set.runners[leaving].seen().len();
+    let before = set.runners[leaving].received().len();
     for task in tasks {
         assert!(is_complete(&task.await.expect("the task does not panic")));
     }
-    assert_eq!(set.runners[leaving].seen().len(), before);
+    assert_eq!(set.runners[leaving].received().len(), before);
 }
 
 /// Guards against prefill requests to an engine that has announced a drain in a response.
@@ -123,7 +123,7 @@
         for n in 0..10 {
             assert!(is_complete(&set.send(0, &generation(&format!("u{n}"))).await));
         }
-        [0, 1].map(|at: usize| set.runners[at].seen().len())
+        [0, 1].map(|at: usize| set.runners[at].received().len())
     };
     let [first, _] = used().await;
     let leaving = usize::from(first == 0);
@@ -137,40 +137,44 @@
 #[tokio::test]
 async fn drain_in_response_known_to_all_nodes() {
     let mut set = Deployment::new().await.with_plain(2).await.with_nodes(3).await;
-    let takes = Duration::from_millis(20);
-    set.runners[1].set_faults(Faults { takes, ..Faults::default() });
-    let before = send_until_drain_announced(&set, |id| Ask::new("/board/a", id), 0).await;
+    let response_delay = Duration::from_millis(20);
+    set.runners[1].set_faults(Faults { response_delay, ..Faults::default() });
+    let before = send_until_drain_announced(&set, |id| RequestSpec::new("/board/a", id), 0).await;
     sleep(Duration::from_millis(200)).await;
     let seeds = set.nodes.iter().map(|node| node.shared.me.peer).collect();
     set.add_node("edge-late", seeds).await;
     set.wait_ready().await;
     for n in 0..40 {
-        assert!(is_complete(&set.send(n % 4, &Ask::new("/board/a", &format!("r{n}"))).await));
+        assert!(is_complete(
+            &set.send(n % 4, &RequestSpec::new("/board/a", &format!("r{n}"))).await
+        ));
     }
-    assert_eq!(set.runners[0].seen().len(), before);
+    assert_eq!(set.runners[0].received().len(), before);
 }
 
 /// Guards against requests that wait, or reach the leaving runner, if it is the only one.
 #[tokio::test]
 async fn only_runner_draining_requests_refused_immediately() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    let before = send_until_drain_announced(&set, |id| Ask::new("/board/a", id), 0).await;
+    let before = send_until_drain_announced(&set, |id| RequestSpec::new("/board/a", id), 0).await;
     for n in 0..5 {
-        let response = set.ask("/board/a", &format!("r{n}")).await;
+        let response = set.send_default("/board/a", &format!("r{n}")).await;
         assert_eq!(response.status, Some(StatusCode::SERVICE_UNAVAILABLE));
         assert!(response.header("retry-after").is_some());
-        assert!(response.took < Duration::from_secs(1));
+        assert!(response.elapsed < Duration::from_secs(1));
     }
-    assert_eq!(set.runners[0].seen().len(), before);
+    assert_eq!(set.runners[0].received().len(), before);
 }
 
 /// Guards against a restarted runner that is not used because its previous process was leaving.
 #[tokio::test]
 async fn restarted_runner_is_used_after_drain() {
     let mut set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    send_until_drain_announced(&set, |id| Ask::new("/board/a", id), 0).await;
+    send_until_drain_announced(&set, |id| RequestSpec::new("/board/a", id), 0).await;
     set.store.set_fault(Fault::None);
-    set.runners[0] = set.runners[0].start_again(any_address()).await.expect("free address");
-    wait_until("the new process is used", async || is_complete(&set.ask("/board/a", "r").await))
-        .await;
+    set.runners[0] = set.runners[0].restart(any_address()).await.expect("free address");
+    wait_until("the new process is used", async || {
+        is_complete(&set.send_default("/board/a", "r").await)
+    })
+    .await;
 }
--- a/node/tests/duties.rs
+++ b/node/tests/duties.rs
@@ -5,7 +5,7 @@
 
 use http::StatusCode;
 use sardinepick_testutils::cluster::wait_until;
-use sardinepick_testutils::fleet::caller::Ask;
+use sardinepick_testutils::fleet::caller::RequestSpec;
 use sardinepick_testutils::fleet::deployment::{Deployment, with_accounts};
 use sardinepick_testutils::fleet::platform::{Fault, Platform};
 use sardinepick_testutils::fleet::store;
@@ -35,7 +35,8 @@
             ("cellar", "key-2", "/eggs/a"),
         ] {
             let id = format!("{round}-{at}-{}", path.len());
-            let ask = Ask { headers: &[("credential", key)], ..Ask::new(path, &id) };
+            let ask =
+                RequestSpec { headers: &[("credential", key)], ..RequestSpec::new(path, &id) };
             let response = set.send(at, &ask).await;
             let ok = response.status == Some(StatusCode::OK);
             *served.entry(account.to_owned()).or_default() += u64::from(ok);
@@ -71,7 +72,7 @@
     }
     assert_eq!(served, BTreeMap::from([("cellar".to_owned(), 18), ("kitchen".to_owned(), 36)]));
     wait_until("all usage is reported", async || reported(&set) == served).await;
-    assert_eq!(platform(&set).violation(CALL_GAP), None);
+    assert_eq!(platform(&set).ordering_violation(CALL_GAP), None);
 }
 
 /// Guards against a window that is reported twice with different counts after lost replies.
@@ -79,17 +80,17 @@
 async fn usage_replies_lost_same_counts_repeated() {
     let set = deployment(3).await;
     wait_first_report(&set).await;
-    platform(&set).set_fault(Fault::LosesAnswers);
+    platform(&set).set_fault(Fault::DropResponse);
     let mut served = BTreeMap::new();
     for round in 0..4 {
         add(&mut served, send(&set, round).await);
     }
-    set.store.lose_answers(2);
+    set.store.drop_responses(2);
     let calls = platform(&set).calls().len();
     wait_until("calls are repeated", async || platform(&set).calls().len() > calls + 3).await;
     platform(&set).set_fault(Fault::None);
     wait_until("all usage is reported", async || reported(&set) == served).await;
-    assert_eq!(platform(&set).violation(CALL_GAP), None);
+    assert_eq!(platform(&set).ordering_violation(CALL_GAP), None);
 }
 
 /// Guards against windows that are lost while the platform accepts no calls.
@@ -105,7 +106,7 @@
     }
     platform(&set).set_fault(Fault::None);
     wait_until("all usage is reported", async || reported(&set) == served).await;
-    assert_eq!(platform(&set).violation(CALL_GAP), None);
+    assert_eq!(platform(&set).ordering_violation(CALL_GAP), None);
 }
 
 /// Guards against duties that no node takes over after the holder has stopped, and against
@@ -123,7 +124,7 @@
     wait_until("all usage is reported", async || reported(&set) == served).await;
     let calls = platform(&set).calls();
     assert!(calls.iter().any(|call| call.holder != holder));
-    assert_eq!(platform(&set).violation(CALL_GAP), None);
+    assert_eq!(platform(&set).ordering_violation(CALL_GAP), None);
 }
 
 /// Guards against a holder that keeps the duties although the store rejects its calls.
@@ -139,7 +140,7 @@
     assert_eq!(platform(&set).calls().len(), calls, "calls were made without a lease");
     set.store.set_fault(store::Fault::None);
     wait_until("all usage is reported", async || reported(&set) == served).await;
-    assert_eq!(platform(&set).violation(CALL_GAP), None);
+    assert_eq!(platform(&set).ordering_violation(CALL_GAP), None);
 }
 
 /// Guards against objects of another writer that block the duties permanently, or lower the epoch.
@@ -152,7 +153,7 @@
     set.store.put("sardinepick-usage", "ledger", &json!("torn"));
     let is_later = |call: &sardinepick_testutils::fleet::platform::Call| call.token > token;
     wait_until("calls go on", async || platform(&set).calls().iter().any(is_later)).await;
-    assert_eq!(platform(&set).violation(CALL_GAP), None);
+    assert_eq!(platform(&set).ordering_violation(CALL_GAP), None);
     // `windows` checks the reports for consistency.
     assert!(!platform(&set).windows().is_empty());
 }
@@ -164,7 +165,8 @@
     let holder = platform(&set).calls().last().expect("at least one call").holder.clone();
     let at = set.nodes.iter().position(|node| node.shared.me.id.as_str() == holder);
     let node = &set.nodes[at.expect("the holder is a node")];
-    let response = set.caller.send(node.shared.settings.metrics, &Ask::new("/state", "r1")).await;
+    let response =
+        set.caller.send(node.shared.settings.metrics, &RequestSpec::new("/state", "r1")).await;
     let state: serde_json::Value = serde_json::from_slice(&response.body).expect("JSON");
     assert_eq!(state["duties"]["holder"], json!(holder));
     assert!(state["duties"]["left_ms"].as_u64().is_some_and(|left| left > 0));
--- a/node/tests/duties_copy.rs
+++ b/node/tests/duties_copy.rs
@@ -50,12 +50,12 @@
     let before = reports(&set).len();
     wait_reports(&set, before + LOST_WINDOWS).await;
     let holder = platform(&set).calls().last().expect("at least one call").holder.clone();
-    let lost = set.store.come_back(&copy);
-    set.store.write_again(&lost);
+    let lost = set.store.restore(&copy);
+    set.store.replay(&lost);
     let before = reports(&set).len();
     wait_reports(&set, before + LOST_WINDOWS).await;
     assert_reported_once(&set);
-    assert_eq!(platform(&set).violation(CALL_GAP), None);
+    assert_eq!(platform(&set).ordering_violation(CALL_GAP), None);
     assert_eq!(platform(&set).calls().last().expect("at least one call").holder, holder);
     let reports = reports(&set);
     let (first, last) = (reports.first_key_value(), reports.last_key_value());
@@ -75,9 +75,9 @@
     set.store.set_fault(Fault::Busy);
     let at = set.nodes.iter().position(|node| node.shared.me.id.as_str() == holder);
     set.nodes.remove(at.expect("the holder is a node")).stop().await;
-    let lost = set.store.come_back(&copy);
+    let lost = set.store.restore(&copy);
     set.store.set_fault(Fault::None);
-    set.store.write_again(&lost);
+    set.store.replay(&lost);
     let before = reports(&set).len();
     wait_reports(&set, before + LOST_WINDOWS).await;
     // Windows that the copy shows as settled may be reported again with the same counts, as after
@@ -86,6 +86,6 @@
     let repeated: Vec<_> = repeated.filter(|(window, _)| !shown.contains_key(window)).collect();
     assert_eq!(repeated, [], "windows reported more than once");
     platform(&set).windows();
-    assert_eq!(platform(&set).violation(CALL_GAP), None);
+    assert_eq!(platform(&set).ordering_violation(CALL_GAP), None);
     assert_ne!(platform(&set).calls().last().expect("at least one call").holder, holder);
 }
--- a/node/tests/explain.rs
+++ b/node/tests/explain.rs
@@ -11,7 +11,7 @@
 use sardinepick_node::logging::{queue, start_to};
 use sardinepick_node::settings::LogFormat;
 use sardinepick_testutils::cluster::wait_until;
-use sardinepick_testutils::fleet::caller::Ask;
+use sardinepick_testutils::fleet::caller::RequestSpec;
 use sardinepick_testutils::fleet::deployment::Deployment;
 use sardinepick_testutils::fleet::runner::Faults;
 use sardinepick_testutils::fleet::store::Fault;
@@ -63,7 +63,7 @@
         ("token-count", "900000,80"),
         ("prompt-prefix", "5c1e:400000,91bd:500000"),
     ];
-    let ask = Ask { headers: &headers, ..Ask::new("/count/a", "burst-1") };
+    let ask = RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", "burst-1") };
     let told = set.send(0, &ask).await;
     assert_eq!(told.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     let explanation = explain(kept, "burst-1").await;
@@ -72,9 +72,9 @@
 
 async fn cut_when_runner_died(kept: &Kept) {
     let set = Deployment::new().await.with_engines(1, 1).await.with_nodes(1).await;
-    set.runners[1].set_faults(Faults { cut_after: Some(3), ..Faults::default() });
-    let ask = Ask { headers: &GENERATION, ..Ask::new("/tally/a", "cut-1") };
-    assert!(!set.send(0, &ask).await.whole);
+    set.runners[1].set_faults(Faults { abort_after: Some(3), ..Faults::default() });
+    let ask = RequestSpec { headers: &GENERATION, ..RequestSpec::new("/tally/a", "cut-1") };
+    assert!(!set.send(0, &ask).await.complete);
     let explanation = explain(kept, "cut-1").await;
     assert_says(&explanation, &["placed", "stream broke off", "events=3", "request cut", "i-1"]);
 }
@@ -83,10 +83,10 @@
     let mut set = Deployment::new().await.with_plain(1).await;
     set.store.set_fault(Fault::Busy);
     set.add_node("edge-0", Vec::new()).await;
-    let told = set.ask("/board/a", "away-1").await;
+    let told = set.send_default("/board/a", "away-1").await;
     assert_eq!(told.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     wait_until("the loss is logged", async || kept.text().contains("store lost")).await;
-    let told = set.ask("/board/a", "away-2").await;
+    let told = set.send_default("/board/a", "away-2").await;
     assert_eq!(told.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     let explanation = explain(kept, "away-2").await;
     assert_says(&explanation, &["reason=no_configuration", "store lost"]);
--- a/node/tests/failures.rs
+++ b/node/tests/failures.rs
@@ -5,11 +5,13 @@
 use http::Method;
 use sardinepick_lib::config::object::Role;
 use sardinepick_lib::hash::Digest;
-use sardinepick_testutils::caller::{Caller, Keyed};
-use sardinepick_testutils::cluster::{Cluster, Plan, free_address, own_ip, wait_ready, wait_until};
+use sardinepick_testutils::caller::{Caller, KeyedAttempt};
+use sardinepick_testutils::cluster::{
+    Cluster, NodeOptions, free_address, own_ip, wait_ready, wait_until,
+};
 use sardinepick_testutils::engine::{Engine, Faults, Speed, expected};
-use sardinepick_testutils::invariant::{Seen, check_call, check_completion};
-use sardinepick_testutils::plain::{self, Plain};
+use sardinepick_testutils::invariant::{Observation, check_call, check_completion};
+use sardinepick_testutils::plain::{self, PlainService};
 use sardinepick_testutils::platform;
 
 const KEY: &str = "clerk-key";
@@ -19,12 +21,12 @@
 struct Set {
     cluster: Cluster,
     engines: Vec<Engine>,
-    plain: Plain,
+    plain: PlainService,
     caller: Caller,
 }
 
 async fn set(nodes: usize, engines: usize) -> Set {
-    let plain = Plain::start(free_address(own_ip())).await.expect("a free address");
+    let plain = PlainService::start(free_address(own_ip())).await.expect("a free address");
     let key = Digest::of(KEY.as_bytes());
     let mut config = format!(
         "begin; create model telraad-7b version = 3; \
@@ -51,13 +53,13 @@
 
 impl Set {
     /// Makes one completion, checks the promises, and gives what the caller saw.
-    async fn complete(&self, id: &str) -> Seen {
+    async fn complete(&self, id: &str) -> Observation {
         let front = self.cluster.front(0);
         let told = self.caller.complete(front, "telraad", id, PROMPT, TOKENS).await;
-        let starts = self.engines.iter().map(|e| e.started(id)).sum();
-        let violation = check_completion(id, PROMPT, TOKENS, &told.seen, starts);
+        let starts = self.engines.iter().map(|e| e.start_count(id)).sum();
+        let violation = check_completion(id, PROMPT, TOKENS, &told.observation, starts);
         assert_eq!(violation, None);
-        told.seen
+        told.observation
     }
 
     fn all(&self, faults: Faults) {
@@ -67,8 +69,8 @@
     }
 }
 
-fn is_whole(seen: &Seen) -> bool {
-    matches!(seen, Seen::Answer(text) if *text == expected(PROMPT, TOKENS))
+fn is_whole(seen: &Observation) -> bool {
+    matches!(seen, Observation::Answer(text) if *text == expected(PROMPT, TOKENS))
 }
 
 /// Symptom: an answer stops in the middle. Sequence: the runner breaks the stream off after five
@@ -76,7 +78,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_cut_goes_on_elsewhere() {
     let set = set(1, 2).await;
-    set.engines[0].set_faults(Faults { cut_after: Some(5), ..Faults::default() });
+    set.engines[0].set_faults(Faults { abort_after: Some(5), ..Faults::default() });
     for n in 0..6 {
         assert!(is_whole(&set.complete(&format!("cut-{n}")).await));
     }
@@ -89,7 +91,7 @@
 async fn stream_without_closing_frame_no_success() {
     let set = set(1, 1).await;
     set.all(Faults { end_after: Some(5), ..Faults::default() });
-    assert!(matches!(set.complete("short").await, Seen::Cut));
+    assert!(matches!(set.complete("short").await, Observation::Truncated));
 }
 
 /// Symptom: a caller gets another's answer. Sequence: a runner answers with the events of another
@@ -97,7 +99,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_crossed_never_passed_on() {
     let set = set(1, 2).await;
-    set.engines[0].set_faults(Faults { cross: true, ..Faults::default() });
+    set.engines[0].set_faults(Faults { answer_other_request: true, ..Faults::default() });
     for n in 0..6 {
         assert!(is_whole(&set.complete(&format!("cross-{n}")).await));
     }
@@ -121,10 +123,13 @@
 async fn refusals_are_true() {
     let set = set(1, 2).await;
     set.all(Faults { refuse: true, ..Faults::default() });
-    assert!(matches!(set.complete("refused").await, Seen::RefusedNotRun));
+    assert!(matches!(set.complete("refused").await, Observation::RefusedNotRun));
     tokio::time::sleep(Duration::from_secs(1)).await;
-    set.all(Faults { cut_after: Some(0), ..Faults::default() });
-    assert!(matches!(set.complete("broken").await, Seen::RefusedUnknown | Seen::Cut));
+    set.all(Faults { abort_after: Some(0), ..Faults::default() });
+    assert!(matches!(
+        set.complete("broken").await,
+        Observation::RefusedUnknown | Observation::Truncated
+    ));
 }
 
 /// Symptom: work goes to a runner that leaves. Sequence: a runner refuses as one that leaves.
@@ -162,14 +167,17 @@
     for n in 0..30 {
         let (caller, front) = (set.caller.clone(), set.cluster.front(n % 2));
         calls.spawn(async move {
-            caller.complete(front, "telraad", &format!("role-{n}"), PROMPT, 400).await.seen
+            caller.complete(front, "telraad", &format!("role-{n}"), PROMPT, 400).await.observation
         });
     }
     wait_until("the engine works", || async { set.engines[0].running() > 4 }).await;
     set.cluster.change("set runner telraad-0 role = decode").await;
     while let Some(seen) = calls.join_next().await {
         let seen = seen.expect("callers do not panic");
-        assert!(matches!(&seen, Seen::Answer(text) if *text == expected(PROMPT, 400)), "{seen:?}");
+        assert!(
+            matches!(&seen, Observation::Answer(text) if *text == expected(PROMPT, 400)),
+            "{seen:?}"
+        );
     }
     wait_until("the engine has its role", || async { set.engines[0].role() == Role::Decode }).await;
     let retries = |at: usize| {
@@ -185,18 +193,18 @@
 async fn order_cut_after_effect_never_twice() {
     let set = set(2, 1).await;
     let listing = set.caller.look_up(set.cluster.front(0)).await.expect("a listing");
-    set.plain.set_faults(plain::Faults { cut_after_effect: true, ..plain::Faults::default() });
+    set.plain.set_faults(plain::Faults { drop_response: true, ..plain::Faults::default() });
     let mut seen = Vec::new();
     for attempt in 1..=3 {
-        let keyed = Keyed { key: "bread-1", attempt, epoch: listing.epoch };
+        let keyed = KeyedAttempt { key: "bread-1", attempt, epoch: listing.epoch };
         let front = set.cluster.front(attempt as usize % 2);
         let told = set.caller.post(front, "ontbijtbord", "bread", Some(&keyed)).await;
-        seen.push(told.seen);
+        seen.push(told.observation);
         set.plain.set_faults(plain::Faults::default());
     }
     assert_eq!(check_call("bread-1", &seen, set.plain.effects("bread")), None);
     assert_eq!(set.plain.effects("bread"), 1);
-    assert!(seen.iter().all(|s| matches!(s, Seen::RefusedUnknown)), "{seen:?}");
+    assert!(seen.iter().all(|s| matches!(s, Observation::RefusedUnknown)), "{seen:?}");
 }
 
 /// Symptom: bread is ordered twice. Sequence: an order is answered, every node that may own its key
@@ -208,9 +216,9 @@
     let listing = set.caller.look_up(set.cluster.front(0)).await.expect("a listing");
     for n in 0..6 {
         let (key, body) = (format!("k{n}"), format!("bread {n}"));
-        let keyed = Keyed { key: &key, attempt: 1, epoch: listing.epoch };
+        let keyed = KeyedAttempt { key: &key, attempt: 1, epoch: listing.epoch };
         let told = set.caller.post(set.cluster.front(0), "ontbijtbord", &body, Some(&keyed)).await;
-        assert!(matches!(told.seen, Seen::Answer(_)), "{told:?}");
+        assert!(matches!(told.observation, Observation::Answer(_)), "{told:?}");
     }
     for at in 1..3 {
         set.cluster.nodes[at].take().expect("the node runs").kill();
@@ -218,10 +226,10 @@
     let mut unknown = 0;
     for n in 0..6 {
         let (key, body) = (format!("k{n}"), format!("bread {n}"));
-        let keyed = Keyed { key: &key, attempt: 2, epoch: listing.epoch };
+        let keyed = KeyedAttempt { key: &key, attempt: 2, epoch: listing.epoch };
         let told = set.caller.post(set.cluster.front(0), "ontbijtbord", &body, Some(&keyed)).await;
-        unknown += u32::from(matches!(told.seen, Seen::RefusedUnknown));
-        assert!(!matches!(told.seen, Seen::RefusedNotRun), "{told:?}");
+        unknown += u32::from(matches!(told.observation, Observation::RefusedUnknown));
+        assert!(!matches!(told.observation, Observation::RefusedNotRun), "{told:?}");
         assert_eq!(set.plain.effects(&body), 1);
     }
     assert!(unknown > 0, "no key had its owner killed, so nothing was shown");
@@ -241,11 +249,11 @@
     let (status, value) = answer.expect("the node answers");
     assert_eq!(status.as_u16(), 503, "{value}");
 
-    let mut plan = Plan::new("entry-9", "zaal-dom", set.cluster.platform.address());
+    let mut plan = NodeOptions::new("entry-9", "zaal-dom", set.cluster.platform.address());
     plan.extra = String::new();
     let ini = plan.ini().replace(
         &format!("peer = {}", plan.peer),
-        &format!("peer = {}\nseeds = {}", plan.peer, set.cluster.plans[0].peer),
+        &format!("peer = {}\nseeds = {}", plan.peer, set.cluster.node_options[0].peer),
     );
     let settings = sardinepick_node::settings::Settings::parse("entry-9", &ini);
     let clock = std::sync::Arc::new(sardinepick_node::clock::Boot::default());
@@ -272,7 +280,7 @@
     for lost in 1..=4 {
         set.cluster
             .platform
-            .set_faults(platform::Faults { lose_answers: lost, ..Default::default() });
+            .set_faults(platform::Faults { drop_responses: lost, ..Default::default() });
         let text = format!("set service telraad deadline = {lost}s");
         let answer = set.cluster.operator.command(set.cluster.front(1), &text).await;
         let (status, _) = answer.expect("the node answers");
@@ -302,7 +310,7 @@
         let body = serde_json::json!({ "text": text, "base": base }).to_string();
         let operator = set.cluster.operator.clone();
         let front = set.cluster.front(at);
-        async move { operator.ask(front, Method::POST, "/admin/v1/command", &[], body).await }
+        async move { operator.fetch(front, Method::POST, "/admin/v1/command", &[], body).await }
     };
     let (first, _) = command(0, "drain runner telraad-0").await.expect("an answer");
     assert!(first.is_success());
@@ -335,13 +343,13 @@
         ("/v1/completions", long.as_str(), 413, "more than"),
     ];
     for (path, body, status, says) in cases {
-        let answer = set.caller.ask(front, Method::POST, path, &[], body.to_owned()).await;
+        let answer = set.caller.fetch(front, Method::POST, path, &[], body.to_owned()).await;
         let (got, text) = answer.expect("an answer");
         assert_eq!((got.as_u16(), text.contains(says)), (status, true), "{path}: {text}");
     }
     let stranger = Caller::new("not-a-key");
     let (status, _) =
-        stranger.ask(front, Method::GET, "/v1/models", &[], "").await.expect("an answer");
+        stranger.fetch(front, Method::GET, "/v1/models", &[], "").await.expect("an answer");
     assert_eq!(status.as_u16(), 401);
     assert!(is_whole(&set.complete("after").await));
 }
@@ -370,7 +378,7 @@
     assert!(refused.is_err(), "the paused writer must begin anew");
 
     // A node that knows nobody has only the store to read the configuration from.
-    let plan = Plan::new("entry-9", "elsewhere", set.cluster.platform.address());
+    let plan = NodeOptions::new("entry-9", "elsewhere", set.cluster.platform.address());
     set.cluster.platform.set_vms(vec![plan.vm()]);
     let late = plan.start().await;
     wait_ready(plan.front).await;
@@ -416,8 +424,8 @@
     let listing = caller.look_up(front).await.expect("a listing");
     assert!(listing.addresses.contains(&front));
     let told = caller.complete(front, "telraad", "h2", PROMPT, TOKENS).await;
-    assert!(is_whole(&told.seen), "{told:?}");
+    assert!(is_whole(&told.observation), "{told:?}");
     let told = caller.post(front, "ontbijtbord", "eggs", None).await;
-    assert!(matches!(told.seen, Seen::Answer(_)), "{told:?}");
+    assert!(matches!(told.observation, Observation::Answer(_)), "{told:?}");
     assert_eq!(set.plain.effects("eggs"), 1);
 }
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -10,9 +10,9 @@
 use sardinepick_lib::fleet::scheduler::holder;
 use sardinepick_lib::id::{NodeId, RunnerId, ServiceId};
 use sardinepick_testutils::cluster::{any_address, wait_until};
-use sardinepick_testutils::fleet::caller::{Ask, Caller};
-use sardinepick_testutils::fleet::deployment::{Deployment, PLAIN};
-use sardinepick_testutils::fleet::rule::limit_allows;
+use sardinepick_testutils::fleet::caller::{Caller, RequestSpec};
+use sardinepick_testutils::fleet::deployment::{Deployment, PLAIN_SERVICE};
+use sardinepick_testutils::fleet::rate_limit::max_requests;
 use sardinepick_testutils::fleet::runner::{Faults, Runner};
 use sardinepick_testutils::fleet::signal::Signals;
 use tokio::time::{Instant, interval, sleep};
@@ -42,14 +42,14 @@
             let id = format!("f{number}");
             tokio::spawn(async move {
                 let headers: &[_] = if path.starts_with("/count") { &GENERATION } else { &[] };
-                caller.send(front, &Ask { headers, ..Ask::new(path, &id) }).await
+                caller.send(front, &RequestSpec { headers, ..RequestSpec::new(path, &id) }).await
             });
         }
     }
 }
 
 fn arrivals(runner: &Runner, since: Instant) -> usize {
-    runner.seen().iter().filter(|seen| seen.at.is_some_and(|at| at >= since)).count()
+    runner.received().iter().filter(|seen| seen.at.is_some_and(|at| at >= since)).count()
 }
 
 /// Guards against plain requests that exceed a runner's rate limit.
@@ -57,12 +57,12 @@
 async fn plain_runner_rate_limit_respected() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(3).await;
     set.runners[0].set_signals(Signals::limit("2"));
-    let takes = Duration::from_millis(40);
-    set.runners[1].set_faults(Faults { takes, ..Faults::default() });
+    let response_delay = Duration::from_millis(40);
+    set.runners[1].set_faults(Faults { response_delay, ..Faults::default() });
     let counted_from = Instant::now() + GOSSIP_TIME;
     flood(&set, "/board/a").await;
     let count = arrivals(&set.runners[0], counted_from);
-    assert!(count <= limit_allows(2.0, WINDOW), "{count} requests in {WINDOW:?} at 2 per second");
+    assert!(count <= max_requests(2.0, WINDOW), "{count} requests in {WINDOW:?} at 2 per second");
     assert!(count > 0, "none of the announced rate is used");
 }
 
@@ -78,7 +78,7 @@
     for runner in &set.runners[..2] {
         let count = arrivals(runner, counted_from);
         assert!(
-            count <= limit_allows(2.0, WINDOW),
+            count <= max_requests(2.0, WINDOW),
             "{count} requests in {WINDOW:?} at 2 per second"
         );
     }
@@ -96,7 +96,7 @@
     for runner in &set.runners[1..3] {
         let count = arrivals(runner, counted_from);
         assert!(
-            count <= limit_allows(2.0, WINDOW),
+            count <= max_requests(2.0, WINDOW),
             "{count} requests in {WINDOW:?} at 2 per second"
         );
     }
@@ -107,12 +107,12 @@
 async fn all_plain_runners_limited_requests_refused_immediately() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(2).await;
     set.runners[0].set_signals(Signals::limit("1"));
-    assert_eq!(set.ask("/board/a", "first").await.text(), "answer to first");
+    assert_eq!(set.send_default("/board/a", "first").await.text(), "answer to first");
     sleep(GOSSIP_TIME).await;
     let counted_from = Instant::now();
     let mut refused = 0;
     for n in 0..40 {
-        let response = set.send(n % 2, &Ask::new("/board/a", &format!("r{n}"))).await;
+        let response = set.send(n % 2, &RequestSpec::new("/board/a", &format!("r{n}"))).await;
         if response.status.is_some_and(|status| status == 503) {
             refused += 1;
             let after: f64 = response
@@ -144,13 +144,13 @@
 #[tokio::test]
 async fn limit_in_any_response_known_to_all_nodes() {
     let none = Faults::default();
-    let late = Faults { pause: Duration::from_secs(2), ..none };
+    let late = Faults { event_interval: Duration::from_secs(2), ..none };
     let cases = [
         ("plain", none, "/board/a"),
-        ("failed", Faults { fails: true, ..none }, "/board/a"),
-        ("not run", Faults { sheds: true, ..none }, "/board/a"),
+        ("failed", Faults { respond_500: true, ..none }, "/board/a"),
+        ("not run", Faults { refuse: true, ..none }, "/board/a"),
         ("head of a stream", late, "/count/a"),
-        ("cut", Faults { cut_after: Some(1), ..none }, "/count/a"),
+        ("cut", Faults { abort_after: Some(1), ..none }, "/count/a"),
     ];
     for (case, faults, path) in cases {
         let set = Deployment::new().await.with_plain(1).await.with_engines(0, 1).await;
@@ -160,7 +160,9 @@
         set.runners[at].set_signals(Signals::limit("3.5"));
         let (caller, front) = (Caller::default(), set.front(0));
         let task = tokio::spawn(async move {
-            caller.send(front, &Ask { headers: &GENERATION, ..Ask::new(path, "r1") }).await
+            caller
+                .send(front, &RequestSpec { headers: &GENERATION, ..RequestSpec::new(path, "r1") })
+                .await
         });
         wait_until(case, async || (0..3).all(|node| rate(&set, node, at) == Some(3.5))).await;
         task.abort();
@@ -174,7 +176,8 @@
     set.runners[0].set_signals(Signals::limit("3.5"));
     for n in 0..3 {
         let headers = &GENERATION;
-        set.send(0, &Ask { headers, ..Ask::new("/count/a", &format!("r{n}")) }).await;
+        set.send(0, &RequestSpec { headers, ..RequestSpec::new("/count/a", &format!("r{n}")) })
+            .await;
     }
     assert_eq!(rate(&set, 0, 0), Some(3.5));
 }
@@ -184,18 +187,18 @@
 async fn limit_no_longer_announced_is_lifted() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(2).await;
     set.runners[0].set_signals(Signals::limit("4"));
-    set.ask("/board/a", "r0").await;
+    set.send_default("/board/a", "r0").await;
     wait_until("both nodes know the limit", async || (0..2).all(|n| rate(&set, n, 0) == Some(4.0)))
         .await;
     set.runners[0].set_signals(Signals::none());
     wait_until("a request succeeds", async || {
-        set.ask("/board/a", "r").await.status == Some(StatusCode::OK)
+        set.send_default("/board/a", "r").await.status == Some(StatusCode::OK)
     })
     .await;
     wait_until("both nodes drop the limit", async || (0..2).all(|n| rate(&set, n, 0).is_none()))
         .await;
     for n in 0..20 {
-        let response = set.send(n % 2, &Ask::new("/board/a", &format!("s{n}"))).await;
+        let response = set.send(n % 2, &RequestSpec::new("/board/a", &format!("s{n}"))).await;
         assert_eq!(response.status, Some(StatusCode::OK));
     }
 }
@@ -205,12 +208,15 @@
 async fn restarted_runner_is_not_limited() {
     let mut set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
     set.runners[0].set_signals(Signals::limit("1"));
-    set.ask("/board/a", "r0").await;
+    set.send_default("/board/a", "r0").await;
     assert_eq!(rate(&set, 0, 0), Some(1.0));
-    set.runners[0] = set.runners[0].start_again(any_address()).await.expect("free address");
+    set.runners[0] = set.runners[0].restart(any_address()).await.expect("free address");
     wait_until("the new process is known", async || rate(&set, 0, 0).is_none()).await;
     for n in 0..20 {
-        assert_eq!(set.ask("/board/a", &format!("s{n}")).await.status, Some(StatusCode::OK));
+        assert_eq!(
+            set.send_default("/board/a", &format!("s{n}")).await.status,
+            Some(StatusCode::OK)
+        );
     }
 }
 
@@ -222,13 +228,13 @@
     for (n, text) in ["-1", "NaN", "inf", "", "1e3", "soon", long.as_str()].iter().enumerate() {
         set.runners[0].set_signals(Signals::limit((*text).to_owned()));
         for m in 0..10 {
-            let response = set.ask("/board/a", &format!("r{n}-{m}")).await;
+            let response = set.send_default("/board/a", &format!("r{n}-{m}")).await;
             assert_eq!(response.status, Some(StatusCode::OK), "{text}");
         }
         assert_eq!(rate(&set, 0, 0), None, "{text}");
     }
     set.runners[0].set_signals(Signals::limit("7").with("server-limit", "5"));
-    set.ask("/board/a", "two").await;
+    set.send_default("/board/a", "two").await;
     assert_eq!(rate(&set, 0, 0), Some(5.0), "the lower of two");
 }
 
@@ -237,7 +243,7 @@
 async fn node_started_later_learns_limit() {
     let mut set = Deployment::new().await.with_plain(1).await.with_nodes(2).await;
     set.runners[0].set_signals(Signals::limit("2"));
-    set.ask("/board/a", "r0").await;
+    set.send_default("/board/a", "r0").await;
     wait_until("both nodes know the limit", async || (0..2).all(|n| rate(&set, n, 0).is_some()))
         .await;
     let seeds = set.nodes.iter().map(|node| node.shared.me.peer).collect();
@@ -252,10 +258,10 @@
 async fn granting_node_stops_rate_still_granted_once() {
     let mut set = Deployment::new().await.with_plain(1).await.with_nodes(4).await;
     set.runners[0].set_signals(Signals::limit("3"));
-    set.ask("/board/a", "r0").await;
+    set.send_default("/board/a", "r0").await;
     wait_until("all nodes know the limit", async || (0..4).all(|n| rate(&set, n, 0).is_some()))
         .await;
-    let service: ServiceId = PLAIN.parse().expect("valid ID");
+    let service: ServiceId = PLAIN_SERVICE.parse().expect("valid ID");
     let names: Vec<NodeId> = set.nodes.iter().map(|n| n.shared.me.id.clone()).collect();
     let first = holder(&service, Pool(0), names.iter()).expect("at least one node").clone();
     let at = names.iter().position(|name| *name == first).expect("the holder is one of the nodes");
@@ -278,8 +284,8 @@
         runner.set_signals(Signals::limit("10"));
     }
     for runner in &set.runners[..2] {
-        let takes = Duration::from_millis(100);
-        runner.set_faults(Faults { takes, ..Faults::default() });
+        let response_delay = Duration::from_millis(100);
+        runner.set_faults(Faults { response_delay, ..Faults::default() });
     }
     let counted_from = Instant::now() + GOSSIP_TIME;
     flood(&set, "/count/a").await;
@@ -309,7 +315,7 @@
             let prefix = format!("{:x}:800,{:x}:410,{n:x}:250", n % 7, 100 + n % 31);
             let headers = [("model", "m"), ("token-count", "1460,80"), ("prompt-prefix", &prefix)];
             let id = format!("r{n}");
-            let ask = Ask { headers: &headers, ..Ask::new("/count/a", &id) };
+            let ask = RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", &id) };
             Caller::default().send(front, &ask).await.status
         }));
     }
@@ -320,6 +326,6 @@
     }
     assert_eq!(refused, 0, "refused requests of {n}");
     for (at, rate) in [(0, 2.0), (4, 6.7), (5, 4.3), (6, 2.0)] {
-        assert!(arrivals(&set.runners[at], counted_from) <= limit_allows(rate, WINDOW));
+        assert!(arrivals(&set.runners[at], counted_from) <= max_requests(rate, WINDOW));
     }
 }
--- a/node/tests/lives.rs
+++ b/node/tests/lives.rs
@@ -10,7 +10,7 @@
 use sardinepick_node::serve::shared::Shared;
 use sardinepick_platform::store::{Change, Object};
 use sardinepick_testutils::cluster::{free_address, own_ip, wait_until};
-use sardinepick_testutils::fleet::caller::Ask;
+use sardinepick_testutils::fleet::caller::RequestSpec;
 use sardinepick_testutils::fleet::deployment::Deployment;
 use sardinepick_testutils::fleet::runner::{Faults, Runner};
 use serde_json::{Value, json};
@@ -29,7 +29,7 @@
 
 async fn start_again(set: &mut Deployment, at: usize) {
     let address = free_address(own_ip());
-    let reborn = set.runners[at].start_again(address).await.expect("a free address");
+    let reborn = set.runners[at].restart(address).await.expect("a free address");
     set.runners[at] = reborn;
     let (node, runner) = (&set.nodes[0].shared, &set.runners[at]);
     wait_until("the node knows the new life", async || address_known(node, runner)).await;
@@ -41,14 +41,14 @@
 #[tokio::test]
 async fn runner_started_again_keeps_nothing() {
     let mut set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
-    let ask = Ask { headers: &GENERATION, ..Ask::new("/count/a", "s1") };
+    let ask = RequestSpec { headers: &GENERATION, ..RequestSpec::new("/count/a", "s1") };
     assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::OK));
     let shared = set.nodes[0].shared.clone();
     let kept = |runner: &Runner| shared.register().get(&id(runner)).map(|r| r.cache.tokens());
     assert!(kept(&set.runners[0]).is_some_and(|tokens| tokens >= 1_460));
     start_again(&mut set, 0).await;
     assert_eq!(kept(&set.runners[0]), Some(0));
-    let ask = Ask { headers: &GENERATION, ..Ask::new("/count/a", "s2") };
+    let ask = RequestSpec { headers: &GENERATION, ..RequestSpec::new("/count/a", "s2") };
     assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::OK));
 }
 
@@ -58,7 +58,7 @@
 #[tokio::test]
 async fn former_life_ends_nothing_of_the_new() {
     let mut set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { hangs: true, ..Faults::default() });
+    set.runners[0].set_faults(Faults { hang: true, ..Faults::default() });
     let shared = set.nodes[0].shared.clone();
     let former = set.runners[0].clone();
     let front = set.front(0);
@@ -66,10 +66,12 @@
         .map(|n| {
             let caller = set.caller.clone();
             let name = format!("egg-{n}");
-            tokio::spawn(async move { caller.send(front, &Ask::new("/eggs/order", &name)).await })
+            tokio::spawn(async move {
+                caller.send(front, &RequestSpec::new("/eggs/order", &name)).await
+            })
         })
         .collect();
-    wait_until("they hang", async || former.seen().len() == 4).await;
+    wait_until("they hang", async || former.received().len() == 4).await;
     // The entry of the new life comes before the connections to the former one break off.
     let address = free_address(own_ip());
     let mut entry = former.entry();
@@ -80,7 +82,7 @@
         shared.register().get(&id(&former)).is_some_and(|r| r.entry.address == address)
     })
     .await;
-    set.runners[0] = former.start_again(address).await.expect("a free address");
+    set.runners[0] = former.restart(address).await.expect("a free address");
     for ask in asks {
         let told = ask.await.expect("it ends");
         assert_eq!(told.status, Some(StatusCode::BAD_GATEWAY), "what may have run is not denied");
@@ -90,8 +92,8 @@
         let runner = register.get(&id(&former)).expect("known");
         assert!(runner.own.is_empty() && runner.health.failing() == 0.0);
     }
-    assert_eq!(set.ask("/eggs/order", "egg-9").await.status, Some(StatusCode::OK));
-    assert_eq!(set.runners[0].ran("egg-9"), 1);
+    assert_eq!(set.send_default("/eggs/order", "egg-9").await.status, Some(StatusCode::OK));
+    assert_eq!(set.runners[0].run_count("egg-9"), 1);
 }
 
 /// Symptom: requests go to an address where nobody is. Sequence: a runner starts again elsewhere; a
@@ -114,8 +116,8 @@
     assert!(address_known(&shared, &set.runners[0]));
     for n in 0..4 {
         let name = format!("r{n}");
-        assert_eq!(set.ask("/board/a", &name).await.status, Some(StatusCode::OK));
-        assert_eq!(set.runners[0].ran(&name), 1);
+        assert_eq!(set.send_default("/board/a", &name).await.status, Some(StatusCode::OK));
+        assert_eq!(set.runners[0].run_count(&name), 1);
     }
 }
 
@@ -127,7 +129,7 @@
     let mut set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let headers =
         [("model", "m"), ("token-count", "9400,80"), ("prompt-prefix", "5c1e:9000,e440:400")];
-    let ask = Ask { headers: &headers, ..Ask::new("/count/a", "s1") };
+    let ask = RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", "s1") };
     assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::OK));
     set.nodes.remove(0).stop().await;
     set.add_node("edge-7", Vec::new()).await;
@@ -191,8 +193,12 @@
         wait_until("the runner is not used", async || shared.register().get(&id(&taken)).is_none())
             .await;
         let name = format!("r{n}");
-        assert_eq!(set.ask("/board/a", &name).await.status, Some(StatusCode::OK), "{entry:.80}");
-        assert_eq!(set.runners[1].ran(&name), 1);
+        assert_eq!(
+            set.send_default("/board/a", &name).await.status,
+            Some(StatusCode::OK),
+            "{entry:.80}"
+        );
+        assert_eq!(set.runners[1].run_count(&name), 1);
         taken.write_entry();
         wait_until("its own entry is taken again", async || address_known(&shared, &taken)).await;
     }
@@ -215,7 +221,7 @@
         set.store.put("servers", name, &json!({"state": "ready"}));
     }
     set = set.with_nodes(1).await;
-    assert_eq!(set.ask("/board/a", "r1").await.status, Some(StatusCode::OK));
+    assert_eq!(set.send_default("/board/a", "r1").await.status, Some(StatusCode::OK));
 }
 
 /// Symptom: an order is given to a runner while another may still be carried out there. Sequence: an
@@ -225,14 +231,15 @@
 async fn order_in_doubt_outlasts_the_life() {
     let mut set = Deployment::new().await.with_engines(1, 5).await.with_nodes(1).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { mute_orders: true, ..Faults::default() });
+        runner.set_faults(Faults { drop_order_response: true, ..Faults::default() });
     }
     let headers =
         [("model", "m"), ("token-count", "90000,80"), ("prompt-prefix", "5c1e:40000,91bd:50000")];
     wait_until("an order is given", async || {
         for n in 0..6 {
             let name = format!("big-{n}");
-            set.send(0, &Ask { headers: &headers, ..Ask::new("/count/a", &name) }).await;
+            set.send(0, &RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", &name) })
+                .await;
         }
         set.runners.iter().any(|runner| !runner.orders().is_empty())
     })
@@ -246,7 +253,7 @@
             break;
         }
         let name = format!("more-{n}");
-        let ask = Ask { headers: &headers, ..Ask::new("/count/a", &name) };
+        let ask = RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", &name) };
         set.send(0, &ask).await;
     }
     assert_eq!(set.runners[at].orders(), []);
--- a/node/tests/processes.rs
+++ b/node/tests/processes.rs
@@ -11,13 +11,13 @@
 
 use sardinepick_lib::config::object::Role;
 use sardinepick_lib::hash::Digest;
-use sardinepick_testutils::caller::{Caller, Keyed};
+use sardinepick_testutils::caller::{Caller, KeyedAttempt};
 use sardinepick_testutils::cluster::{
-    ADMIN_KEY, Plan, free_address, own_ip, wait_ready, wait_until,
+    ADMIN_KEY, NodeOptions, free_address, own_ip, wait_ready, wait_until,
 };
 use sardinepick_testutils::engine::{Engine, Speed};
-use sardinepick_testutils::invariant::{Seen, Violation, check_call, check_completion};
-use sardinepick_testutils::plain::Plain;
+use sardinepick_testutils::invariant::{Observation, Violation, check_call, check_completion};
+use sardinepick_testutils::plain::PlainService;
 use sardinepick_testutils::platform::Platform;
 use sardinepick_testutils::process::Daemon;
 use tokio::task::JoinSet;
@@ -41,12 +41,12 @@
 }
 
 impl Tally {
-    fn count(&mut self, seen: &Seen) {
+    fn count(&mut self, seen: &Observation) {
         match seen {
-            Seen::Answer(_) => self.answered += 1,
-            Seen::RefusedNotRun => self.not_run += 1,
-            Seen::RefusedUnknown => self.unknown += 1,
-            Seen::Cut => self.cut += 1,
+            Observation::Answer(_) => self.answered += 1,
+            Observation::RefusedNotRun => self.not_run += 1,
+            Observation::RefusedUnknown => self.unknown += 1,
+            Observation::Truncated => self.cut += 1,
         }
     }
 
@@ -61,7 +61,7 @@
 
 struct Back {
     engines: Vec<Engine>,
-    plain: Plain,
+    plain: PlainService,
 }
 
 fn config(back: &Back) -> String {
@@ -121,19 +121,25 @@
                 tally.cut += 1;
                 continue;
             };
-            let starts = back.engines.iter().map(|e| e.started(&id)).sum();
-            tally.count(&told.seen);
-            tally.violations.extend(check_completion(&id, &prompt, TOKENS, &told.seen, starts));
+            let starts = back.engines.iter().map(|e| e.start_count(&id)).sum();
+            tally.count(&told.observation);
+            tally.violations.extend(check_completion(
+                &id,
+                &prompt,
+                TOKENS,
+                &told.observation,
+                starts,
+            ));
             continue;
         }
         let mut seen = Vec::new();
         for attempt in 1..=2 {
             let (front, _) = look_up(&caller, &fronts, at + n + attempt as usize).await;
-            let keyed = Keyed { key: &id, attempt, epoch };
+            let keyed = KeyedAttempt { key: &id, attempt, epoch };
             let ask = caller.post(front, "ontbijtbord", &id, Some(&keyed));
             let told = tokio::time::timeout(Duration::from_secs(5), ask).await;
-            let one = told.map_or(Seen::Cut, |told| told.seen);
-            let again = !matches!(one, Seen::Answer(_));
+            let one = told.map_or(Observation::Truncated, |told| told.observation);
+            let again = !matches!(one, Observation::Answer(_));
             seen.push(one);
             if !again {
                 break;
@@ -158,12 +164,12 @@
         let engine = Engine::start(free_address(own_ip()), Role::Mixed, Speed::default()).await;
         engines.push(engine.expect("a free address"));
     }
-    let plain = Plain::start(free_address(own_ip())).await.expect("a free address");
+    let plain = PlainService::start(free_address(own_ip())).await.expect("a free address");
     let back = Arc::new(Back { engines, plain });
-    let plan = |at| Plan::new(&format!("entry-{at}"), "zaal-dom", platform.address());
-    let plans: Vec<Plan> = (0..NODES).map(plan).collect();
-    platform.set_vms(plans.iter().map(Plan::vm).collect());
-    let start = |plan: &Plan| Daemon::start(Path::new(EXE), plan);
+    let plan = |at| NodeOptions::new(&format!("entry-{at}"), "zaal-dom", platform.address());
+    let plans: Vec<NodeOptions> = (0..NODES).map(plan).collect();
+    platform.set_vms(plans.iter().map(NodeOptions::vm).collect());
+    let start = |plan: &NodeOptions| Daemon::start(Path::new(EXE), plan);
     let mut daemons: Vec<Daemon> = plans.iter().map(start).collect();
     let operator = Caller::new(ADMIN_KEY);
     wait_until("the first change is taken", || async {
@@ -226,7 +232,7 @@
         usage.iter().map(|u| u.rss_kb).max().unwrap_or(0),
     );
     assert_eq!(tally.violations, []);
-    assert_eq!(back.plain.doubled(), Vec::<String>::new());
+    assert_eq!(back.plain.duplicates(), Vec::<String>::new());
     assert_eq!(conflicts, 0);
     assert!(tally.answered > 100, "hardly anything was answered: {tally:?}");
     assert!(changes > 0);
@@ -235,8 +241,8 @@
     daemons[0].terminate();
     let daemon = std::sync::Mutex::new(daemons.remove(0));
     wait_until("the node has ended", || async {
-        daemon.lock().expect("not poisoned").ended().is_some()
+        daemon.lock().expect("not poisoned").exit_status().is_some()
     })
     .await;
-    assert_eq!(daemon.lock().expect("not poisoned").ended(), Some(Some(0)));
+    assert_eq!(daemon.lock().expect("not poisoned").exit_status(), Some(Some(0)));
 }
--- a/node/tests/roles.rs
+++ b/node/tests/roles.rs
@@ -15,7 +15,8 @@
 /// taken for all of it, which looks like idleness. The decision must come from the whole.
 #[tokio::test(flavor = "multi_thread")]
 async fn demand_of_whole_service_seen_by_holder() {
-    let speed = Speed { prefill: 20_000, decode: 400, away: Duration::from_millis(200) };
+    let speed =
+        Speed { prefill: 20_000, decode: 400, role_change_time: Duration::from_millis(200) };
     let engine = Engine::start(free_address(own_ip()), Role::Mixed, speed).await;
     let engine = engine.expect("a free address");
     let key = Digest::of(KEY.as_bytes());
--- a/node/tests/scheduler.rs
+++ b/node/tests/scheduler.rs
@@ -13,8 +13,8 @@
 use sardinepick_lib::id::{ConfigVersion, NodeId, RunnerId, ServiceId};
 use sardinepick_testutils::cluster::{free_address, own_ip, wait_until};
 use sardinepick_testutils::fleet::beat;
-use sardinepick_testutils::fleet::caller::Ask;
-use sardinepick_testutils::fleet::deployment::{Deployment, MODEL, PLAIN};
+use sardinepick_testutils::fleet::caller::RequestSpec;
+use sardinepick_testutils::fleet::deployment::{Deployment, MODEL_SERVICE, PLAIN_SERVICE};
 use sardinepick_testutils::fleet::runner::Runner;
 use sardinepick_testutils::fleet::signal::Signals;
 use sardinepick_wire::schedule::Schedule;
@@ -46,7 +46,8 @@
 
 /// A name for which the pools of all services fall to the false scheduler and not to the node.
 fn winning_name(node: &NodeId) -> NodeId {
-    let services = [MODEL, PLAIN].map(|name| name.parse::<ServiceId>().expect("an id"));
+    let services =
+        [MODEL_SERVICE, PLAIN_SERVICE].map(|name| name.parse::<ServiceId>().expect("an id"));
     let wins = |name: &NodeId| {
         let holds = |service| holder(service, Pool(0), [node, name].into_iter()) == Some(name);
         services.iter().all(holds)
@@ -125,11 +126,11 @@
         // Of the two routes one may be gone on with and one not.
         for path in ["/count/a", "/tally/a"] {
             let id = format!("s{n}{path}");
-            let ask = Ask { headers: &GENERATION, ..Ask::new(path, &id) };
+            let ask = RequestSpec { headers: &GENERATION, ..RequestSpec::new(path, &id) };
             let told = set.send(0, &ask).await;
             assert_eq!(told.status, Some(StatusCode::OK), "{conduct:?}");
-            assert!(told.whole, "{conduct:?}");
-            assert_eq!(set.ran(&id), 1, "{conduct:?}");
+            assert!(told.complete, "{conduct:?}");
+            assert_eq!(set.run_count(&id), 1, "{conduct:?}");
         }
     }
     let mut count = 0;
@@ -191,9 +192,11 @@
     .await;
     for n in 0..6 {
         let id = format!("s{n}");
-        let told = set.send(0, &Ask { headers: &GENERATION, ..Ask::new("/count/a", &id) }).await;
+        let told = set
+            .send(0, &RequestSpec { headers: &GENERATION, ..RequestSpec::new("/count/a", &id) })
+            .await;
         assert_eq!(told.status, Some(StatusCode::OK));
-        assert_eq!(set.runners[1].ran(&id), 0, "it leaves");
+        assert_eq!(set.runners[1].run_count(&id), 0, "it leaves");
     }
 }
 
@@ -225,15 +228,15 @@
     let _questions = add_false(&shared.me.id, shared.me.peer, conduct).await;
     wait_until("the false scheduler is heard", async || shared.roster().fronts().len() == 1).await;
     sleep(Duration::from_millis(80)).await;
-    let before = limited.each_ref().map(|runner| runner.seen().len());
+    let before = limited.each_ref().map(|runner| runner.received().len());
     for n in 0..6 {
         for (path, headers) in [("/count/a", &GENERATION[..]), ("/board/a", &[])] {
             let id = format!("s{n}{path}");
-            let told = set.send(0, &Ask { headers, ..Ask::new(path, &id) }).await;
-            assert_eq!((told.status, set.ran(&id)), (Some(StatusCode::OK), 1), "{path}");
+            let told = set.send(0, &RequestSpec { headers, ..RequestSpec::new(path, &id) }).await;
+            assert_eq!((told.status, set.run_count(&id)), (Some(StatusCode::OK), 1), "{path}");
         }
         // Longer than it takes until a bucket that this node had would have a token.
         sleep(Duration::from_millis(60)).await;
     }
-    assert_eq!(limited.each_ref().map(|runner| runner.seen().len()), before);
+    assert_eq!(limited.each_ref().map(|runner| runner.received().len()), before);
 }
--- a/node/tests/serve.rs
+++ b/node/tests/serve.rs
@@ -6,8 +6,8 @@
 use http::{Method, StatusCode};
 use sardinepick_lib::history::{Era, Point};
 use sardinepick_testutils::cluster::{own_ip, wait_until};
-use sardinepick_testutils::fleet::caller::Ask;
-use sardinepick_testutils::fleet::deployment::{Deployment, MODEL, configuration};
+use sardinepick_testutils::fleet::caller::RequestSpec;
+use sardinepick_testutils::fleet::deployment::{Deployment, MODEL_SERVICE, configuration};
 use sardinepick_testutils::fleet::runner::{Faults, Kind, Runner, event};
 use sardinepick_testutils::fleet::store::Fault;
 
@@ -18,18 +18,19 @@
 const GENERATION: [(&str, &str); 3] =
     [("model", "m"), ("token-count", "1460,80"), ("prompt-prefix", "5c1e:800,91bd:410,e440:250")];
 
-fn generation<'a>(path: &'a str, id: &'a str) -> Ask<'a> {
-    Ask { headers: &GENERATION, ..Ask::new(path, id) }
+fn generation<'a>(path: &'a str, id: &'a str) -> RequestSpec<'a> {
+    RequestSpec { headers: &GENERATION, ..RequestSpec::new(path, id) }
 }
 
 #[tokio::test]
 async fn plain_request_whole_answer() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    let told = set.ask("/board/today?room=4", "r1").await;
+    let told = set.send_default("/board/today?room=4", "r1").await;
     assert_eq!(told.status, Some(StatusCode::OK));
     assert_eq!(told.text(), "answer to r1");
-    assert!(told.whole && told.header("response-signature").is_some());
-    let seen = set.runners.iter().flat_map(Runner::seen).find(|s| s.id == "r1").expect("it ran");
+    assert!(told.complete && told.header("response-signature").is_some());
+    let seen =
+        set.runners.iter().flat_map(Runner::received).find(|s| s.id == "r1").expect("it ran");
     assert_eq!((seen.path.as_str(), &seen.body[..]), ("/board/today?room=4", &b"a brief"[..]));
 }
 
@@ -49,9 +50,10 @@
         ("x-mine", "1"),
         ("x-kept", "2"),
     ];
-    let told = set.send(0, &Ask { headers: &headers, ..Ask::new("/board/a", "r1") }).await;
+    let told =
+        set.send(0, &RequestSpec { headers: &headers, ..RequestSpec::new("/board/a", "r1") }).await;
     assert_eq!(told.status, Some(StatusCode::OK));
-    let seen = &set.runners[0].seen()[0];
+    let seen = &set.runners[0].received()[0];
     for name in ["kv-source", "kv-hold", "pin-ms", "stage", "request-priority", "x-mine"] {
         assert!(!seen.headers.contains_key(name), "{name} was passed on");
     }
@@ -64,17 +66,18 @@
 #[tokio::test]
 async fn route_unknown_no_route() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    assert_eq!(set.ask("/nowhere/", "r1").await.status, Some(StatusCode::NOT_FOUND));
-    let other = Ask { host: "other.example", ..Ask::new("/board/a", "r2") };
+    assert_eq!(set.send_default("/nowhere/", "r1").await.status, Some(StatusCode::NOT_FOUND));
+    let other = RequestSpec { host: "other.example", ..RequestSpec::new("/board/a", "r2") };
     assert_eq!(set.send(0, &other).await.status, Some(StatusCode::NOT_FOUND));
 }
 
 #[tokio::test]
 async fn body_too_large_refused() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    let ask = Ask { body: Bytes::from(vec![7; 65_537]), ..Ask::new("/board/a", "r1") };
+    let ask =
+        RequestSpec { body: Bytes::from(vec![7; 65_537]), ..RequestSpec::new("/board/a", "r1") };
     assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::PAYLOAD_TOO_LARGE));
-    assert_eq!(set.ran("r1"), 0);
+    assert_eq!(set.run_count("r1"), 0);
 }
 
 /// Symptom: a node that has just started answers 404 for a route that is there. Cause: it knew no
@@ -84,12 +87,12 @@
     let mut set = Deployment::new().await.with_plain(1).await;
     set.store.set_fault(Fault::Busy);
     set.add_node("edge-0", Vec::new()).await;
-    let told = set.ask("/board/a", "r1").await;
+    let told = set.send_default("/board/a", "r1").await;
     assert_eq!(told.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     assert!(told.header("retry-after").is_some());
     set.store.set_fault(Fault::None);
     set.wait_ready().await;
-    assert_eq!(set.ask("/board/a", "r2").await.status, Some(StatusCode::OK));
+    assert_eq!(set.send_default("/board/a", "r2").await.status, Some(StatusCode::OK));
 }
 
 /// Symptom: an order is placed twice. Sequence: the runner runs the request and its answer is lost;
@@ -98,24 +101,24 @@
 async fn non_idempotent_answer_lost_never_again() {
     let set = Deployment::new().await.with_plain(3).await.with_nodes(1).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { loses_answers: true, ..Faults::default() });
+        runner.set_faults(Faults { drop_response: true, ..Faults::default() });
     }
     for n in 0..8 {
         let id = format!("egg-{n}");
-        let told = set.ask("/eggs/order", &id).await;
+        let told = set.send_default("/eggs/order", &id).await;
         assert_eq!(told.status, Some(StatusCode::BAD_GATEWAY), "what may have run is not denied");
-        assert_eq!(set.ran(&id), 1);
+        assert_eq!(set.run_count(&id), 1);
     }
 }
 
 #[tokio::test]
 async fn non_idempotent_shed_goes_elsewhere() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { sheds: true, ..Faults::default() });
+    set.runners[0].set_faults(Faults { refuse: true, ..Faults::default() });
     for n in 0..6 {
         let id = format!("egg-{n}");
-        let told = set.ask("/eggs/order", &id).await;
-        assert_eq!((told.status, set.ran(&id)), (Some(StatusCode::OK), 1));
+        let told = set.send_default("/eggs/order", &id).await;
+        assert_eq!((told.status, set.run_count(&id)), (Some(StatusCode::OK), 1));
     }
 }
 
@@ -123,20 +126,20 @@
 async fn non_idempotent_all_shed_not_run() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { sheds: true, ..Faults::default() });
+        runner.set_faults(Faults { refuse: true, ..Faults::default() });
     }
-    let told = set.ask("/eggs/order", "egg").await;
+    let told = set.send_default("/eggs/order", "egg").await;
     assert_eq!(told.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     assert!(told.header("retry-after").is_some());
-    assert_eq!(set.ran("egg"), 0);
+    assert_eq!(set.run_count("egg"), 0);
 }
 
 #[tokio::test]
 async fn idempotent_answer_lost_goes_elsewhere() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { loses_answers: true, ..Faults::default() });
+    set.runners[0].set_faults(Faults { drop_response: true, ..Faults::default() });
     for n in 0..6 {
-        let told = set.ask("/board/a", &format!("r{n}")).await;
+        let told = set.send_default("/board/a", &format!("r{n}")).await;
         assert_eq!(told.status, Some(StatusCode::OK));
     }
 }
@@ -146,9 +149,9 @@
 #[tokio::test]
 async fn idempotent_runner_hangs_goes_elsewhere() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { hangs: true, ..Faults::default() });
+    set.runners[0].set_faults(Faults { hang: true, ..Faults::default() });
     for n in 0..4 {
-        let told = set.ask("/board/a", &format!("r{n}")).await;
+        let told = set.send_default("/board/a", &format!("r{n}")).await;
         assert_eq!(told.status, Some(StatusCode::OK));
     }
 }
@@ -158,8 +161,8 @@
 #[tokio::test]
 async fn answer_crossed_never_passed_on() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { crosses: true, ..Faults::default() });
-    let told = set.ask("/eggs/order", "egg").await;
+    set.runners[0].set_faults(Faults { wrong_request_id: true, ..Faults::default() });
+    let told = set.send_default("/eggs/order", "egg").await;
     assert_eq!(told.status, Some(StatusCode::BAD_GATEWAY));
     assert!(told.header("response-signature").is_none());
 }
@@ -167,10 +170,10 @@
 #[tokio::test]
 async fn runner_failure_passed_on_signed() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { fails: true, ..Faults::default() });
-    let told = set.ask("/eggs/order", "egg").await;
+    set.runners[0].set_faults(Faults { respond_500: true, ..Faults::default() });
+    let told = set.send_default("/eggs/order", "egg").await;
     assert_eq!(told.status, Some(StatusCode::INTERNAL_SERVER_ERROR));
-    assert_eq!((told.text().as_str(), told.whole), ("failed", true));
+    assert_eq!((told.text().as_str(), told.complete), ("failed", true));
     assert!(told.header("response-signature").is_some());
 }
 
@@ -179,10 +182,13 @@
     let set = Deployment::new().await.with_engines(1, 1).await.with_nodes(1).await;
     let told = set.send(0, &generation("/count/a", "s1")).await;
     assert_eq!(told.status, Some(StatusCode::OK));
-    assert_eq!((told.text(), told.whole), (whole_stream(12), true));
+    assert_eq!((told.text(), told.complete), (whole_stream(12), true));
     let (prefill, decode) = (&set.runners[0], &set.runners[1]);
-    assert_eq!((prefill.seen().len(), prefill.ran("s1"), decode.ran("s1")), (1, 0, 1));
-    let source = decode.seen()[0].headers["kv-source"].to_str().unwrap().to_owned();
+    assert_eq!(
+        (prefill.received().len(), prefill.run_count("s1"), decode.run_count("s1")),
+        (1, 0, 1)
+    );
+    let source = decode.received()[0].headers["kv-source"].to_str().unwrap().to_owned();
     assert_eq!(source, format!("{}/h1", prefill.address()));
 }
 
@@ -193,15 +199,15 @@
 async fn stream_cut_goes_on_elsewhere() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let broken = &set.runners[1];
-    broken.set_faults(Faults { cut_after: Some(5), ..Faults::default() });
-    set.runners[2].set_faults(Faults { cut_after: Some(5), ..Faults::default() });
+    broken.set_faults(Faults { abort_after: Some(5), ..Faults::default() });
+    set.runners[2].set_faults(Faults { abort_after: Some(5), ..Faults::default() });
     let told = set.send(0, &generation("/count/a", "s1")).await;
-    assert_eq!((told.text(), told.whole), (whole_stream(5), false), "both broke off");
+    assert_eq!((told.text(), told.complete), (whole_stream(5), false), "both broke off");
     set.runners[2].set_faults(Faults::default());
     for n in 0..4 {
         let id = format!("t{n}");
         let told = set.send(0, &generation("/count/a", &id)).await;
-        assert_eq!((told.text(), told.whole), (whole_stream(12), true));
+        assert_eq!((told.text(), told.complete), (whole_stream(12), true));
     }
 }
 
@@ -211,10 +217,10 @@
 async fn stream_cut_not_resumable_not_whole() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { cut_after: Some(3), ..Faults::default() });
+        runner.set_faults(Faults { abort_after: Some(3), ..Faults::default() });
     }
     let told = set.send(0, &generation("/tally/a", "s1")).await;
-    assert_eq!((told.text(), told.whole, set.ran("s1")), (whole_stream(3), false, 1));
+    assert_eq!((told.text(), told.complete, set.run_count("s1")), (whole_stream(3), false, 1));
 }
 
 /// Symptom: a runner works on for nobody. Sequence: a caller closes its connection in the middle of
@@ -222,10 +228,10 @@
 #[tokio::test]
 async fn stream_caller_leaves_runner_stops() {
     let set = Deployment::new().await.with_engines(0, 1).await.with_nodes(1).await;
-    let pause = Duration::from_millis(100);
-    set.runners[0].set_faults(Faults { pause, ..Faults::default() });
+    let event_interval = Duration::from_millis(100);
+    set.runners[0].set_faults(Faults { event_interval, ..Faults::default() });
     let ask = generation("/count/a", "s1");
-    let sent = tokio::time::timeout(pause * 3, set.send(0, &ask)).await;
+    let sent = tokio::time::timeout(event_interval * 3, set.send(0, &ask)).await;
     assert!(sent.is_err(), "the stream lasts longer than the caller stays");
     wait_until("the runner has stopped", async || set.runners[0].running() == 0).await;
 }
@@ -235,9 +241,9 @@
 #[tokio::test]
 async fn stream_no_decode_handle_freed() {
     let set = Deployment::new().await.with_engines(1, 1).await.with_nodes(1).await;
-    set.runners[1].set_faults(Faults { sheds: true, ..Faults::default() });
+    set.runners[1].set_faults(Faults { refuse: true, ..Faults::default() });
     let told = set.send(0, &generation("/tally/a", "s1")).await;
-    assert_eq!((told.status, set.ran("s1")), (Some(StatusCode::SERVICE_UNAVAILABLE), 0));
+    assert_eq!((told.status, set.run_count("s1")), (Some(StatusCode::SERVICE_UNAVAILABLE), 0));
     wait_until("the cache is freed", async || set.runners[0].handles().0 == 0).await;
     assert!(set.runners[0].handles().1 >= 1);
 }
@@ -257,8 +263,8 @@
     .await;
     for n in 0..6 {
         let id = format!("r{n}");
-        set.ask("/board/a", &id).await;
-        assert_eq!(set.runners[2].ran(&id), 1);
+        set.send_default("/board/a", &id).await;
+        assert_eq!(set.runners[2].run_count(&id), 1);
     }
 }
 
@@ -267,14 +273,15 @@
 #[tokio::test]
 async fn stream_decode_leaves_while_read_chosen_anew() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { takes: Duration::from_millis(300), ..Faults::default() });
+    set.runners[0]
+        .set_faults(Faults { response_delay: Duration::from_millis(300), ..Faults::default() });
     let leave = async {
         wait_until("the prompt is being read", async || set.runners[0].running() == 1).await;
         set.runners[1].drain();
     };
     let ask = generation("/count/a", "s1");
     let (told, ()) = tokio::join!(set.send(0, &ask), leave);
-    assert_eq!((told.text(), set.runners[1].ran("s1")), (whole_stream(12), 0));
+    assert_eq!((told.text(), set.runners[1].run_count("s1")), (whole_stream(12), 0));
 }
 
 /// Symptom: another service's runner runs a request. Sequence: a runner dies and its address goes to
@@ -287,7 +294,7 @@
     wait_until("the address is free again", async || std::net::TcpListener::bind(address).is_ok())
         .await;
     let kind = Kind {
-        service: MODEL.to_owned(),
+        service: MODEL_SERVICE.to_owned(),
         data_centre: "zaal-dom".to_owned(),
         stage: Some("decode"),
         events: 1,
@@ -297,10 +304,10 @@
     set.runners.push(new);
     for n in 0..6 {
         let id = format!("egg-{n}");
-        let told = set.ask("/eggs/order", &id).await;
-        assert_eq!((told.status, set.runners[1].ran(&id)), (Some(StatusCode::OK), 1));
+        let told = set.send_default("/eggs/order", &id).await;
+        assert_eq!((told.status, set.runners[1].run_count(&id)), (Some(StatusCode::OK), 1));
     }
-    assert!(set.runners[2].seen().is_empty());
+    assert!(set.runners[2].received().is_empty());
 }
 
 /// Symptom: a configuration is in force on some nodes only. Sequence: the store turns one node away
@@ -312,7 +319,7 @@
     let seed = set.nodes[0].shared.me.peer;
     set.add_node("edge-1", vec![seed]).await;
     set.wait_ready().await;
-    assert_eq!(set.send(1, &Ask::new("/board/a", "r1")).await.status, Some(StatusCode::OK));
+    assert_eq!(set.send(1, &RequestSpec::new("/board/a", "r1")).await.status, Some(StatusCode::OK));
 }
 
 /// Symptom: all runners are dropped when the store comes back. Sequence: their entries lapsed while
@@ -335,7 +342,7 @@
         shared.knowledge().entries() == 2 && shared.register().expire(shared.clock.now()).is_empty()
     })
     .await;
-    assert_eq!(set.ask("/board/a", "r1").await.status, Some(StatusCode::OK));
+    assert_eq!(set.send_default("/board/a", "r1").await.status, Some(StatusCode::OK));
     set.runners[0].write_entry();
     wait_until("one is gone", async || shared.register().runners().count() == 1).await;
     assert!(shared.register().runners().all(|r| r.entry.id.as_str() == set.runners[0].id));
@@ -373,7 +380,8 @@
 async fn stop_under_way_finished() {
     let mut set =
         Deployment::new().await.with_engines(0, 1).await.with_plain(1).await.with_nodes(2).await;
-    set.runners[0].set_faults(Faults { pause: Duration::from_millis(60), ..Faults::default() });
+    set.runners[0]
+        .set_faults(Faults { event_interval: Duration::from_millis(60), ..Faults::default() });
     let node = set.nodes.remove(0);
     let front = node.shared.me.front;
     let caller = set.caller.clone();
@@ -383,10 +391,10 @@
     let other = set.nodes[0].shared.clone();
     let stop = tokio::spawn(node.stop());
     wait_until("the other node knows", async || other.roster().fronts().is_empty()).await;
-    let late = set.caller.send(front, &Ask::new("/board/a", "r1")).await;
+    let late = set.caller.send(front, &RequestSpec::new("/board/a", "r1")).await;
     assert_eq!(late.status, Some(StatusCode::OK), "a caller with an old answer is served");
     let told = stream.await.expect("the caller does not panic");
-    assert_eq!((told.text(), told.whole), (whole_stream(12), true));
+    assert_eq!((told.text(), told.complete), (whole_stream(12), true));
     assert_eq!(stop.await.expect("the stop does not panic"), 0);
 }
 
@@ -394,10 +402,10 @@
 async fn lookup_all_ready_nodes() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(3).await;
     let lookup = set.nodes[0].shared.settings.lookup;
-    let ask = Ask {
+    let ask = RequestSpec {
         method: Method::GET,
         body: Bytes::new(),
-        ..Ask::new("/api/lookup?name=kitchen.example&region=r&zone=zaal-dom", "l1")
+        ..RequestSpec::new("/api/lookup?name=kitchen.example&region=r&zone=zaal-dom", "l1")
     };
     let told = set.caller.send(lookup, &ask).await;
     let answer: serde_json::Value = serde_json::from_slice(&told.body).expect("it is JSON");
@@ -420,11 +428,11 @@
         set.add_node(&format!("edge-{at}"), Vec::new()).await;
     }
     set.wait_ready().await;
-    let (before, _) = set.store.calls();
+    let (before, _) = set.store.call_counts();
     for n in 0..50 {
-        set.send(n % 10, &Ask::new("/board/a", &format!("r{n}"))).await;
+        set.send(n % 10, &RequestSpec::new("/board/a", &format!("r{n}"))).await;
     }
-    let (after, _) = set.store.calls();
+    let (after, _) = set.store.call_counts();
     assert!(after - before < 50, "{} store calls for 50 requests", after - before);
 }
 
@@ -440,7 +448,7 @@
         for n in 0..6 {
             let headers = &headers;
             let id = format!("big-{n}");
-            let ask = Ask { headers, ..Ask::new("/count/a", &id) };
+            let ask = RequestSpec { headers, ..RequestSpec::new("/count/a", &id) };
             set.send(n % 3, &ask).await;
         }
         !given().is_empty()
@@ -466,12 +474,12 @@
     let order = serde_json::json!({"operation": "stage", "stage": "decode", "holder": "h",
         "fencingToken": 1});
     let body = Bytes::from(order.to_string());
-    let ask = Ask { body, ..Ask::new("/api/order", "o1") };
+    let ask = RequestSpec { body, ..RequestSpec::new("/api/order", "o1") };
     set.caller.send(set.runners[0].address(), &ask).await;
     for n in 0..3 {
         let id = format!("s{n}");
         let told = set.send(0, &generation("/count/a", &id)).await;
-        assert_eq!((told.text(), told.whole), (whole_stream(12), true));
+        assert_eq!((told.text(), told.complete), (whole_stream(12), true));
     }
     assert!(shared.register().runners().all(|r| !r.health.is_gone()));
 }
@@ -500,7 +508,7 @@
     .await;
     let deadline = Duration::from_millis(300);
     let body = Bytes::from(vec![7; 60_000]);
-    let ask = Ask { deadline, body, ..Ask::new("/eggs/order", "egg") };
+    let ask = RequestSpec { deadline, body, ..RequestSpec::new("/eggs/order", "egg") };
     let front = shared.me.front;
     let (told, accepted) = tokio::join!(set.caller.send(front, &ask), cut.accept());
     assert_ne!(told.status, Some(StatusCode::OK));
@@ -514,7 +522,7 @@
 #[tokio::test]
 async fn metrics_after_request_counted() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    set.ask("/board/a", "r1").await;
+    set.send_default("/board/a", "r1").await;
     let text = String::from_utf8(set.nodes[0].shared.metrics.text()).expect("metrics are text");
     assert!(text.contains("sardinepick_requests_total"), "{text}");
 }
--- a/node/tests/store_copy.rs
+++ b/node/tests/store_copy.rs
@@ -7,7 +7,7 @@
 use sardinepick_lib::fleet::outage::DOUBT;
 use sardinepick_lib::id::RunnerId;
 use sardinepick_testutils::cluster::wait_until;
-use sardinepick_testutils::fleet::caller::Ask;
+use sardinepick_testutils::fleet::caller::RequestSpec;
 use sardinepick_testutils::fleet::deployment::{Deployment, configuration, with_accounts};
 use sardinepick_testutils::fleet::runner::Runner;
 use sardinepick_testutils::fleet::store::Fault;
@@ -45,7 +45,7 @@
 async fn come_back_shown(writer: usize, shown: Option<&[&str]>) -> Deployment {
     let set = Deployment::new().await;
     if let Some(shown) = shown {
-        set.store.show_era(shown);
+        set.store.override_era(shown);
     }
     let set = set.with_plain(3).await.with_nodes(NODES).await;
     let copy = set.store.copy();
@@ -54,9 +54,9 @@
     }
     wait_written(&set, &set.runners[writer]).await;
     set.store.set_fault(Fault::Reset);
-    let lost = set.store.come_back(&copy);
+    let lost = set.store.restore(&copy);
     set.store.set_fault(Fault::None);
-    set.store.write_again(&lost);
+    set.store.replay(&lost);
     set
 }
 
@@ -69,11 +69,11 @@
         })
     })
     .await;
-    let before = runner.seen().len();
+    let before = runner.received().len();
     for n in 0..NODES * 4 {
-        set.send(n % NODES, &Ask::new("/board/a", &format!("r{n}"))).await;
+        set.send(n % NODES, &RequestSpec::new("/board/a", &format!("r{n}"))).await;
     }
-    assert_eq!(runner.seen().len(), before);
+    assert_eq!(runner.received().len(), before);
 }
 
 /// Guards against a store that comes back from a copy and names no era.
@@ -107,10 +107,10 @@
     set.runners[1].write_entry();
     wait_written(&set, &set.runners[1]).await;
     set.store.set_fault(Fault::Reset);
-    let lost = set.store.come_back(&copy);
+    let lost = set.store.restore(&copy);
     // The leaving has a revision that was given out before, and others follow it at once.
     set.runners[0].drain();
-    set.store.write_again(&lost);
+    set.store.replay(&lost);
     for _ in 0..WRITES {
         set.runners[2].write_entry();
     }
@@ -125,7 +125,7 @@
     let shown: [&[&str]; 6] =
         [&[], &["x"], &["1", "2"], &["99999999999999999999"], &["-1"], &["4096"]];
     for (at, values) in shown.into_iter().enumerate() {
-        set.store.show_era(values);
+        set.store.override_era(values);
         let version = 10 + at as u64;
         set.store.put("config", "main", &configuration(version));
         wait_until("the configuration is in force", async || {
@@ -133,7 +133,7 @@
         })
         .await;
     }
-    set.store.show_own_era();
+    set.store.clear_era_override();
     assert!(set.nodes.iter().all(|node| node.shared.history.era().0 == 1));
 }
 
@@ -142,13 +142,13 @@
 #[tokio::test]
 async fn era_falls_service_goes_on() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(2).await;
-    set.store.show_era(&["0"]);
+    set.store.override_era(&["0"]);
     set.store.put("config", "main", &configuration(20));
     let former = set.nodes[0].shared.metrics.eras.with_label_values(&["former"]);
     wait_until("an answer is not believed", async || former.get() > 0).await;
-    assert_eq!(set.ask("/board/a", "r1").await.status, Some(StatusCode::OK));
+    assert_eq!(set.send_default("/board/a", "r1").await.status, Some(StatusCode::OK));
     assert_eq!(set.nodes[0].shared.status().version.0, 1);
-    set.store.show_own_era();
+    set.store.clear_era_override();
     wait_until("the configuration is in force", async || {
         set.nodes.iter().all(|node| node.shared.status().version.0 == 20)
     })
@@ -156,7 +156,12 @@
 }
 
 async fn send_with_key(set: &Deployment, id: &str, key: &str) -> Option<StatusCode> {
-    set.send(0, &Ask { headers: &[("credential", key)], ..Ask::new("/board/a", id) }).await.status
+    set.send(
+        0,
+        &RequestSpec { headers: &[("credential", key)], ..RequestSpec::new("/board/a", id) },
+    )
+    .await
+    .status
 }
 
 async fn in_force(set: &Deployment, version: u64) {
@@ -176,7 +181,7 @@
     let copy = set.store.copy();
     set.store.put("config", "main", &with_accounts(3, &[("kitchen", &["key-1"], None)]));
     in_force(&set, 3).await;
-    set.store.come_back(&copy);
+    set.store.restore(&copy);
     let eras = || set.nodes.iter().map(|node| node.shared.history.era().0);
     wait_until("all nodes know the era", async || eras().all(|era| era == 2)).await;
     assert_eq!(send_with_key(&set, "r1", "key-1").await, Some(StatusCode::OK));
@@ -197,24 +202,28 @@
     let copy = set.store.copy();
     set = set.with_nodes(NODES).await;
     wait_until("nodes have written", async || set.store.count("sardinepick-nodes") >= 3).await;
-    let before = set.store.calls().0;
-    let lost = set.store.come_back(&copy);
-    set.store.write_again(&lost);
+    let before = set.store.call_counts().0;
+    let lost = set.store.restore(&copy);
+    set.store.replay(&lost);
     wait_until("they are there again", async || set.store.count("sardinepick-nodes") >= 3).await;
     // Two lists, two watches and the entry of each node that follows the store, with room for one pause.
-    assert!(set.store.calls().0 - before <= 60, "{} calls", set.store.calls().0 - before);
+    assert!(
+        set.store.call_counts().0 - before <= 60,
+        "{} calls",
+        set.store.call_counts().0 - before
+    );
 }
 
 /// Calls to the store in `span`, and the time until all nodes knew the register of the new era.
 async fn calls_after(set: &Deployment, span: Duration, returns: bool) -> (u64, Duration) {
-    let before = set.store.calls().0;
+    let before = set.store.call_counts().0;
     let began = Instant::now();
     if returns {
         let copy = set.store.copy();
         set.runners[0].write_entry();
         wait_written(set, &set.runners[0]).await;
-        let lost = set.store.come_back(&copy);
-        set.store.write_again(&lost);
+        let lost = set.store.restore(&copy);
+        set.store.replay(&lost);
         let era = set.store.era();
         wait_until("all nodes know the register of the era", async || {
             let known = set.nodes.iter().map(|node| node.shared.status().register.era.0);
@@ -224,7 +233,7 @@
     }
     let whole = began.elapsed();
     sleep(span.saturating_sub(whole)).await;
-    (set.store.calls().0 - before, whole)
+    (set.store.call_counts().0 - before, whole)
 }
 
 /// Guards against nodes that all turn to the store when it comes back from a copy.
@@ -251,10 +260,10 @@
     for _ in 0..WRITES {
         set.runners[1].write_entry();
     }
-    let lost = set.store.come_back(&copy);
-    let again = set.store.come_back(&set.store.copy());
-    set.store.write_again(&lost);
-    set.store.write_again(&again);
+    let lost = set.store.restore(&copy);
+    let again = set.store.restore(&set.store.copy());
+    set.store.replay(&lost);
+    set.store.replay(&again);
     assert_leaving_known(&set, &set.runners[0]).await;
     let era = set.store.era();
     assert_eq!(era, 4);
@@ -271,14 +280,14 @@
     let mut set = Deployment::new().await;
     let copy = set.store.copy();
     set = set.with_plain(3).await.with_nodes(3).await;
-    let lost = set.store.come_back(&copy);
+    let lost = set.store.restore(&copy);
     let eras = || set.nodes.iter().map(|node| node.shared.history.era().0);
     wait_until("all nodes know the era", async || eras().all(|era| era == 2)).await;
     for n in 0..30 {
-        let told = set.send(n % 3, &Ask::new("/board/a", &format!("r{n}"))).await;
+        let told = set.send(n % 3, &RequestSpec::new("/board/a", &format!("r{n}"))).await;
         assert_eq!(told.status, Some(StatusCode::OK), "r{n}");
     }
-    set.store.write_again_drawn(&lost, 7, Duration::from_millis(500)).await;
+    set.store.replay_shuffled(&lost, 7, Duration::from_millis(500)).await;
     sleep(DOUBT + Duration::from_millis(500)).await;
     for node in &set.nodes {
         assert_eq!(node.shared.register().runners().count(), 3);
--- a/node/tests/thin_links.rs
+++ b/node/tests/thin_links.rs
@@ -5,7 +5,9 @@
 use sardinepick_node::serve::pack::pack;
 use sardinepick_node::serve::run::Running;
 use sardinepick_testutils::cluster::wait_until;
-use sardinepick_testutils::fleet::deployment::{Deployment, HOME, PLAIN, large_configuration};
+use sardinepick_testutils::fleet::deployment::{
+    DEFAULT_DATA_CENTRE, Deployment, PLAIN_SERVICE, large_configuration,
+};
 use sardinepick_testutils::fleet::link::Link;
 use sardinepick_testutils::fleet::store::Fault;
 use serde_json::json;
@@ -23,7 +25,7 @@
 async fn fleet(mut set: Deployment, rate: f64) -> (Deployment, Vec<Link>) {
     let mut links = Vec::with_capacity(NODES);
     for at in 0..NODES {
-        links.push(set.add_node_behind(&format!("edge-{at}"), rate).await);
+        links.push(set.add_node_with_peer_link(&format!("edge-{at}"), rate).await);
     }
     set.wait_ready().await;
     for kind in ["config", "servers"] {
@@ -49,7 +51,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn configuration_large_thin_links_sent_once_to_each() {
     let (set, links) = fleet(Deployment::new().await, THIN).await;
-    let carried = || links.iter().map(Link::carried).sum::<u64>();
+    let carried = || links.iter().map(Link::bytes_sent).sum::<u64>();
     let before = carried();
     let next = large_configuration(2, ROUTES);
     set.store.put("config", "main", &next);
@@ -64,7 +66,7 @@
         sent <= whole,
         "{sent} bytes were sent between nodes, more than one copy to each ({whole})"
     );
-    let most = links.iter().map(Link::carried).max().unwrap_or_default();
+    let most = links.iter().map(Link::bytes_sent).max().unwrap_or_default();
     println!("{sent} bytes between nodes, {most} at most by one; {whole} for a copy to each");
 }
 
@@ -112,7 +114,7 @@
     const MOST_ROUTES: usize = 4_000;
     let mut set = Deployment::new().await;
     set.store.put("config", "main", &large_configuration(2, MOST_ROUTES));
-    set.add_node_far("edge-0", THIN).await;
+    set.add_node_with_store_link("edge-0", THIN).await;
     set.wait_ready().await;
 }
 
@@ -130,12 +132,12 @@
     for at in 0..RUNNERS {
         let address = format!("10.1.{}.{}:8482", at >> 8, at & 255);
         let entry = json!({
-            "service": PLAIN, "address": address, "zone": HOME, "version": "v1", "slots": 8,
+            "service": PLAIN_SERVICE, "address": address, "zone": DEFAULT_DATA_CENTRE, "version": "v1", "slots": 8,
             "state": "ready", "coldRemainingMs": 0, "models": [], "seq": 1, "born": 1,
         });
         set.store.put("servers", &format!("i-{at}"), &entry);
     }
-    set.add_node_behind("edge-0", THIN).await;
+    set.add_node_with_peer_link("edge-0", THIN).await;
     let ready = async |set: &Deployment| {
         wait_until("all nodes are ready", async || set.nodes.iter().all(|n| n.shared.is_ready()))
             .await;
@@ -143,7 +145,7 @@
     ready(&set).await;
     set.store.set_fault(Fault::Busy);
     for at in 1..=STARTING {
-        set.add_node_behind(&format!("edge-{at}"), THIN).await;
+        set.add_node_with_peer_link(&format!("edge-{at}"), THIN).await;
     }
     ready(&set).await;
     let known = set.nodes.iter().map(|node| node.shared.register().runners().count());
--- a/testutils/src/caller.rs
+++ b/testutils/src/caller.rs
@@ -15,7 +15,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::invariant::Seen;
+use crate::invariant::Observation;
 
 /// Why a caller got nothing.
 #[derive(Debug, Error)]
@@ -51,7 +51,7 @@
 
 /// One attempt at a request that must not run twice.
 #[derive(Clone, Debug)]
-pub struct Keyed<'a> {
+pub struct KeyedAttempt<'a> {
     /// The key.
     pub key: &'a str,
     /// The attempt, from 1.
@@ -69,13 +69,13 @@
 
 /// What came of a request, with the refusal's time to come back.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct Reply {
     /// What was seen.
-    pub seen: Seen,
+    pub observation: Observation,
     /// The status; nought where the connection broke off before it.
     pub status: u16,
     /// When to come back.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// The body of a refusal.
     pub body: String,
 }
@@ -127,7 +127,7 @@
     ///
     /// # Errors
     /// No connection, or it broke off.
-    pub async fn ask(
+    pub async fn fetch(
         &self,
         peer: SocketAddr,
         method: Method,
@@ -146,7 +146,7 @@
     /// # Errors
     /// No connection, or an answer that is not a listing.
     pub async fn look_up(&self, peer: SocketAddr) -> Result<Listing, CallError> {
-        let (_, body) = self.ask(peer, Method::GET, "/v1/addresses", &[], "").await?;
+        let (_, body) = self.fetch(peer, Method::GET, "/v1/addresses", &[], "").await?;
         serde_json::from_str(&body)
             .map_err(|error| CallError::Form { peer, detail: format!("{error}: {body}") })
     }
@@ -159,7 +159,7 @@
         id: &str,
         prompt: &str,
         tokens: u64,
-    ) -> Told {
+    ) -> Reply {
         let body = serde_json::json!({
             "model": model, "prompt": prompt, "max_tokens": tokens, "stream": true,
         });
@@ -178,8 +178,8 @@
         peer: SocketAddr,
         service: &str,
         body: &str,
-        keyed: Option<&Keyed<'_>>,
-    ) -> Told {
+        keyed: Option<&KeyedAttempt<'_>>,
+    ) -> Reply {
         let mut headers = Vec::new();
         if let Some(keyed) = keyed {
             headers.push(("idempotency-key", keyed.key.to_owned()));
@@ -191,9 +191,12 @@
             Ok(response) if response.status().is_success() => {
                 let status = response.status().as_u16();
                 match read(peer, response).await {
-                    Ok(text) => {
-                        Told { seen: Seen::Answer(text), status, after: None, body: String::new() }
-                    }
+                    Ok(text) => Reply {
+                        observation: Observation::Answer(text),
+                        status,
+                        retry_after: None,
+                        body: String::new(),
+                    },
                     Err(error) => cut(error.to_string()),
                 }
             }
@@ -212,14 +215,14 @@
         text: &str,
     ) -> Result<(StatusCode, serde_json::Value), CallError> {
         let body = serde_json::json!({ "text": text }).to_string();
-        let (status, body) = self.ask(peer, Method::POST, "/admin/v1/command", &[], body).await?;
+        let (status, body) = self.fetch(peer, Method::POST, "/admin/v1/command", &[], body).await?;
         let value = serde_json::from_str(&body).unwrap_or(serde_json::Value::String(body));
         Ok((status, value))
     }
 }
 
-fn cut(detail: String) -> Told {
-    Told { seen: Seen::Cut, status: 0, after: None, body: detail }
+fn cut(detail: String) -> Reply {
+    Reply { observation: Observation::Truncated, status: 0, retry_after: None, body: detail }
 }
 
 async fn read(peer: SocketAddr, response: Response<Incoming>) -> Result<String, CallError> {
@@ -231,16 +234,17 @@
     Ok(String::from_utf8_lossy(&body.to_bytes()).into_owned())
 }
 
-async fn refusal(peer: SocketAddr, response: Response<Incoming>) -> Told {
+async fn refusal(peer: SocketAddr, response: Response<Incoming>) -> Reply {
     let status = response.status().as_u16();
     let text = |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok());
-    let seen = match text("x-sardinepick-run") {
-        Some("not_run") => Seen::RefusedNotRun,
-        _ => Seen::RefusedUnknown,
+    let observation = match text("x-sardinepick-run") {
+        Some("not_run") => Observation::RefusedNotRun,
+        _ => Observation::RefusedUnknown,
     };
-    let after = text("retry-after-ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
+    let retry_after =
+        text("retry-after-ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
     let body = read(peer, response).await.unwrap_or_default();
-    Told { seen, status, after, body }
+    Reply { observation, status, retry_after, body }
 }
 
 #[derive(Deserialize)]
@@ -254,7 +258,7 @@
 }
 
 /// Reads a stream as a client does: only the closing event makes it whole.
-async fn read_stream(response: Response<Incoming>) -> Told {
+async fn read_stream(response: Response<Incoming>) -> Reply {
     let status = response.status().as_u16();
     let mut events = BodyDataStream::new(response.into_body()).eventsource();
     let mut text = String::new();
@@ -264,10 +268,20 @@
             Err(error) => return cut(error.to_string()),
         };
         if event.event == "error" {
-            return Told { seen: Seen::Cut, status, after: None, body: event.data };
+            return Reply {
+                observation: Observation::Truncated,
+                status,
+                retry_after: None,
+                body: event.data,
+            };
         }
         if event.data == "[DONE]" {
-            return Told { seen: Seen::Answer(text), status, after: None, body: String::new() };
+            return Reply {
+                observation: Observation::Answer(text),
+                status,
+                retry_after: None,
+                body: String::new(),
+            };
         }
         match serde_json::from_str::<Event>(&event.data) {
             Ok(event) => text.extend(event.choices.into_iter().map(|c| c.text)),
--- a/testutils/src/cluster.rs
+++ b/testutils/src/cluster.rs
@@ -55,7 +55,7 @@
 
 /// What the settings of a node are made of.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct NodeOptions {
     /// Its name.
     pub name: String,
     /// Its data centre.
@@ -69,10 +69,10 @@
     /// Further lines of the settings file.
     pub extra: String,
     /// Whether periods are short, as tests want them, or those of a deployment.
-    pub hurried: bool,
+    pub short_periods: bool,
 }
 
-impl Plan {
+impl NodeOptions {
     /// A node with free addresses.
     pub fn new(name: &str, data_centre: &str, platform: SocketAddr) -> Self {
         let ip = own_ip();
@@ -83,14 +83,14 @@
             peer: free_address(ip),
             platform,
             extra: String::new(),
-            hurried: true,
+            short_periods: true,
         }
     }
 
     /// The settings file.
     pub fn ini(&self) -> String {
         let key = Digest::of(ADMIN_KEY.as_bytes());
-        if !self.hurried {
+        if !self.short_periods {
             return format!(
                 "[node]\nname = {}\ndata_centre = {}\nfront = {}\npeer = {}\n\n\
                  [platform]\naddress = {}\n\n[administration]\nbootstrap_key = {key}\n\n\
@@ -144,7 +144,7 @@
     wait_until("a node is ready", || {
         let caller = caller.clone();
         async move {
-            let asked = caller.ask(front, Method::GET, "/readyz", &[], "").await;
+            let asked = caller.fetch(front, Method::GET, "/readyz", &[], "").await;
             asked.is_ok_and(|(status, _)| status.is_success())
         }
     })
@@ -156,7 +156,7 @@
     /// The platform.
     pub platform: Platform,
     /// The nodes' plans, in order.
-    pub plans: Vec<Plan>,
+    pub node_options: Vec<NodeOptions>,
     /// The nodes; `None` for one that has been stopped.
     pub nodes: Vec<Option<Running>>,
     /// An operator who administers.
@@ -171,30 +171,30 @@
     /// Something does not start, or the change is refused.
     pub async fn start(count: usize, data_centres: &[&str], config: &str) -> Self {
         let platform = Platform::start(free_address(own_ip())).await.expect("a free address");
-        let plan = |at: usize| {
+        let options = |at: usize| {
             let data_centre = data_centres[at % data_centres.len()];
-            Plan::new(&format!("entry-{}", at + 1), data_centre, platform.address())
+            NodeOptions::new(&format!("entry-{}", at + 1), data_centre, platform.address())
         };
-        let plans: Vec<Plan> = (0..count).map(plan).collect();
-        platform.set_vms(plans.iter().map(Plan::vm).collect());
+        let node_options: Vec<NodeOptions> = (0..count).map(options).collect();
+        platform.set_vms(node_options.iter().map(NodeOptions::vm).collect());
         let mut nodes = Vec::new();
-        for plan in &plans {
-            nodes.push(Some(plan.start().await));
+        for options in &node_options {
+            nodes.push(Some(options.start().await));
         }
         let operator = Caller::new(ADMIN_KEY);
-        let cluster = Self { platform, plans, nodes, operator };
+        let cluster = Self { platform, node_options, nodes, operator };
         cluster.wait_met().await;
         cluster.change(config).await;
-        for plan in &cluster.plans {
+        for plan in &cluster.node_options {
             wait_ready(plan.front).await;
         }
-        cluster.wait_table().await;
+        cluster.wait_for_table().await;
         cluster
     }
 
     /// Waits until every node knows of every other.
     async fn wait_met(&self) {
-        let count = self.plans.len();
+        let count = self.node_options.len();
         wait_until("the nodes know each other", || async {
             let running = self.nodes.iter().flatten();
             running.map(|n| n.node.members().active().count()).all(|known| known == count)
@@ -203,7 +203,7 @@
     }
 
     /// Waits until every node has a table of owners that names all of them.
-    pub async fn wait_table(&self) {
+    pub async fn wait_for_table(&self) {
         let count = self.nodes.iter().flatten().count();
         wait_until("the table of owners names all nodes", || async {
             let running = self.nodes.iter().flatten();
@@ -226,7 +226,7 @@
 
     /// Where callers reach the node at `at`.
     pub fn front(&self, at: usize) -> SocketAddr {
-        self.plans[at].front
+        self.node_options[at].front
     }
 
     /// The running node at `at`.
--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -31,12 +31,12 @@
     /// Output tokens a second of one request.
     pub decode: u32,
     /// How long a role change takes.
-    pub away: Duration,
+    pub role_change_time: Duration,
 }
 
 impl Default for Speed {
     fn default() -> Self {
-        Self { prefill: 20_000, decode: 400, away: Duration::from_millis(300) }
+        Self { prefill: 20_000, decode: 400, role_change_time: Duration::from_millis(300) }
     }
 }
 
@@ -46,7 +46,7 @@
     /// It takes connections and answers nothing.
     pub hang: bool,
     /// It breaks streams off after so many tokens.
-    pub cut_after: Option<u64>,
+    pub abort_after: Option<u64>,
     /// It ends streams without their closing frame after so many tokens.
     pub end_after: Option<u64>,
     /// It refuses new work as one that leaves.
@@ -54,9 +54,9 @@
     /// It refuses new work without having started it.
     pub refuse: bool,
     /// It answers with the answer to another prompt.
-    pub cross: bool,
+    pub answer_other_request: bool,
     /// It loses the answers to orders after taking them.
-    pub lose_order_answers: bool,
+    pub drop_order_responses: bool,
     /// It does not look at fencing numbers.
     pub ignore_fencing: bool,
 }
@@ -89,7 +89,7 @@
     running: u32,
     backlog: u64,
     faults: Faults,
-    started: HashMap<String, u32>,
+    start_counts: HashMap<String, u32>,
     orders: Vec<Order>,
     conflicts: u32,
     tokens: u64,
@@ -133,7 +133,7 @@
             running: 0,
             backlog: 0,
             faults: Faults::default(),
-            started: HashMap::new(),
+            start_counts: HashMap::new(),
             orders: Vec::new(),
             conflicts: 0,
             tokens: 0,
@@ -160,9 +160,9 @@
     }
 
     /// How often the request of this name was started from its first token.
-    pub fn started(&self, request_id: &str) -> u32 {
+    pub fn start_count(&self, request_id: &str) -> u32 {
         let inner = self.inner.lock().expect("engine lock");
-        inner.started.get(request_id).copied().unwrap_or(0)
+        inner.start_counts.get(request_id).copied().unwrap_or(0)
     }
 
     /// Requests under way.
@@ -257,13 +257,13 @@
         inner.orders.push(order);
         let state = state.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(speed.away).await;
+            tokio::time::sleep(speed.role_change_time).await;
             state.lock().expect("engine lock").changing = false;
         });
     } else {
         inner.fence = inner.fence.max(order.epoch);
     }
-    if inner.faults.lose_order_answers {
+    if inner.faults.drop_order_responses {
         return Err(Cut);
     }
     Ok(answer(StatusCode::OK, "taken"))
@@ -308,7 +308,7 @@
             return Ok(unstarted("not now", false));
         }
         if completion.resume_from == 0 {
-            *inner.started.entry(completion.request_id.clone()).or_default() += 1;
+            *inner.start_counts.entry(completion.request_id.clone()).or_default() += 1;
         }
         inner.backlog += prompt_tokens(&completion.prompt);
         faults
@@ -339,13 +339,13 @@
     _running: Running,
 ) {
     let pause = Duration::from_secs_f64(1.0 / f64::from(speed.decode));
-    let prompt = if faults.cross { "another prompt" } else { &completion.prompt };
-    let id = if faults.cross { "another request" } else { &completion.request_id };
+    let prompt = if faults.answer_other_request { "another prompt" } else { &completion.prompt };
+    let id = if faults.answer_other_request { "another request" } else { &completion.request_id };
     for index in completion.resume_from..completion.max_tokens {
         let made = index - completion.resume_from;
         // An engine that is away for a role change does not go on with what it had.
         let away = state.lock().expect("engine lock").changing;
-        if away || faults.cut_after == Some(made) {
+        if away || faults.abort_after == Some(made) {
             let _ = sender.send(Err(Cut)).await;
             return;
         }
--- a/testutils/src/fleet/beat.rs
+++ b/testutils/src/fleet/beat.rs
@@ -7,14 +7,14 @@
 use sardinepick_lib::id::{ConfigVersion, Incarnation, NodeId};
 use sardinepick_wire::beat::Beat;
 
-use crate::fleet::deployment::HOME;
+use crate::fleet::deployment::DEFAULT_DATA_CENTRE;
 
 /// The beat of a node that is reached at `address` for everything and has a configuration of `version`.
 pub fn ready(id: NodeId, address: SocketAddr, version: ConfigVersion) -> Beat {
     let contact = Contact {
         id,
         incarnation: Incarnation(1),
-        data_centre: HOME.parse().expect("a data centre"),
+        data_centre: DEFAULT_DATA_CENTRE.parse().expect("a data centre"),
         front: address,
         peer: address,
     };
--- a/testutils/src/fleet/caller.rs
+++ b/testutils/src/fleet/caller.rs
@@ -13,7 +13,7 @@
 
 /// What came of a request.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct Reply {
     /// The status; none if the connection ended without a head.
     pub status: Option<StatusCode>,
     /// The headers of the answer.
@@ -21,12 +21,12 @@
     /// The body as far as it came.
     pub body: Bytes,
     /// Whether the body came to its proper end.
-    pub whole: bool,
+    pub complete: bool,
     /// How long it took.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
-impl Told {
+impl Reply {
     /// The body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
@@ -40,7 +40,7 @@
 
 /// What a caller asks.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct RequestSpec<'a> {
     /// The host.
     pub host: &'a str,
     /// The path and query.
@@ -57,7 +57,7 @@
     pub body: Bytes,
 }
 
-impl<'a> Ask<'a> {
+impl<'a> RequestSpec<'a> {
     /// A request with an id, to a path of the usual host, that waits for three seconds.
     pub fn new(path: &'a str, id: &'a str) -> Self {
         Self {
@@ -101,18 +101,18 @@
 
 impl Caller {
     /// Sends a request and reads the whole answer, as far as it comes.
-    pub async fn send(&self, address: SocketAddr, ask: &Ask<'_>) -> Told {
+    pub async fn send(&self, address: SocketAddr, ask: &RequestSpec<'_>) -> Reply {
         let began = Instant::now();
-        let mut told = Told::default();
+        let mut told = Reply::default();
         let Ok(response) = self.0.request(ask.request(address)).await else {
-            told.took = began.elapsed();
+            told.elapsed = began.elapsed();
             return told;
         };
         let (head, mut body) = response.into_parts();
         told.status = Some(head.status);
         told.headers = head.headers;
         let mut bytes = Vec::new();
-        told.whole = loop {
+        told.complete = loop {
             match body.frame().await {
                 Some(Ok(frame)) => bytes.extend(frame.data_ref().into_iter().flatten()),
                 Some(Err(_)) => break false,
@@ -120,7 +120,7 @@
             }
         };
         told.body = Bytes::from(bytes);
-        told.took = began.elapsed();
+        told.elapsed = began.elapsed();
         told
     }
 }
--- a/testutils/src/fleet/ending.rs
+++ b/testutils/src/fleet/crash_soak.rs
@@ -17,12 +17,12 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::cluster::{any_address, free_address, own_ip};
-use crate::fleet::caller::{Ask, Caller};
-use crate::fleet::deployment::{HOME, MODEL, PLAIN, configuration};
+use crate::fleet::caller::{Caller, RequestSpec};
+use crate::fleet::crashing_runner::CrashingRunner;
+use crate::fleet::deployment::{DEFAULT_DATA_CENTRE, MODEL_SERVICE, PLAIN_SERVICE, configuration};
 use crate::fleet::runner::{Kind, Runner};
-use crate::fleet::soak::{Plan, Report, headers, ini, recover};
+use crate::fleet::soak::{Report, SoakOptions, headers, ini, recover};
 use crate::fleet::store::Store;
-use crate::fleet::supervised::Supervised;
 use crate::process::Daemon;
 
 /// The body under which runners end.
@@ -37,31 +37,34 @@
 struct Fleet {
     store: Store,
     readers: Vec<Runner>,
-    runners: Vec<Supervised>,
+    runners: Vec<CrashingRunner>,
     nodes: Vec<(String, SocketAddr, Option<Daemon>)>,
 }
 
 impl Fleet {
-    async fn start(exe: &Path, plan: Plan) -> std::io::Result<Self> {
+    async fn start(exe: &Path, plan: SoakOptions) -> std::io::Result<Self> {
         let store = Store::start(any_address()).await?;
         store.put("config", "main", &configuration(1));
         let kind = |service: &str, stage| Kind {
             service: service.to_owned(),
-            data_centre: HOME.to_owned(),
+            data_centre: DEFAULT_DATA_CENTRE.to_owned(),
             stage,
             events: 12,
         };
         let mut readers = Vec::new();
         for n in 0..2 {
             let (id, address) = (format!("r-{n}"), any_address());
-            readers.push(Runner::start(&id, address, kind(MODEL, Some("prefill")), &store).await?);
+            readers.push(
+                Runner::start(&id, address, kind(MODEL_SERVICE, Some("prefill")), &store).await?,
+            );
         }
         let mut runners = Vec::new();
         for n in 0..10 {
             let (id, address) = (format!("s-{n}"), any_address());
-            let kind = if n < 5 { kind(MODEL, Some("decode")) } else { kind(PLAIN, None) };
+            let kind =
+                if n < 5 { kind(MODEL_SERVICE, Some("decode")) } else { kind(PLAIN_SERVICE, None) };
             let body = Bytes::from_static(ENDING);
-            runners.push(Supervised::start(&id, address, kind, &store, body, AWAY).await?);
+            runners.push(CrashingRunner::start(&id, address, kind, &store, body, AWAY).await?);
         }
         let (mut seeds, mut nodes) = (Vec::new(), Vec::new());
         for n in 0..plan.nodes {
@@ -95,7 +98,7 @@
             3 => self.store.compact(),
             4 | 5 => {
                 let third = rng.random_range(0..3);
-                self.runners.iter().skip(third).step_by(3).for_each(Supervised::end);
+                self.runners.iter().skip(third).step_by(3).for_each(CrashingRunner::end);
             }
             _ => {
                 let runner = rng.random_range(0..self.runners.len());
@@ -106,8 +109,8 @@
 
     /// When runs of the request under which runners end began, over all lives of runners, by path.
     fn runs(&self, path: &str) -> Vec<Instant> {
-        let lives = self.runners.iter().flat_map(Supervised::lives);
-        let seen = lives.flat_map(|life| life.seen());
+        let lives = self.runners.iter().flat_map(CrashingRunner::instances);
+        let seen = lives.flat_map(|life| life.received());
         let mut runs: Vec<Instant> = seen
             .filter(|s| s.ran && s.path == path && s.body == ENDING)
             .filter_map(|s| s.at)
@@ -148,7 +151,8 @@
             Body::Own => Bytes::from(id.clone()),
             Body::Ending => Bytes::from_static(ENDING),
         };
-        let ask = Ask { headers: headers(path), body: bytes, ..Ask::new(path, &id) };
+        let ask =
+            RequestSpec { headers: headers(path), body: bytes, ..RequestSpec::new(path, &id) };
         let sent = timeout(Duration::from_secs(4), caller.send(front, &ask)).await;
         let status = sent.ok().and_then(|told| told.status).map_or(0, |status| status.as_u16());
         if body != Body::Ending {
@@ -164,7 +168,7 @@
 ///
 /// # Errors
 /// A stand-in has no address.
-pub async fn run(exe: &Path, plan: Plan) -> std::io::Result<Report> {
+pub async fn run(exe: &Path, plan: SoakOptions) -> std::io::Result<Report> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let mut fleet = Fleet::start(exe, plan).await?;
     let callers = Arc::new(Callers {
@@ -184,7 +188,7 @@
         .enumerate()
         .map(|(n, body)| tokio::spawn(call(callers.clone(), body, plan.seed ^ ((n as u64) << 32))))
         .collect();
-    let until = Instant::now() + plan.lasts;
+    let until = Instant::now() + plan.duration;
     while Instant::now() < until {
         fleet.fault(exe, &mut rng).await;
         report.faults += 1;
@@ -194,29 +198,29 @@
     callers.stop.store(true, Ordering::Relaxed);
     for task in tasks {
         if let Err(error) = task.await {
-            report.broken.push(format!("a caller ended by itself: {error}"));
+            report.violations.push(format!("a caller ended by itself: {error}"));
         }
     }
     check(&fleet, &callers, &mut report);
     for (n, (_, _, daemon)) in fleet.nodes.iter_mut().enumerate() {
-        if let Some(code) = daemon.as_mut().and_then(Daemon::ended) {
-            report.broken.push(format!("edge-{n} ended by itself with {code:?}"));
+        if let Some(code) = daemon.as_mut().and_then(Daemon::exit_status) {
+            report.violations.push(format!("edge-{n} ended by itself with {code:?}"));
         }
     }
     Ok(report)
 }
 
 fn check(fleet: &Fleet, callers: &Callers, report: &mut Report) {
-    let read = fleet.readers.iter().flat_map(Runner::seen).filter(|s| s.body == ENDING).count();
-    report.ends.insert("readings of the request that ends runners", read as u64);
+    let read = fleet.readers.iter().flat_map(Runner::received).filter(|s| s.body == ENDING).count();
+    report.outcomes.insert("readings of the request that ends runners", read as u64);
     for (path, what) in [("/board/a", "plain runs of it"), ("/count/a", "streamed runs of it")] {
         let runs = fleet.runs(path);
-        report.ends.insert(what, runs.len() as u64);
+        report.outcomes.insert(what, runs.len() as u64);
         let Some(third) = runs.get(ENDS - 1) else { continue };
         let late = runs.iter().filter(|at| **at > *third + KNOWN).count();
         if late > ENDS {
             let after: Vec<Duration> = runs.iter().map(|at| *at - runs[0]).collect();
-            report.broken.push(format!("ends: {path} ran {late} times too late, {after:?}"));
+            report.violations.push(format!("ends: {path} ran {late} times too late, {after:?}"));
         }
     }
     let told = callers.told.lock().unwrap_or_else(PoisonError::into_inner);
@@ -226,11 +230,11 @@
             0 => "without an answer",
             408 | 421 | 429 | 503 => "refused, not run",
             400..500 => {
-                report.broken.push(format!("denied: {id} {path} got {status}"));
+                report.violations.push(format!("denied: {id} {path} got {status}"));
                 "denied"
             }
             _ => "failed",
         };
-        *report.ends.entry(end).or_default() += 1;
+        *report.outcomes.entry(end).or_default() += 1;
     }
 }
--- a/testutils/src/fleet/supervised.rs
+++ b/testutils/src/fleet/crashing_runner.rs
@@ -15,11 +15,11 @@
 
 /// The lives of a runner at one address. Each has an id of its own, as on the platform.
 #[derive(Clone, Debug)]
-pub struct Supervised {
+pub struct CrashingRunner {
     lives: Arc<Mutex<Vec<Runner>>>,
 }
 
-impl Supervised {
+impl CrashingRunner {
     /// Starts a runner that ends as it runs a request with `body`, and is back after `pause`.
     ///
     /// # Errors
@@ -33,7 +33,7 @@
         pause: Duration,
     ) -> std::io::Result<Self> {
         let first = Runner::start(&format!("{id}-0"), address, kind.clone(), store).await?;
-        first.end_under(body.clone());
+        first.crash_on(body.clone());
         let lives = Arc::new(Mutex::new(vec![first.clone()]));
         let (store, id) = (store.clone(), id.to_owned());
         let supervised = Self { lives: lives.clone() };
@@ -49,7 +49,7 @@
                 life = Runner::start(&next, life.address(), kind.clone(), &store)
                     .await
                     .expect("the address is free again");
-                life.end_under(body.clone());
+                life.crash_on(body.clone());
                 lives.lock().unwrap_or_else(PoisonError::into_inner).push(life.clone());
             }
         });
@@ -58,13 +58,13 @@
 
     /// Ends its present life from outside.
     pub fn end(&self) {
-        if let Some(life) = self.lives().last() {
+        if let Some(life) = self.instances().last() {
             life.tell_end();
         }
     }
 
     /// Its lives so far, in their order.
-    pub fn lives(&self) -> Vec<Runner> {
+    pub fn instances(&self) -> Vec<Runner> {
         self.lives.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
--- a/testutils/src/fleet/deployment.rs
+++ b/testutils/src/fleet/deployment.rs
@@ -17,19 +17,19 @@
 use tokio::net::TcpListener;
 
 use crate::cluster::{any_address, free_address, own_ip, wait_until};
-use crate::fleet::caller::{Ask, Caller, Told};
+use crate::fleet::caller::{Caller, Reply, RequestSpec};
+use crate::fleet::crashing_runner::CrashingRunner;
 use crate::fleet::link::Link;
 use crate::fleet::platform::Platform;
 use crate::fleet::runner::{Kind, Runner};
 use crate::fleet::store::Store;
-use crate::fleet::supervised::Supervised;
 
 /// The data centre of nodes and runners that a test does not place itself.
-pub const HOME: &str = "zaal-dom";
+pub const DEFAULT_DATA_CENTRE: &str = "zaal-dom";
 /// The service of model engines.
-pub const MODEL: &str = "telraad";
+pub const MODEL_SERVICE: &str = "telraad";
 /// The plain service.
-pub const PLAIN: &str = "ontbijtbord";
+pub const PLAIN_SERVICE: &str = "ontbijtbord";
 
 /// How many nodes a node is told of by its settings, as on the platform.
 const MOST_SEEDS: usize = 3;
@@ -41,7 +41,7 @@
     /// The runners, in the order of their start.
     pub runners: Vec<Runner>,
     /// Runners that end under a certain request.
-    pub supervised: Vec<Supervised>,
+    pub crashing_runners: Vec<CrashingRunner>,
     /// The nodes.
     pub nodes: Vec<Running>,
     /// A caller.
@@ -65,16 +65,16 @@
     json!({
         "version": version,
         "routes": [
-            route("board", "/board/", "idempotent", PLAIN, 3),
-            route("eggs", "/eggs/", "non_idempotent", PLAIN, 1),
-            route("count", "/count/", "streaming", MODEL, 3),
-            route("tally", "/tally/", "streaming", MODEL, 1),
+            route("board", "/board/", "idempotent", PLAIN_SERVICE, 3),
+            route("eggs", "/eggs/", "non_idempotent", PLAIN_SERVICE, 1),
+            route("count", "/count/", "streaming", MODEL_SERVICE, 3),
+            route("tally", "/tally/", "streaming", MODEL_SERVICE, 1),
         ],
         "services": [
-            {"name": MODEL, "healthPath": "/health", "maxConns": 100, "engine": {
+            {"name": MODEL_SERVICE, "healthPath": "/health", "maxConns": 100, "engine": {
                 "slots": 64, "kvTokens": 800_000, "kvTokenBytes": 18_432, "linkMbps": 350_000.0,
                 "handleTtlS": 5.0, "switchS": 3.0}},
-            {"name": PLAIN, "healthPath": "/health", "maxConns": 96},
+            {"name": PLAIN_SERVICE, "healthPath": "/health", "maxConns": 96},
         ],
         "limits": {"maxHeaderBytes": 16_384, "maxBodyBytes": 65_536, "headerTimeoutMs": 3_000,
             "idleTimeoutMs": 15_000},
@@ -102,7 +102,7 @@
 pub fn large_configuration(version: u64, routes: usize) -> Value {
     let mut whole = configuration(version);
     let more = (0..routes).map(|n| {
-        let mut route = route(&format!("tenant-{n}"), "/", "idempotent", PLAIN, 3);
+        let mut route = route(&format!("tenant-{n}"), "/", "idempotent", PLAIN_SERVICE, 3);
         // Names as hashes give them, which no code shortens.
         let name = place(n as u64, b"tenant");
         route["host"] = json!(format!("{name:x}.example"));
@@ -118,7 +118,7 @@
     let address = || free_address(own_ip());
     Settings {
         name: name.parse().expect("a name"),
-        data_centre: HOME.parse().expect("a data centre"),
+        data_centre: DEFAULT_DATA_CENTRE.parse().expect("a data centre"),
         front: address(),
         ready: address(),
         lookup: address(),
@@ -145,9 +145,9 @@
     pub async fn new() -> Self {
         let store = Store::start(any_address()).await.expect("a free address");
         store.put("config", "main", &configuration(1));
-        let (runners, supervised, nodes) = (Vec::new(), Vec::new(), Vec::new());
+        let (runners, crashing_runners, nodes) = (Vec::new(), Vec::new(), Vec::new());
         let platform = None;
-        Self { store, runners, supervised, nodes, caller: Caller::default(), platform }
+        Self { store, runners, crashing_runners, nodes, caller: Caller::default(), platform }
     }
 
     /// Has usage reported to the platform in windows of `window`.
@@ -174,7 +174,7 @@
     /// Adds runners of the plain service.
     pub async fn with_plain(mut self, count: usize) -> Self {
         for _ in 0..count {
-            self.add_runner(PLAIN, None).await;
+            self.add_runner(PLAIN_SERVICE, None).await;
         }
         self
     }
@@ -182,10 +182,10 @@
     /// Adds model engines by stage.
     pub async fn with_engines(mut self, prefill: usize, decode: usize) -> Self {
         for _ in 0..prefill {
-            self.add_runner(MODEL, Some("prefill")).await;
+            self.add_runner(MODEL_SERVICE, Some("prefill")).await;
         }
         for _ in 0..decode {
-            self.add_runner(MODEL, Some("decode")).await;
+            self.add_runner(MODEL_SERVICE, Some("decode")).await;
         }
         self
     }
@@ -209,8 +209,12 @@
     /// No address is free.
     pub async fn add_runner(&mut self, service: &str, stage: Option<&'static str>) -> Runner {
         let id = format!("i-{}", self.runners.len());
-        let kind =
-            Kind { service: service.to_owned(), data_centre: HOME.to_owned(), stage, events: 12 };
+        let kind = Kind {
+            service: service.to_owned(),
+            data_centre: DEFAULT_DATA_CENTRE.to_owned(),
+            stage,
+            events: 12,
+        };
         let runner =
             Runner::start(&id, any_address(), kind, &self.store).await.expect("a free address");
         self.runners.push(runner.clone());
@@ -222,28 +226,29 @@
     ///
     /// # Panics
     /// No address is free.
-    pub async fn add_supervised(
+    pub async fn add_crashing_runners(
         &mut self,
         stage: Option<&'static str>,
         count: usize,
         body: &Bytes,
         pause: Duration,
     ) {
-        let service = if stage.is_some() { MODEL } else { PLAIN }.to_owned();
+        let service = if stage.is_some() { MODEL_SERVICE } else { PLAIN_SERVICE }.to_owned();
         for _ in 0..count {
-            let id = format!("s-{}", self.supervised.len());
-            let (service, data_centre) = (service.clone(), HOME.to_owned());
+            let id = format!("s-{}", self.crashing_runners.len());
+            let (service, data_centre) = (service.clone(), DEFAULT_DATA_CENTRE.to_owned());
             let kind = Kind { service, data_centre, stage, events: 12 };
             let runner =
-                Supervised::start(&id, any_address(), kind, &self.store, body.clone(), pause).await;
-            self.supervised.push(runner.expect("a free address"));
+                CrashingRunner::start(&id, any_address(), kind, &self.store, body.clone(), pause)
+                    .await;
+            self.crashing_runners.push(runner.expect("a free address"));
         }
     }
 
     /// How many lives of supervised runners have begun to read or run a request with `body`.
-    pub fn ended_under(&self, body: &Bytes) -> usize {
-        let lives = self.supervised.iter().flat_map(Supervised::lives);
-        lives.filter(|life| life.seen().iter().any(|s| s.body == *body)).count()
+    pub fn crash_count(&self, body: &Bytes) -> usize {
+        let lives = self.crashing_runners.iter().flat_map(CrashingRunner::instances);
+        lives.filter(|life| life.received().iter().any(|s| s.body == *body)).count()
     }
 
     /// Starts a node.
@@ -251,14 +256,19 @@
     /// # Panics
     /// It does not start.
     pub async fn add_node(&mut self, name: &str, seeds: Vec<SocketAddr>) {
-        self.add_node_by(name, seeds, Arc::new(System)).await;
+        self.add_node_with_clock(name, seeds, Arc::new(System)).await;
     }
 
     /// Starts a node that goes by a clock of its own.
     ///
     /// # Panics
     /// It does not start.
-    pub async fn add_node_by(&mut self, name: &str, seeds: Vec<SocketAddr>, clock: Arc<dyn Clock>) {
+    pub async fn add_node_with_clock(
+        &mut self,
+        name: &str,
+        seeds: Vec<SocketAddr>,
+        clock: Arc<dyn Clock>,
+    ) {
         let settings = self.settings(name, seeds);
         let node = run::start(settings, clock, Metrics::default()).await.expect("free addresses");
         self.nodes.push(node);
@@ -268,7 +278,7 @@
     ///
     /// # Panics
     /// It does not start.
-    pub async fn add_node_far(&mut self, name: &str, rate: f64) {
+    pub async fn add_node_with_store_link(&mut self, name: &str, rate: f64) {
         let listener = TcpListener::bind(any_address()).await.expect("a free address");
         let address = listener.local_addr().expect("a listener has an address");
         Link::start(listener, self.store.address(), rate);
@@ -281,7 +291,7 @@
     ///
     /// # Panics
     /// It does not start.
-    pub async fn add_node_behind(&mut self, name: &str, rate: f64) -> Link {
+    pub async fn add_node_with_peer_link(&mut self, name: &str, rate: f64) -> Link {
         let seeds = self.nodes.iter().map(|node| node.shared.me.peer).take(MOST_SEEDS).collect();
         let settings = settings(name, self.store.address(), seeds);
         let mut sockets = Sockets::bind(&settings).await.expect("free addresses");
@@ -296,7 +306,7 @@
     /// Waits until all nodes take callers, hear each other, and know all runners.
     pub async fn wait_ready(&self) {
         let others = self.nodes.len().saturating_sub(1);
-        let runners = self.runners.len() + self.supervised.len();
+        let runners = self.runners.len() + self.crashing_runners.len();
         wait_until("all nodes are ready", async || {
             self.nodes.iter().all(|node| {
                 let shared = &node.shared;
@@ -315,17 +325,17 @@
     }
 
     /// Sends a request to a node.
-    pub async fn send(&self, at: usize, ask: &Ask<'_>) -> Told {
+    pub async fn send(&self, at: usize, ask: &RequestSpec<'_>) -> Reply {
         self.caller.send(self.front(at), ask).await
     }
 
     /// Sends a request without anything unusual about it.
-    pub async fn ask(&self, path: &str, id: &str) -> Told {
-        self.send(0, &Ask::new(path, id)).await
+    pub async fn send_default(&self, path: &str, id: &str) -> Reply {
+        self.send(0, &RequestSpec::new(path, id)).await
     }
 
     /// How often a request ran, over all runners.
-    pub fn ran(&self, id: &str) -> usize {
-        self.runners.iter().map(|runner| runner.ran(id)).sum()
+    pub fn run_count(&self, id: &str) -> usize {
+        self.runners.iter().map(|runner| runner.run_count(id)).sum()
     }
 }
--- a/testutils/src/fleet/link.rs
+++ b/testutils/src/fleet/link.rs
@@ -42,7 +42,7 @@
     }
 
     /// Bytes that the server's callers were sent so far.
-    pub fn carried(&self) -> u64 {
+    pub fn bytes_sent(&self) -> u64 {
         self.inner.carried.load(Ordering::Relaxed)
     }
 
--- a/testutils/src/fleet/mod.rs
+++ b/testutils/src/fleet/mod.rs
@@ -3,14 +3,14 @@
 
 pub mod beat;
 pub mod caller;
+pub mod crash_soak;
+pub mod crashing_runner;
 pub mod deployment;
-pub mod ending;
 pub mod link;
 pub mod platform;
 pub mod proxy;
-pub mod rule;
+pub mod rate_limit;
 pub mod runner;
 pub mod signal;
 pub mod soak;
 pub mod store;
-pub mod supervised;
--- a/testutils/src/fleet/platform.rs
+++ b/testutils/src/fleet/platform.rs
@@ -23,7 +23,7 @@
     /// It answers nothing.
     Silent,
     /// It takes calls, and breaks the connection off before it answers.
-    LosesAnswers,
+    DropResponse,
 }
 
 /// A call that was taken.
@@ -84,7 +84,7 @@
     }
 
     /// Has no runners in a data centre from now on.
-    pub fn set_dry(&self, data_centre: &str) {
+    pub fn set_without_capacity(&self, data_centre: &str) {
         lock(&self.inner).dry.push(data_centre.to_owned());
     }
 
@@ -110,7 +110,7 @@
 
     /// What is wrong with the order of the calls: a lower number after a higher one, one number of two
     /// holders, or two holders by turns within `turns`.
-    pub fn violation(&self, turns: Duration) -> Option<String> {
+    pub fn ordering_violation(&self, turns: Duration) -> Option<String> {
         let calls = self.calls();
         for (at, call) in calls.iter().enumerate() {
             for before in &calls[..at] {
@@ -151,7 +151,7 @@
             sleep(Duration::from_secs(60)).await;
             return Err(Cut);
         }
-        Fault::None | Fault::LosesAnswers => {}
+        Fault::None | Fault::DropResponse => {}
     }
     let Ok(body) = serde_json::from_slice::<Value>(&body) else {
         return Ok(answer(StatusCode::BAD_REQUEST, ""));
@@ -167,5 +167,5 @@
     }
     let path = head.uri.path().to_owned();
     state.calls.push(Call { at: Instant::now(), path, holder, token, body });
-    if fault == Fault::LosesAnswers { Err(Cut) } else { Ok(answer(StatusCode::OK, "")) }
+    if fault == Fault::DropResponse { Err(Cut) } else { Ok(answer(StatusCode::OK, "")) }
 }
--- a/testutils/src/fleet/runner/event.rs
+++ b/testutils/src/fleet/runner/event.rs
@@ -29,9 +29,9 @@
             return None;
         }
         if next > first {
-            sleep(faults.pause).await;
+            sleep(faults.event_interval).await;
         }
-        if faults.cut_after.is_some_and(|after| next > after) {
+        if faults.abort_after.is_some_and(|after| next > after) {
             // A part of the event leaves before the connection breaks.
             let part = Bytes::from(event(next)).slice(..6);
             return Some((Ok(Frame::data(part)), (CUT, running)));
--- a/testutils/src/fleet/runner/mod.rs
+++ b/testutils/src/fleet/runner/mod.rs
@@ -25,28 +25,28 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// It breaks a stream off after so many events, within the next one.
-    pub cut_after: Option<u64>,
+    pub abort_after: Option<u64>,
     /// It says that it did not run what it is sent.
-    pub sheds: bool,
+    pub refuse: bool,
     /// It never answers.
-    pub hangs: bool,
+    pub hang: bool,
     /// It breaks the connection off once it has run a request.
-    pub loses_answers: bool,
+    pub drop_response: bool,
     /// It answers with its own failure.
-    pub fails: bool,
+    pub respond_500: bool,
     /// It answers as if to another request.
-    pub crosses: bool,
+    pub wrong_request_id: bool,
     /// How long it takes for an answer, or to read a prompt.
-    pub takes: Duration,
+    pub response_delay: Duration,
     /// How long it takes between events.
-    pub pause: Duration,
+    pub event_interval: Duration,
     /// It carries orders out and does not answer them.
-    pub mute_orders: bool,
+    pub drop_order_response: bool,
 }
 
 /// A request as a runner saw it.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Its id.
     pub id: String,
     /// Its path and query.
@@ -76,7 +76,7 @@
 struct Inner {
     faults: Faults,
     signals: Signals,
-    seen: Vec<Seen>,
+    seen: Vec<ReceivedRequest>,
     orders: Vec<Order>,
     handles: HashSet<String>,
     /// The parts it keeps, by id, with their tokens.
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// The address cannot be listened at.
-    pub async fn start_again(&self, address: SocketAddr) -> std::io::Result<Self> {
+    pub async fn restart(&self, address: SocketAddr) -> std::io::Result<Self> {
         self.kill();
         let born = lock(&self.inner).born + 1;
         Self::start_life(&self.id, address, self.kind.clone(), &self.store, born).await
@@ -236,7 +236,7 @@
     }
 
     /// Has it end when it runs a request with this body.
-    pub fn end_under(&self, body: Bytes) {
+    pub fn crash_on(&self, body: Bytes) {
         lock(&self.inner).ends_under = Some(body);
     }
 
@@ -252,12 +252,12 @@
     }
 
     /// The requests it saw.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn received(&self) -> Vec<ReceivedRequest> {
         lock(&self.inner).seen.clone()
     }
 
     /// How often it ran requests with this id.
-    pub fn ran(&self, id: &str) -> usize {
+    pub fn run_count(&self, id: &str) -> usize {
         lock(&self.inner).seen.iter().filter(|s| s.id == id && s.ran).count()
     }
 
@@ -282,7 +282,7 @@
 pub fn runs(runners: &[Runner]) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
     for runner in runners {
-        for seen in runner.seen() {
+        for seen in runner.received() {
             *runs.entry(seen.id).or_insert(0) += usize::from(seen.ran);
         }
     }
--- a/testutils/src/fleet/runner/work.rs
+++ b/testutils/src/fleet/runner/work.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::event::events;
-use super::{Inner, Kind, Order, Seen, lock};
+use super::{Inner, Kind, Order, ReceivedRequest, lock};
 use crate::server::{Body, Cut, answer, full, json as json_answer, read};
 
 /// What a runner does with requests.
@@ -56,7 +56,7 @@
         }
         _ => {}
     }
-    let seen = Seen {
+    let seen = ReceivedRequest {
         id: text(&head.headers, "request-id").unwrap_or_default(),
         path: head.uri.path_and_query().map_or_else(String::new, ToString::to_string),
         headers: head.headers,
@@ -106,7 +106,7 @@
     }
 
     /// Keeps the parts of a request's prompt.
-    fn keep(&self, seen: &Seen) {
+    fn keep(&self, seen: &ReceivedRequest) {
         let parts = text(&seen.headers, "prompt-prefix").unwrap_or_default();
         let parts = parts.split(',').filter_map(|part| part.split_once(':'));
         let parts = parts.filter_map(|(id, tokens)| Some((id.to_owned(), tokens.parse().ok()?)));
@@ -127,13 +127,13 @@
         });
         inner.accepted += 1;
         inner.stage = Some(stage);
-        if inner.faults.mute_orders {
+        if inner.faults.drop_order_response {
             return Err(Cut);
         }
         Ok(answer(StatusCode::ACCEPTED, ""))
     }
 
-    fn refuse(&self, mut seen: Seen, status: StatusCode) -> Response<Body> {
+    fn refuse(&self, mut seen: ReceivedRequest, status: StatusCode) -> Response<Body> {
         let mut response = answer(status, "");
         if let Ok(id) = HeaderValue::from_str(&seen.id) {
             response.headers_mut().insert("request-id", id);
@@ -154,21 +154,21 @@
         }
     }
 
-    async fn serve(self: Arc<Self>, mut seen: Seen) -> Result<Response<Body>, Cut> {
+    async fn serve(self: Arc<Self>, mut seen: ReceivedRequest) -> Result<Response<Body>, Cut> {
         let faults = lock(&self.inner).faults;
-        if faults.sheds {
+        if faults.refuse {
             return Ok(self.refuse(seen, StatusCode::SERVICE_UNAVAILABLE));
         }
         let running = Running::new(&self.inner);
         let reads = text(&seen.headers, "stage").as_deref() == Some("prefill");
-        if faults.hangs {
+        if faults.hang {
             // A prompt that is only read is no run, also where it is read for ever.
             seen.ran = !reads;
             lock(&self.inner).seen.push(seen);
             sleep(Duration::from_secs(60)).await;
             return Err(Cut);
         }
-        sleep(faults.takes).await;
+        sleep(faults.response_delay).await;
         if reads {
             if self.ends_under(&seen) {
                 lock(&self.inner).seen.push(seen);
@@ -187,11 +187,11 @@
         if ends {
             return Ok(self.end(&id).await);
         }
-        if faults.loses_answers {
+        if faults.drop_response {
             return Err(Cut);
         }
-        let shown = if faults.crosses { "another" } else { id.as_str() };
-        if faults.fails {
+        let shown = if faults.wrong_request_id { "another" } else { id.as_str() };
+        if faults.respond_500 {
             let mut response = answer(StatusCode::INTERNAL_SERVER_ERROR, "failed");
             self.sign(&mut response, shown);
             return Ok(response);
@@ -210,7 +210,7 @@
         Ok(response)
     }
 
-    fn ends_under(&self, seen: &Seen) -> bool {
+    fn ends_under(&self, seen: &ReceivedRequest) -> bool {
         lock(&self.inner).ends_under.as_ref() == Some(&seen.body)
     }
 
@@ -231,7 +231,7 @@
         lock(&self.inner).stage.as_deref() == Some("prefill")
     }
 
-    fn read_prompt(&self, seen: Seen) -> Response<Body> {
+    fn read_prompt(&self, seen: ReceivedRequest) -> Response<Body> {
         let id = seen.id.clone();
         self.keep(&seen);
         let mut inner = lock(&self.inner);
--- a/testutils/src/fleet/soak.rs
+++ b/testutils/src/fleet/soak.rs
@@ -20,10 +20,12 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::cluster::{any_address, free_address, own_ip};
-use crate::fleet::caller::{Ask, Caller, Told};
-use crate::fleet::deployment::{HOME, MODEL, PLAIN, configuration, large_configuration};
+use crate::fleet::caller::{Caller, Reply, RequestSpec};
+use crate::fleet::deployment::{
+    DEFAULT_DATA_CENTRE, MODEL_SERVICE, PLAIN_SERVICE, configuration, large_configuration,
+};
 use crate::fleet::proxy::{Harm, Proxy};
-use crate::fleet::rule::{LIMIT_AFTER, LIMIT_WINDOW, broken_limit};
+use crate::fleet::rate_limit::{LIMIT_AFTER, LIMIT_WINDOW, broken_limit};
 use crate::fleet::runner::{Faults, Kind, Runner, event};
 use crate::fleet::signal::Signals;
 use crate::fleet::store::{Copy, Fault, Store};
@@ -31,11 +33,11 @@
 
 /// How a soak runs.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct SoakOptions {
     /// The order of the faults.
     pub seed: u64,
     /// For how long they come.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// How many nodes there are.
     pub nodes: usize,
     /// How many callers there are.
@@ -54,21 +56,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     /// Requests by what became of them.
-    pub ends: HashMap<&'static str, u64>,
+    pub outcomes: HashMap<&'static str, u64>,
     /// Faults that were made.
     pub faults: u64,
     /// Promises that were broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut ends: Vec<_> = self.ends.iter().collect();
+        let mut ends: Vec<_> = self.outcomes.iter().collect();
         ends.sort();
         let ends: Vec<String> = ends.iter().map(|(end, count)| format!("{count} {end}")).collect();
-        let broken = self.broken.len();
+        let broken = self.violations.len();
         write!(f, "{} faults: {}, {broken} promises broken", self.faults, ends.join(", "))?;
-        self.broken.iter().try_for_each(|broken| write!(f, "\n  {broken}"))
+        self.violations.iter().try_for_each(|broken| write!(f, "\n  {broken}"))
     }
 }
 
@@ -122,7 +124,7 @@
     fronts: Vec<SocketAddr>,
     stop: AtomicBool,
     next: AtomicU64,
-    told: Mutex<Vec<(String, &'static str, Told)>>,
+    told: Mutex<Vec<(String, &'static str, Reply)>>,
 }
 
 pub(super) fn ini(
@@ -134,7 +136,7 @@
     let [front, ready, lookup, peer, metrics] = addresses;
     let seeds: Vec<String> = seeds.iter().map(ToString::to_string).collect();
     format!(
-        "[node]\nname = {name}\ndata_centre = {HOME}\nfront = {front}\nready = {ready}\n\
+        "[node]\nname = {name}\ndata_centre = {DEFAULT_DATA_CENTRE}\nfront = {front}\nready = {ready}\n\
          lookup = {lookup}\npeer = {peer}\nmetrics = {metrics}\nseeds = {}\n\
          [store]\naddress = {store}\n[retry]\nallowance = 50\nwindow_s = 0.5\n\
          [stop]\ngrace_s = 4\n[log]\nlevel = info\n",
@@ -143,7 +145,7 @@
 }
 
 impl Soak {
-    async fn start(exe: &Path, plan: Plan) -> std::io::Result<Self> {
+    async fn start(exe: &Path, plan: SoakOptions) -> std::io::Result<Self> {
         let store = Store::start(any_address()).await?;
         store.put("config", "main", &configuration(1));
         let store_proxy = Proxy::start(any_address(), store.address()).await?;
@@ -158,9 +160,11 @@
             copies: VecDeque::new(),
             left: Vec::new(),
         };
-        for (service, stage, count) in
-            [(PLAIN, None, 3), (MODEL, Some("prefill"), 2), (MODEL, Some("decode"), 3)]
-        {
+        for (service, stage, count) in [
+            (PLAIN_SERVICE, None, 3),
+            (MODEL_SERVICE, Some("prefill"), 2),
+            (MODEL_SERVICE, Some("decode"), 3),
+        ] {
             for _ in 0..count {
                 soak.add_runner(service, stage).await?;
             }
@@ -188,7 +192,7 @@
         self.next_runner += 1;
         let kind = Kind {
             service: service.to_owned(),
-            data_centre: HOME.to_owned(),
+            data_centre: DEFAULT_DATA_CENTRE.to_owned(),
             stage,
             events: EVENTS,
         };
@@ -217,7 +221,7 @@
             2 => self.pause(node, Duration::from_millis(rng.random_range(100..2_000))).await,
             3 => {
                 if let Some(daemon) = &self.nodes[node].daemon {
-                    daemon.hang_up();
+                    daemon.reload();
                 }
             }
             4 => self.store_proxy.set(harm),
@@ -227,7 +231,7 @@
                 self.store.set_fault(faults[rng.random_range(0..faults.len())]);
             }
             7 => self.store.compact(),
-            8 => self.store.lose_answers(3),
+            8 => self.store.drop_responses(3),
             9 | 10 => {
                 self.runners[runner].0.set_faults(some_faults(rng));
                 self.runners[runner].0.set_signals(some_signals(self.signals));
@@ -256,11 +260,11 @@
             return;
         }
         let Some(copy) = self.copies.front() else { return };
-        let lost = self.store.come_back(copy);
+        let lost = self.store.restore(copy);
         // The others have revisions that are given out again.
         self.copies.clear();
         let store = self.store.clone();
-        tokio::spawn(async move { store.write_again_drawn(&lost, faults, WRITE_AGAIN).await });
+        tokio::spawn(async move { store.replay_shuffled(&lost, faults, WRITE_AGAIN).await });
     }
 
     fn heal(&self) {
@@ -317,14 +321,14 @@
 fn some_faults(rng: &mut StdRng) -> Faults {
     let none = Faults::default();
     match rng.random_range(0..8) {
-        0 => Faults { sheds: true, ..none },
-        1 => Faults { hangs: true, ..none },
-        2 => Faults { loses_answers: true, ..none },
-        3 => Faults { fails: true, ..none },
-        4 => Faults { crosses: true, ..none },
-        5 => Faults { cut_after: Some(rng.random_range(0..EVENTS)), ..none },
-        6 => Faults { takes: Duration::from_millis(rng.random_range(10..600)), ..none },
-        _ => Faults { pause: Duration::from_millis(rng.random_range(1..80)), ..none },
+        0 => Faults { refuse: true, ..none },
+        1 => Faults { hang: true, ..none },
+        2 => Faults { drop_response: true, ..none },
+        3 => Faults { respond_500: true, ..none },
+        4 => Faults { wrong_request_id: true, ..none },
+        5 => Faults { abort_after: Some(rng.random_range(0..EVENTS)), ..none },
+        6 => Faults { response_delay: Duration::from_millis(rng.random_range(10..600)), ..none },
+        _ => Faults { event_interval: Duration::from_millis(rng.random_range(1..80)), ..none },
     }
 }
 
@@ -347,7 +351,7 @@
         let front = callers.fronts[rng.random_range(0..callers.fronts.len())];
         let path = PATHS[rng.random_range(0..PATHS.len())];
         let id = format!("r{}", callers.next.fetch_add(1, Ordering::Relaxed));
-        let ask = Ask { headers: headers(path), ..Ask::new(path, &id) };
+        let ask = RequestSpec { headers: headers(path), ..RequestSpec::new(path, &id) };
         // A caller may leave before its answer is there.
         let stays = if rng.random_bool(0.05) { 20 } else { 4_000 };
         let sent = timeout(Duration::from_millis(stays), caller.send(front, &ask)).await;
@@ -361,7 +365,7 @@
 ///
 /// # Errors
 /// A stand-in has no address.
-pub async fn run(exe: &Path, plan: Plan) -> std::io::Result<Report> {
+pub async fn run(exe: &Path, plan: SoakOptions) -> std::io::Result<Report> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let mut soak = Soak::start(exe, plan).await?;
     let callers = Arc::new(Callers {
@@ -375,7 +379,7 @@
     let tasks: Vec<_> = (0..plan.callers as u64)
         .map(|n| tokio::spawn(call(callers.clone(), plan.seed ^ (n << 32))))
         .collect();
-    let until = Instant::now() + plan.lasts;
+    let until = Instant::now() + plan.duration;
     while Instant::now() < until {
         soak.fault(exe, &mut rng).await;
         report.faults += 1;
@@ -391,14 +395,14 @@
     callers.stop.store(true, Ordering::Relaxed);
     for task in tasks {
         if let Err(error) = task.await {
-            report.broken.push(format!("a caller ended by itself: {error}"));
+            report.violations.push(format!("a caller ended by itself: {error}"));
         }
     }
     check(&soak, &callers, &mut report);
     for node in &mut soak.nodes {
-        let ended = node.daemon.as_mut().and_then(Daemon::ended);
+        let ended = node.daemon.as_mut().and_then(Daemon::exit_status);
         if let Some(code) = ended {
-            report.broken.push(format!("{} ended by itself with {code:?}", node.name));
+            report.violations.push(format!("{} ended by itself with {code:?}", node.name));
         }
     }
     Ok(report)
@@ -410,9 +414,10 @@
         for path in PATHS {
             let served = async || {
                 let caller = Caller::default();
-                let ask = Ask { headers: headers(path), ..Ask::new(path, "recovery") };
+                let ask =
+                    RequestSpec { headers: headers(path), ..RequestSpec::new(path, "recovery") };
                 let told = timeout(Duration::from_secs(4), caller.send(*front, &ask)).await;
-                told.is_ok_and(|told| told.status == Some(StatusCode::OK) && told.whole)
+                told.is_ok_and(|told| told.status == Some(StatusCode::OK) && told.complete)
             };
             let comes = async {
                 while !served().await {
@@ -420,7 +425,7 @@
                 }
             };
             if timeout(RECOVERY, comes).await.is_err() {
-                report.broken.push(format!("recovery: {front} does not serve {path} {when}"));
+                report.violations.push(format!("recovery: {front} does not serve {path} {when}"));
                 return;
             }
         }
@@ -442,11 +447,12 @@
     sleep(DRAIN.saturating_sub(healed.elapsed()).max(LIMIT_AFTER)).await;
     let since = Instant::now();
     sleep(LIMIT_WINDOW).await;
-    report.broken.extend(limited.iter().filter_map(|r| broken_limit(r, LIMIT, since)));
+    report.violations.extend(limited.iter().filter_map(|r| broken_limit(r, LIMIT, since)));
     for (runner, _) in &soak.left {
-        let late = runner.seen().iter().filter(|seen| seen.at.is_some_and(|at| at > since)).count();
+        let late =
+            runner.received().iter().filter(|seen| seen.at.is_some_and(|at| at > since)).count();
         if late > 0 {
-            report.broken.push(format!("drain: {late} requests reached {} late", runner.id));
+            report.violations.push(format!("drain: {late} requests reached {} late", runner.id));
         }
     }
 }
@@ -454,19 +460,19 @@
 fn check(soak: &Soak, callers: &Callers, report: &mut Report) {
     let mut runs: HashMap<String, u64> = HashMap::new();
     for runner in soak.all_runners() {
-        for seen in runner.seen() {
+        for seen in runner.received() {
             let plain = seen.path.starts_with("/board/") || seen.path.starts_with("/eggs/");
             if plain == runner.is_engine() {
-                report.broken.push(format!("route: {} at {}", seen.path, runner.id));
+                report.violations.push(format!("route: {} at {}", seen.path, runner.id));
             }
             if &seen.body[..] != b"a brief" {
-                report.broken.push(format!("unasked: {} has another body", seen.id));
+                report.violations.push(format!("unasked: {} has another body", seen.id));
             }
             *runs.entry(seen.id).or_default() += u64::from(seen.ran);
         }
         let tokens: Vec<u64> = runner.orders().iter().map(|order| order.token).collect();
         if !tokens.is_sorted() {
-            report.broken.push(format!("orders: {} saw the tokens {tokens:?}", runner.id));
+            report.violations.push(format!("orders: {} saw the tokens {tokens:?}", runner.id));
         }
     }
     let whole: String = (1..=EVENTS).map(event).collect();
@@ -475,11 +481,11 @@
         let ran = runs.get(id).copied().unwrap_or(0);
         let once = matches!(*path, "/eggs/a" | "/tally/a");
         if once && ran > 1 {
-            report.broken.push(format!("twice: {id} {path} ran {ran} times"));
+            report.violations.push(format!("twice: {id} {path} ran {ran} times"));
         }
         let status = told.status.map_or(0, |status| status.as_u16());
         if once && ran > 0 && matches!(status, 408 | 421 | 429 | 503) {
-            report.broken.push(format!("refused: {id} {path} got {status} and ran"));
+            report.violations.push(format!("refused: {id} {path} got {status} and ran"));
         }
         let end = match status {
             200 => success(id, path, told, &whole, report),
@@ -487,19 +493,19 @@
             408 | 421 | 429 | 503 => "refused, not run",
             _ => "failed",
         };
-        *report.ends.entry(end).or_default() += 1;
+        *report.outcomes.entry(end).or_default() += 1;
     }
 }
 
-fn success(id: &str, path: &str, told: &Told, whole: &str, report: &mut Report) -> &'static str {
+fn success(id: &str, path: &str, told: &Reply, whole: &str, report: &mut Report) -> &'static str {
     let expected = match path {
         "/board/a" | "/eggs/a" => format!("answer to {id}"),
         _ => whole.to_owned(),
     };
     let text = told.text();
-    let good = if told.whole { text == expected } else { expected.starts_with(&text) };
+    let good = if told.complete { text == expected } else { expected.starts_with(&text) };
     if !good || told.header("response-signature").is_none() {
-        report.broken.push(format!("mixed: {id} {path} whole {} got {text:?}", told.whole));
+        report.violations.push(format!("mixed: {id} {path} whole {} got {text:?}", told.complete));
     }
-    if told.whole { "answered" } else { "cut" }
+    if told.complete { "answered" } else { "cut" }
 }
--- a/testutils/src/fleet/store/copy.rs
+++ b/testutils/src/fleet/store/copy.rs
@@ -50,7 +50,7 @@
     /// Comes back from a copy: all that was written since is gone, and its era rises by one. Watches
     /// are cut off. Gives what the operator and the runners had written since, which they have not
     /// written again yet.
-    pub fn come_back(&self, copy: &Copy) -> Lost {
+    pub fn restore(&self, copy: &Copy) -> LostWrites {
         let mut inner = lock(&self.inner);
         let mut lost = BTreeMap::new();
         let kept = copy.writes.min(inner.writes.len());
@@ -63,18 +63,18 @@
         inner.era += 1;
         drop(inner);
         self.changed.send_modify(|n| *n += 1);
-        Lost { writes: lost.into_iter().collect(), since: kept }
+        LostWrites { writes: lost.into_iter().collect(), since: kept }
     }
 
     /// Writes again what was lost, all at once.
-    pub fn write_again(&self, lost: &Lost) {
+    pub fn replay(&self, lost: &LostWrites) {
         for write in &lost.writes {
             self.write_one(write, lost.since);
         }
     }
 
     /// Writes again what was lost, in an order and with pauses drawn from `seed`, within `longest`.
-    pub async fn write_again_drawn(&self, lost: &Lost, seed: u64, longest: Duration) {
+    pub async fn replay_shuffled(&self, lost: &LostWrites, seed: u64, longest: Duration) {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut writes = lost.writes.clone();
         writes.shuffle(&mut rng);
@@ -104,20 +104,20 @@
     }
 
     /// Has its answers name the era with these values, whatever it is.
-    pub fn show_era(&self, values: &[&str]) {
+    pub fn override_era(&self, values: &[&str]) {
         lock(&self.inner).shown_era =
             Some(values.iter().map(|value| (*value).to_owned()).collect());
     }
 
     /// Has its answers name the era that it is.
-    pub fn show_own_era(&self) {
+    pub fn clear_era_override(&self) {
         lock(&self.inner).shown_era = None;
     }
 }
 
 /// What the operator and the runners had written after a copy, the last write of each object.
 #[derive(Clone, Debug)]
-pub struct Lost {
+pub struct LostWrites {
     writes: Vec<Write>,
     /// How many writes there had been once they were lost.
     since: usize,
--- a/testutils/src/fleet/store/mod.rs
+++ b/testutils/src/fleet/store/mod.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-pub use self::copy::{Copy, Lost};
+pub use self::copy::{Copy, LostWrites};
 
 use self::copy::{Objects, Write};
 use crate::server::{Body, Cut, Server, answer, json as json_answer, read};
@@ -134,7 +134,7 @@
     }
 
     /// Loses the answers to so many of the next writes.
-    pub fn lose_answers(&self, count: u32) {
+    pub fn drop_responses(&self, count: u32) {
         lock(&self.inner).lose = count;
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Calls so far, and those refused for the rate.
-    pub fn calls(&self) -> (u64, u64) {
+    pub fn call_counts(&self) -> (u64, u64) {
         let inner = lock(&self.inner);
         (inner.calls, inner.refused)
     }
--- a/testutils/src/invariant.rs
+++ b/testutils/src/invariant.rs
@@ -6,7 +6,7 @@
 
 /// What a caller saw of one request.
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum Observation {
     /// A whole answer.
     Answer(String),
     /// A refusal that says that the request was not run.
@@ -15,7 +15,7 @@
     RefusedUnknown,
     /// The connection broke off or the answer had no closing frame: the caller knows that the
     /// answer is not whole.
-    Cut,
+    Truncated,
 }
 
 /// A promise that was broken.
@@ -34,7 +34,7 @@
         request: String,
     },
     /// A request that must run at most once ran more often.
-    Doubled {
+    Duplicate {
         /// The request.
         request: String,
         /// How often it ran.
@@ -51,7 +51,7 @@
             Violation::FalseRefusal { request } => {
                 write!(f, "{request} was said not to have run, and has")
             }
-            Violation::Doubled { request, times } => write!(f, "{request} ran {times} times"),
+            Violation::Duplicate { request, times } => write!(f, "{request} ran {times} times"),
         }
     }
 }
@@ -62,14 +62,14 @@
     request: &str,
     prompt: &str,
     tokens: u64,
-    seen: &Seen,
+    seen: &Observation,
     starts: u32,
 ) -> Option<Violation> {
     match seen {
-        Seen::Answer(got) if *got != expected(prompt, tokens) => {
+        Observation::Answer(got) if *got != expected(prompt, tokens) => {
             Some(Violation::WrongAnswer { prompt: prompt.to_owned(), got: got.clone() })
         }
-        Seen::RefusedNotRun if starts > 0 => {
+        Observation::RefusedNotRun if starts > 0 => {
             Some(Violation::FalseRefusal { request: request.to_owned() })
         }
         _ => None,
@@ -77,11 +77,12 @@
 }
 
 /// Checks one call that must have an effect at most once. `effects` is how often it had one.
-pub fn check_call(request: &str, seen: &[Seen], effects: u32) -> Option<Violation> {
+pub fn check_call(request: &str, seen: &[Observation], effects: u32) -> Option<Violation> {
     if effects > 1 {
-        return Some(Violation::Doubled { request: request.to_owned(), times: effects });
+        return Some(Violation::Duplicate { request: request.to_owned(), times: effects });
     }
-    let all_not_run = !seen.is_empty() && seen.iter().all(|s| matches!(s, Seen::RefusedNotRun));
+    let all_not_run =
+        !seen.is_empty() && seen.iter().all(|s| matches!(s, Observation::RefusedNotRun));
     if all_not_run && effects > 0 {
         return Some(Violation::FalseRefusal { request: request.to_owned() });
     }
--- a/testutils/src/plain.rs
+++ b/testutils/src/plain.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// It breaks the connection off after the call has taken effect.
-    pub cut_after_effect: bool,
+    pub drop_response: bool,
     /// It takes so long.
     pub delay: Duration,
     /// It refuses as one that leaves, without effect.
@@ -29,12 +29,12 @@
 
 /// A plain service.
 #[derive(Debug)]
-pub struct Plain {
+pub struct PlainService {
     inner: Arc<Mutex<Inner>>,
     server: Server,
 }
 
-impl Plain {
+impl PlainService {
     /// Starts a service.
     ///
     /// # Errors
@@ -62,7 +62,7 @@
     }
 
     /// The bodies that have taken effect more than once.
-    pub fn doubled(&self) -> Vec<String> {
+    pub fn duplicates(&self) -> Vec<String> {
         let inner = self.inner.lock().expect("plain lock");
         inner.effects.iter().filter(|(_, n)| **n > 1).map(|(body, _)| body.clone()).collect()
     }
@@ -95,7 +95,7 @@
         *count
     };
     tokio::time::sleep(faults.delay).await;
-    if faults.cut_after_effect {
+    if faults.drop_response {
         return Err(Cut);
     }
     let path = parts.uri.path_and_query().map(ToString::to_string).unwrap_or_default();
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -33,7 +33,7 @@
     /// It answers so much later.
     pub delay: Duration,
     /// The answers to so many of the next writes are lost after the write has taken effect.
-    pub lose_answers: u32,
+    pub drop_responses: u32,
     /// So many of the next watches return without having seen anything.
     pub miss_watches: u32,
 }
@@ -197,8 +197,8 @@
         inner.objects.insert(name.to_owned(), Stored { revision, value });
     }
     changed.send_replace(revision);
-    if inner.faults.lose_answers > 0 {
-        inner.faults.lose_answers -= 1;
+    if inner.faults.drop_responses > 0 {
+        inner.faults.drop_responses -= 1;
         return Err(Cut);
     }
     Ok(with_revision(Bytes::new(), revision))
--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -6,7 +6,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-use crate::cluster::Plan;
+use crate::cluster::NodeOptions;
 
 /// A `sardinepickd` process.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     ///
     /// # Panics
     /// It cannot be started.
-    pub fn start(exe: &Path, plan: &Plan) -> Self {
+    pub fn start(exe: &Path, plan: &NodeOptions) -> Self {
         Self::run(exe, &plan.ini(), &[])
     }
 
@@ -93,12 +93,12 @@
     }
 
     /// Tells it that its settings have changed.
-    pub fn hang_up(&self) {
+    pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
     /// Whether it has ended, and with which code.
-    pub fn ended(&mut self) -> Option<Option<i32>> {
+    pub fn exit_status(&mut self) -> Option<Option<i32>> {
         self.child.try_wait().ok().flatten().map(|status| status.code())
     }
 
