--- a/testutils/src/fleet/beat.rs
+++ b/testutils/src/fleet/beat.rs
@@ -1,4 +1,4 @@
-//! The beat of a node that is none of ours: it says that it is ready, and nothing more.
+//! A minimal beat as another implementation of a node may send it: ready, with no optional content.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,8 @@
 
 use crate::fleet::deployment::DEFAULT_DATA_CENTRE;
 
-/// The beat of a node that is reached at `address` for everything and has a configuration of `version`.
+/// The beat of a ready node that uses `address` both for callers and for nodes and has the
+/// configuration `version`.
 pub fn ready(id: NodeId, address: SocketAddr, version: ConfigVersion) -> Beat {
     let contact = Contact {
         id,
--- a/testutils/src/fleet/caller.rs
+++ b/testutils/src/fleet/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the platform.
+//! A client that sends requests as callers of the platform do.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use hyper_util::rt::TokioExecutor;
 use tokio::time::Instant;
 
-/// What came of a request.
+/// The response to a request as far as it was received.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
-    /// The status; none if the connection ended without a head.
+    /// The status; `None` if no response head was received.
     pub status: Option<StatusCode>,
-    /// The headers of the answer.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The body as far as it came.
+    /// The body as far as it was received.
     pub body: Bytes,
-    /// Whether the body came to its proper end.
+    /// Whether the whole body was received.
     pub complete: bool,
-    /// How long it took.
+    /// The time from sending the request to the end of the response.
     pub elapsed: Duration,
 }
 
@@ -32,13 +32,13 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// A header of the answer.
+    /// A response header, if present and valid text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 }
 
-/// What a caller asks.
+/// The parameters of a request.
 #[derive(Clone, Debug)]
 pub struct RequestSpec<'a> {
     /// The host.
@@ -47,18 +47,18 @@
     pub path: &'a str,
     /// The method.
     pub method: Method,
-    /// The id of the attempt.
+    /// The request id.
     pub id: &'a str,
-    /// How long the caller waits.
+    /// The deadline that the request announces.
     pub deadline: Duration,
-    /// Further headers.
+    /// Additional headers.
     pub headers: &'a [(&'a str, &'a str)],
     /// The body.
     pub body: Bytes,
 }
 
 impl<'a> RequestSpec<'a> {
-    /// A request with an id, to a path of the usual host, that waits for three seconds.
+    /// A POST to a path of the default host, with a deadline of three seconds.
     pub fn new(path: &'a str, id: &'a str) -> Self {
         Self {
             host: "kitchen.example",
@@ -71,10 +71,10 @@
         }
     }
 
-    /// The request.
+    /// Builds the HTTP request.
     ///
     /// # Panics
-    /// It is not one.
+    /// The parameters do not form a valid request.
     pub fn request(&self, address: SocketAddr) -> Request<Full<Bytes>> {
         let mut builder = Request::builder()
             .method(self.method.clone())
@@ -85,11 +85,11 @@
         for (name, value) in self.headers {
             builder = builder.header(*name, *value);
         }
-        builder.body(Full::new(self.body.clone())).expect("the test asks for a request")
+        builder.body(Full::new(self.body.clone())).expect("valid request parameters")
     }
 }
 
-/// A caller.
+/// An HTTP client without automatic retries.
 #[derive(Clone, Debug)]
 pub struct Caller(Client<HttpConnector, Full<Bytes>>);
 
@@ -100,27 +100,27 @@
 }
 
 impl Caller {
-    /// Sends a request and reads the whole answer, as far as it comes.
-    pub async fn send(&self, address: SocketAddr, ask: &RequestSpec<'_>) -> Reply {
-        let began = Instant::now();
-        let mut told = Reply::default();
-        let Ok(response) = self.0.request(ask.request(address)).await else {
-            told.elapsed = began.elapsed();
-            return told;
+    /// Sends a request and reads the response until it ends or fails.
+    pub async fn send(&self, address: SocketAddr, spec: &RequestSpec<'_>) -> Reply {
+        let started = Instant::now();
+        let mut reply = Reply::default();
+        let Ok(response) = self.0.request(spec.request(address)).await else {
+            reply.elapsed = started.elapsed();
+            return reply;
         };
         let (head, mut body) = response.into_parts();
-        told.status = Some(head.status);
-        told.headers = head.headers;
+        reply.status = Some(head.status);
+        reply.headers = head.headers;
         let mut bytes = Vec::new();
-        told.complete = loop {
+        reply.complete = loop {
             match body.frame().await {
                 Some(Ok(frame)) => bytes.extend(frame.data_ref().into_iter().flatten()),
                 Some(Err(_)) => break false,
                 None => break true,
             }
         };
-        told.body = Bytes::from(bytes);
-        told.elapsed = began.elapsed();
-        told
+        reply.body = Bytes::from(bytes);
+        reply.elapsed = started.elapsed();
+        reply
     }
 }
--- a/testutils/src/fleet/crash_soak.rs
+++ b/testutils/src/fleet/crash_soak.rs
@@ -1,9 +1,9 @@
-//! A soak of requests under which runners end, among many that do no harm: the real program as
-//! processes, which are killed, paused and started again, while runners also end for no reason.
+//! A soak test of requests that crash runners, among many harmless ones. The real program runs as
+//! processes that are killed, paused and restarted, and runners also crash without a request.
 //!
-//! What is promised: once three runners have ended under a request, hardly any more do; and no other
-//! request is refused for good, however often runners end while it is there. Many callers send the
-//! same request all the time.
+//! Guarantees: after a request has crashed three runners, at most a few more crash on it; and no
+//! other request is permanently refused, however often runners crash while they run it. Many callers
+//! repeat the same requests throughout.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,28 +21,28 @@
 use crate::fleet::crashing_runner::CrashingRunner;
 use crate::fleet::deployment::{DEFAULT_DATA_CENTRE, MODEL_SERVICE, PLAIN_SERVICE, configuration};
 use crate::fleet::runner::{Kind, Runner};
-use crate::fleet::soak::{Report, SoakOptions, headers, ini, recover};
+use crate::fleet::soak::{Report, SoakOptions, node_settings, request_headers, wait_for_recovery};
 use crate::fleet::store::Store;
 use crate::process::Daemon;
 
-/// The body under which runners end.
-const ENDING: &[u8] = b"a brief that no engine survives";
-/// How many ends it takes to know, and how many more are borne after that.
-const ENDS: usize = 3;
-/// How long after the third end the nodes have to know (users' bound).
-const KNOWN: Duration = Duration::from_secs(3);
-/// How long an ended runner is away.
-const AWAY: Duration = Duration::from_millis(700);
+/// The request body that crashes runners.
+const CRASHING_BODY: &[u8] = b"a brief that no engine survives";
+/// The number of crashes after which a request is quarantined, and of late runs tolerated after that.
+const QUARANTINE_CRASHES: usize = 3;
+/// The time after the third crash within which all nodes must refuse the request (required bound).
+const QUARANTINE_DELAY: Duration = Duration::from_secs(3);
+/// The time until a crashed runner restarts.
+const RESTART_TIME: Duration = Duration::from_millis(700);
 
 struct Fleet {
     store: Store,
-    readers: Vec<Runner>,
+    prefill_runners: Vec<Runner>,
     runners: Vec<CrashingRunner>,
     nodes: Vec<(String, SocketAddr, Option<Daemon>)>,
 }
 
 impl Fleet {
-    async fn start(exe: &Path, plan: SoakOptions) -> std::io::Result<Self> {
+    async fn start(exe: &Path, options: SoakOptions) -> std::io::Result<Self> {
         let store = Store::start(any_address()).await?;
         store.put("config", "main", &configuration(1));
         let kind = |service: &str, stage| Kind {
@@ -51,10 +51,10 @@
             stage,
             events: 12,
         };
-        let mut readers = Vec::new();
+        let mut prefill_runners = Vec::new();
         for n in 0..2 {
             let (id, address) = (format!("r-{n}"), any_address());
-            readers.push(
+            prefill_runners.push(
                 Runner::start(&id, address, kind(MODEL_SERVICE, Some("prefill")), &store).await?,
             );
         }
@@ -63,23 +63,24 @@
             let (id, address) = (format!("s-{n}"), any_address());
             let kind =
                 if n < 5 { kind(MODEL_SERVICE, Some("decode")) } else { kind(PLAIN_SERVICE, None) };
-            let body = Bytes::from_static(ENDING);
-            runners.push(CrashingRunner::start(&id, address, kind, &store, body, AWAY).await?);
+            let body = Bytes::from_static(CRASHING_BODY);
+            runners
+                .push(CrashingRunner::start(&id, address, kind, &store, body, RESTART_TIME).await?);
         }
         let (mut seeds, mut nodes) = (Vec::new(), Vec::new());
-        for n in 0..plan.nodes {
+        for n in 0..options.nodes {
             let addresses = [(); 5].map(|()| free_address(own_ip()));
-            let ini = ini(&format!("edge-{n}"), &addresses, store.address(), &seeds);
+            let ini = node_settings(&format!("edge-{n}"), &addresses, store.address(), &seeds);
             if seeds.len() < 3 {
                 seeds.push(addresses[3]);
             }
             let daemon = Some(Daemon::serve(exe, &ini));
             nodes.push((ini, addresses[0], daemon));
         }
-        Ok(Self { store, readers, runners, nodes })
+        Ok(Self { store, prefill_runners, runners, nodes })
     }
 
-    async fn fault(&mut self, exe: &Path, rng: &mut StdRng) {
+    async fn inject_fault(&mut self, exe: &Path, rng: &mut StdRng) {
         let node = rng.random_range(0..self.nodes.len());
         match rng.random_range(0..7) {
             0 | 1 => {
@@ -98,45 +99,45 @@
             3 => self.store.compact(),
             4 | 5 => {
                 let third = rng.random_range(0..3);
-                self.runners.iter().skip(third).step_by(3).for_each(CrashingRunner::end);
+                self.runners.iter().skip(third).step_by(3).for_each(CrashingRunner::crash);
             }
             _ => {
                 let runner = rng.random_range(0..self.runners.len());
-                self.runners[runner].end();
+                self.runners[runner].crash();
             }
         }
     }
 
-    /// When runs of the request under which runners end began, over all lives of runners, by path.
-    fn runs(&self, path: &str) -> Vec<Instant> {
+    /// The start times of runs of the crashing request on a path, across all runner instances.
+    fn run_starts(&self, path: &str) -> Vec<Instant> {
         let lives = self.runners.iter().flat_map(CrashingRunner::instances);
         let seen = lives.flat_map(|life| life.received());
-        let mut runs: Vec<Instant> = seen
-            .filter(|s| s.ran && s.path == path && s.body == ENDING)
+        let mut run_starts: Vec<Instant> = seen
+            .filter(|s| s.ran && s.path == path && s.body == CRASHING_BODY)
             .filter_map(|s| s.at)
             .collect();
-        runs.sort();
-        runs
+        run_starts.sort();
+        run_starts
     }
 }
 
-/// What callers share.
+/// State shared by all callers.
 struct Callers {
     fronts: Vec<SocketAddr>,
     stop: AtomicBool,
     next: AtomicU64,
-    /// What was answered to requests that do no harm: id, path, status.
-    told: Mutex<Vec<(String, &'static str, u16)>>,
+    /// The responses to harmless requests: id, path, status.
+    replies: Mutex<Vec<(String, &'static str, u16)>>,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Body {
-    /// The same for all.
+    /// The same for all callers.
     Common,
-    /// One of its own each time.
+    /// Unique to each request.
     Own,
-    /// That under which runners end.
-    Ending,
+    /// The one that crashes runners.
+    Crashing,
 }
 
 async fn call(callers: Arc<Callers>, body: Body, seed: u64) {
@@ -149,83 +150,95 @@
         let bytes = match body {
             Body::Common => Bytes::from_static(b"a brief"),
             Body::Own => Bytes::from(id.clone()),
-            Body::Ending => Bytes::from_static(ENDING),
+            Body::Crashing => Bytes::from_static(CRASHING_BODY),
         };
-        let ask =
-            RequestSpec { headers: headers(path), body: bytes, ..RequestSpec::new(path, &id) };
-        let sent = timeout(Duration::from_secs(4), caller.send(front, &ask)).await;
-        let status = sent.ok().and_then(|told| told.status).map_or(0, |status| status.as_u16());
-        if body != Body::Ending {
-            let mut told = callers.told.lock().unwrap_or_else(PoisonError::into_inner);
-            told.push((id, path, status));
+        let request = RequestSpec {
+            headers: request_headers(path),
+            body: bytes,
+            ..RequestSpec::new(path, &id)
+        };
+        let result = timeout(Duration::from_secs(4), caller.send(front, &request)).await;
+        let status = result.ok().and_then(|reply| reply.status).map_or(0, |status| status.as_u16());
+        if body != Body::Crashing {
+            let mut replies = callers.replies.lock().unwrap_or_else(PoisonError::into_inner);
+            replies.push((id, path, status));
         }
-        let pause = if body == Body::Ending { 20..300 } else { 0..30 };
+        let pause = if body == Body::Crashing { 20..300 } else { 0..30 };
         sleep(Duration::from_millis(rng.random_range(pause))).await;
     }
 }
 
-/// Runs a soak.
+/// Runs a soak test.
 ///
 /// # Errors
-/// A stand-in has no address.
-pub async fn run(exe: &Path, plan: SoakOptions) -> std::io::Result<Report> {
-    let mut rng = StdRng::seed_from_u64(plan.seed);
-    let mut fleet = Fleet::start(exe, plan).await?;
+/// A fake server cannot bind an address.
+pub async fn run(exe: &Path, options: SoakOptions) -> std::io::Result<Report> {
+    let mut rng = StdRng::seed_from_u64(options.seed);
+    let mut fleet = Fleet::start(exe, options).await?;
     let callers = Arc::new(Callers {
         fronts: fleet.nodes.iter().map(|(_, front, _)| *front).collect(),
         stop: AtomicBool::new(false),
         next: AtomicU64::new(0),
-        told: Mutex::default(),
+        replies: Mutex::default(),
     });
     let mut report = Report::default();
-    recover(&callers.fronts, &mut report, "before any fault").await;
-    let bodies = (0..plan.callers).map(|n| match n % 4 {
+    wait_for_recovery(&callers.fronts, &mut report, "before any fault").await;
+    let bodies = (0..options.callers).map(|n| match n % 4 {
         0 | 1 => Body::Common,
         2 => Body::Own,
-        _ => Body::Ending,
+        _ => Body::Crashing,
     });
     let tasks: Vec<_> = bodies
         .enumerate()
-        .map(|(n, body)| tokio::spawn(call(callers.clone(), body, plan.seed ^ ((n as u64) << 32))))
+        .map(|(n, body)| {
+            tokio::spawn(call(callers.clone(), body, options.seed ^ ((n as u64) << 32)))
+        })
         .collect();
-    let until = Instant::now() + plan.duration;
+    let until = Instant::now() + options.duration;
     while Instant::now() < until {
-        fleet.fault(exe, &mut rng).await;
+        fleet.inject_fault(exe, &mut rng).await;
         report.faults += 1;
         sleep(Duration::from_millis(rng.random_range(200..1_200))).await;
     }
-    recover(&callers.fronts, &mut report, "after all faults").await;
+    wait_for_recovery(&callers.fronts, &mut report, "after all faults").await;
     callers.stop.store(true, Ordering::Relaxed);
     for task in tasks {
         if let Err(error) = task.await {
-            report.violations.push(format!("a caller ended by itself: {error}"));
+            report.violations.push(format!("a caller task failed: {error}"));
         }
     }
     check(&fleet, &callers, &mut report);
     for (n, (_, _, daemon)) in fleet.nodes.iter_mut().enumerate() {
         if let Some(code) = daemon.as_mut().and_then(Daemon::exit_status) {
-            report.violations.push(format!("edge-{n} ended by itself with {code:?}"));
+            report.violations.push(format!("edge-{n} exited unexpectedly with {code:?}"));
         }
     }
     Ok(report)
 }
 
 fn check(fleet: &Fleet, callers: &Callers, report: &mut Report) {
-    let read = fleet.readers.iter().flat_map(Runner::received).filter(|s| s.body == ENDING).count();
-    report.outcomes.insert("readings of the request that ends runners", read as u64);
-    for (path, what) in [("/board/a", "plain runs of it"), ("/count/a", "streamed runs of it")] {
-        let runs = fleet.runs(path);
-        report.outcomes.insert(what, runs.len() as u64);
-        let Some(third) = runs.get(ENDS - 1) else { continue };
-        let late = runs.iter().filter(|at| **at > *third + KNOWN).count();
-        if late > ENDS {
-            let after: Vec<Duration> = runs.iter().map(|at| *at - runs[0]).collect();
-            report.violations.push(format!("ends: {path} ran {late} times too late, {after:?}"));
+    let read = fleet
+        .prefill_runners
+        .iter()
+        .flat_map(Runner::received)
+        .filter(|s| s.body == CRASHING_BODY)
+        .count();
+    report.outcomes.insert("prefills of the crashing request", read as u64);
+    for (path, what) in [("/board/a", "plain runs"), ("/count/a", "streamed runs")] {
+        let run_starts = fleet.run_starts(path);
+        report.outcomes.insert(what, run_starts.len() as u64);
+        let Some(third) = run_starts.get(QUARANTINE_CRASHES - 1) else { continue };
+        let late = run_starts.iter().filter(|at| **at > *third + QUARANTINE_DELAY).count();
+        if late > QUARANTINE_CRASHES {
+            let after: Vec<Duration> = run_starts.iter().map(|at| *at - run_starts[0]).collect();
+            report
+                .violations
+                .push(format!("quarantine: {path} ran {late} times too late, {after:?}"));
         }
     }
-    let told = callers.told.lock().unwrap_or_else(PoisonError::into_inner);
-    for (id, path, status) in told.iter() {
-        let end = match status {
+    let replies = callers.replies.lock().unwrap_or_else(PoisonError::into_inner);
+    for (id, path, status) in replies.iter() {
+        let outcome = match status {
             200 => "answered",
             0 => "without an answer",
             408 | 421 | 429 | 503 => "refused, not run",
@@ -235,6 +248,6 @@
             }
             _ => "failed",
         };
-        *report.outcomes.entry(end).or_default() += 1;
+        *report.outcomes.entry(outcome).or_default() += 1;
     }
 }
--- a/testutils/src/fleet/crashing_runner.rs
+++ b/testutils/src/fleet/crashing_runner.rs
@@ -1,4 +1,4 @@
-//! A runner that ends under a certain request, whoever sends it, and is started again.
+//! A runner that crashes on one particular request body and is restarted.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,20 +10,20 @@
 use crate::fleet::runner::{Kind, Runner};
 use crate::fleet::store::Store;
 
-/// How long a run of the request lasts before the runner ends: some steps of an engine.
-const RUN: Duration = Duration::from_millis(20);
+/// The time between the start of the request and the crash: some steps of an engine.
+const CRASH_DELAY: Duration = Duration::from_millis(20);
 
-/// The lives of a runner at one address. Each has an id of its own, as on the platform.
+/// The successive instances of a runner at one address. Each has an id of its own, as on the platform.
 #[derive(Clone, Debug)]
 pub struct CrashingRunner {
-    lives: Arc<Mutex<Vec<Runner>>>,
+    instances: Arc<Mutex<Vec<Runner>>>,
 }
 
 impl CrashingRunner {
-    /// Starts a runner that ends as it runs a request with `body`, and is back after `pause`.
+    /// Starts a runner that crashes while it runs a request with `body` and restarts after `pause`.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The address cannot be bound.
     pub async fn start(
         id: &str,
         address: SocketAddr,
@@ -34,37 +34,37 @@
     ) -> std::io::Result<Self> {
         let first = Runner::start(&format!("{id}-0"), address, kind.clone(), store).await?;
         first.crash_on(body.clone());
-        let lives = Arc::new(Mutex::new(vec![first.clone()]));
+        let instances = Arc::new(Mutex::new(vec![first.clone()]));
         let (store, id) = (store.clone(), id.to_owned());
-        let supervised = Self { lives: lives.clone() };
+        let runner = Self { instances: instances.clone() };
         tokio::spawn(async move {
-            let mut life = first;
+            let mut instance = first;
             for number in 1.. {
-                life.ends().await;
-                sleep(RUN).await;
-                life.kill();
+                instance.crash_triggered().await;
+                sleep(CRASH_DELAY).await;
+                instance.kill();
                 sleep(pause).await;
-                store.remove("servers", &life.id);
+                store.remove("servers", &instance.id);
                 let next = format!("{id}-{number}");
-                life = Runner::start(&next, life.address(), kind.clone(), &store)
+                instance = Runner::start(&next, instance.address(), kind.clone(), &store)
                     .await
                     .expect("the address is free again");
-                life.crash_on(body.clone());
-                lives.lock().unwrap_or_else(PoisonError::into_inner).push(life.clone());
+                instance.crash_on(body.clone());
+                instances.lock().unwrap_or_else(PoisonError::into_inner).push(instance.clone());
             }
         });
-        Ok(supervised)
+        Ok(runner)
     }
 
-    /// Ends its present life from outside.
-    pub fn end(&self) {
-        if let Some(life) = self.instances().last() {
-            life.tell_end();
+    /// Crashes the current instance without a request.
+    pub fn crash(&self) {
+        if let Some(instance) = self.instances().last() {
+            instance.trigger_crash();
         }
     }
 
-    /// Its lives so far, in their order.
+    /// All instances so far, in order of their start.
     pub fn instances(&self) -> Vec<Runner> {
-        self.lives.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.instances.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
--- a/testutils/src/fleet/deployment.rs
+++ b/testutils/src/fleet/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment: a store, runners and nodes in one process, for tests.
+//! A whole deployment in one process for tests: a store, runners and nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,29 +24,29 @@
 use crate::fleet::runner::{Kind, Runner};
 use crate::fleet::store::Store;
 
-/// The data centre of nodes and runners that a test does not place itself.
+/// The data centre of nodes and runners unless a test sets another.
 pub const DEFAULT_DATA_CENTRE: &str = "zaal-dom";
-/// The service of model engines.
+/// The service that model engines run.
 pub const MODEL_SERVICE: &str = "telraad";
-/// The plain service.
+/// The service that plain runners run.
 pub const PLAIN_SERVICE: &str = "ontbijtbord";
 
-/// How many nodes a node is told of by its settings, as on the platform.
-const MOST_SEEDS: usize = 3;
+/// The number of seed nodes in a node's settings, as on the platform.
+const MAX_SEEDS: usize = 3;
 
 /// A deployment.
 pub struct Deployment {
     /// The store.
     pub store: Store,
-    /// The runners, in the order of their start.
+    /// The runners, in order of their start.
     pub runners: Vec<Runner>,
-    /// Runners that end under a certain request.
+    /// Runners that crash on one particular request.
     pub crashing_runners: Vec<CrashingRunner>,
-    /// The nodes.
+    /// The nodes, in order of their start.
     pub nodes: Vec<Running>,
-    /// A caller.
+    /// The client for sending requests.
     pub caller: Caller,
-    /// What takes the platform's calls, and the length of the windows of usage.
+    /// The fake platform endpoint, and the length of usage windows.
     pub platform: Option<(Platform, Duration)>,
 }
 
@@ -59,8 +59,8 @@
     })
 }
 
-/// The configuration with the usual routes: `/board/` idempotent, `/eggs/` not, `/count/` a stream
-/// that may be gone on with, `/tally/` one that may not.
+/// The default configuration. Its routes are `/board/` (idempotent), `/eggs/` (not idempotent),
+/// `/count/` (a resumable stream) and `/tally/` (a stream that is not resumable).
 pub fn configuration(version: u64) -> Value {
     json!({
         "version": version,
@@ -81,12 +81,12 @@
     })
 }
 
-/// An account for [`with_accounts`]: its name, its keys and its rank.
+/// A client account for [`with_accounts`]: its name, its API keys and its priority.
 pub type AccountLine<'a> = (&'a str, &'a [&'a str], Option<u8>);
 
-/// The usual configuration with client accounts.
+/// The default configuration with client accounts.
 pub fn with_accounts(version: u64, accounts: &[AccountLine<'_>]) -> Value {
-    let mut whole = configuration(version);
+    let mut config = configuration(version);
     let line = |(name, keys, rank): &AccountLine<'_>| {
         let mut line = json!({"name": name, "apiKeys": keys});
         if let Some(rank) = rank {
@@ -94,26 +94,26 @@
         }
         line
     };
-    whole["tenants"] = accounts.iter().map(line).collect();
-    whole
+    config["tenants"] = accounts.iter().map(line).collect();
+    config
 }
 
-/// The usual configuration with so many routes besides, each of a host and a path of its own.
+/// The default configuration with additional routes, each with its own host and path.
 pub fn large_configuration(version: u64, routes: usize) -> Value {
-    let mut whole = configuration(version);
-    let more = (0..routes).map(|n| {
+    let mut config = configuration(version);
+    let additional = (0..routes).map(|n| {
         let mut route = route(&format!("tenant-{n}"), "/", "idempotent", PLAIN_SERVICE, 3);
-        // Names as hashes give them, which no code shortens.
+        // Hashes as names keep the configuration from compressing well.
         let name = place(n as u64, b"tenant");
         route["host"] = json!(format!("{name:x}.example"));
         route["pathPrefix"] = json!(format!("/{:x}/", name.rotate_left(17)));
         route
     });
-    whole["routes"].as_array_mut().expect("it has routes").extend(more);
-    whole
+    config["routes"].as_array_mut().expect("it has routes").extend(additional);
+    config
 }
 
-/// The settings of a node.
+/// Settings for a node at free addresses.
 pub fn settings(name: &str, store: SocketAddr, seeds: Vec<SocketAddr>) -> Settings {
     let address = || free_address(own_ip());
     Settings {
@@ -138,10 +138,10 @@
 }
 
 impl Deployment {
-    /// A store with a configuration, and no runners or nodes yet.
+    /// Starts a store with the default configuration, without runners or nodes.
     ///
     /// # Panics
-    /// No address is free.
+    /// No free address.
     pub async fn new() -> Self {
         let store = Store::start(any_address()).await.expect("a free address");
         store.put("config", "main", &configuration(1));
@@ -150,17 +150,17 @@
         Self { store, runners, crashing_runners, nodes, caller: Caller::default(), platform }
     }
 
-    /// Has usage reported to the platform in windows of `window`.
+    /// Starts a fake platform, to which nodes report usage in windows of `window`.
     ///
     /// # Panics
-    /// No address is free.
+    /// No free address.
     pub async fn with_platform(mut self, window: Duration) -> Self {
         let platform = Platform::start(any_address()).await.expect("a free address");
         self.platform = Some((platform, window));
         self
     }
 
-    /// The settings of a node of this deployment.
+    /// Settings for a node of this deployment.
     pub fn settings(&self, name: &str, seeds: Vec<SocketAddr>) -> Settings {
         let settings = settings(name, self.store.address(), seeds);
         let platform = self.platform.as_ref();
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Adds runners of the plain service.
+    /// Adds plain runners.
     pub async fn with_plain(mut self, count: usize) -> Self {
         for _ in 0..count {
             self.add_runner(PLAIN_SERVICE, None).await;
@@ -190,7 +190,7 @@
         self
     }
 
-    /// Adds nodes, and waits until all take callers and know each other.
+    /// Adds nodes and waits until all are ready and know each other.
     ///
     /// # Panics
     /// A node does not start.
@@ -206,7 +206,7 @@
     /// Starts a runner.
     ///
     /// # Panics
-    /// No address is free.
+    /// No free address.
     pub async fn add_runner(&mut self, service: &str, stage: Option<&'static str>) -> Runner {
         let id = format!("i-{}", self.runners.len());
         let kind = Kind {
@@ -221,11 +221,11 @@
         runner
     }
 
-    /// Adds runners that end under a request with `body` and are back after `pause`. They are not
-    /// among [`Deployment::runners`], as each of their lives is a runner.
+    /// Adds runners that crash on a request with `body` and restart after `pause`. They are not part of
+    /// [`Deployment::runners`], since each of their instances is a runner.
     ///
     /// # Panics
-    /// No address is free.
+    /// No free address.
     pub async fn add_crashing_runners(
         &mut self,
         stage: Option<&'static str>,
@@ -245,7 +245,7 @@
         }
     }
 
-    /// How many lives of supervised runners have begun to read or run a request with `body`.
+    /// The number of instances of crashing runners that have received a request with `body`.
     pub fn crash_count(&self, body: &Bytes) -> usize {
         let lives = self.crashing_runners.iter().flat_map(CrashingRunner::instances);
         lives.filter(|life| life.received().iter().any(|s| s.body == *body)).count()
@@ -259,7 +259,7 @@
         self.add_node_with_clock(name, seeds, Arc::new(System)).await;
     }
 
-    /// Starts a node that goes by a clock of its own.
+    /// Starts a node with the given clock.
     ///
     /// # Panics
     /// It does not start.
@@ -274,7 +274,7 @@
         self.nodes.push(node);
     }
 
-    /// Starts a node that reaches the store through a link of `rate` bytes a second.
+    /// Starts a node that reaches the store through a link of `rate` bytes per second.
     ///
     /// # Panics
     /// It does not start.
@@ -287,23 +287,23 @@
         self.nodes.push(node.expect("free addresses"));
     }
 
-    /// Starts a node whose answers to other nodes go through a link of `rate` bytes a second.
+    /// Starts a node whose responses to other nodes go through a link of `rate` bytes per second.
     ///
     /// # Panics
     /// It does not start.
     pub async fn add_node_with_peer_link(&mut self, name: &str, rate: f64) -> Link {
-        let seeds = self.nodes.iter().map(|node| node.shared.me.peer).take(MOST_SEEDS).collect();
+        let seeds = self.nodes.iter().map(|node| node.shared.me.peer).take(MAX_SEEDS).collect();
         let settings = settings(name, self.store.address(), seeds);
         let mut sockets = Sockets::bind(&settings).await.expect("free addresses");
-        // Others reach the link at the node's address, and the link alone reaches the node.
-        let behind = TcpListener::bind(any_address()).await.expect("a free address");
-        let server = behind.local_addr().expect("a listener has an address");
-        let link = Link::start(std::mem::replace(&mut sockets.peers, behind), server, rate);
+        // The link takes over the node's address; the node listens on an address that only the link knows.
+        let listener = TcpListener::bind(any_address()).await.expect("a free address");
+        let server = listener.local_addr().expect("a listener has an address");
+        let link = Link::start(std::mem::replace(&mut sockets.peers, listener), server, rate);
         self.nodes.push(run::start_at(settings, Arc::new(System), Metrics::default(), sockets));
         link
     }
 
-    /// Waits until all nodes take callers, hear each other, and know all runners.
+    /// Waits until all nodes are ready and know all other nodes and all runners.
     pub async fn wait_ready(&self) {
         let others = self.nodes.len().saturating_sub(1);
         let runners = self.runners.len() + self.crashing_runners.len();
@@ -319,22 +319,22 @@
         .await;
     }
 
-    /// Where callers reach a node.
+    /// The address of a node for callers.
     pub fn front(&self, at: usize) -> SocketAddr {
         self.nodes[at].shared.me.front
     }
 
-    /// Sends a request to a node.
-    pub async fn send(&self, at: usize, ask: &RequestSpec<'_>) -> Reply {
-        self.caller.send(self.front(at), ask).await
+    /// Sends a request to the node at index `at`.
+    pub async fn send(&self, at: usize, request: &RequestSpec<'_>) -> Reply {
+        self.caller.send(self.front(at), request).await
     }
 
-    /// Sends a request without anything unusual about it.
+    /// Sends a request with default parameters to the first node.
     pub async fn send_default(&self, path: &str, id: &str) -> Reply {
         self.send(0, &RequestSpec::new(path, id)).await
     }
 
-    /// How often a request ran, over all runners.
+    /// How often a request ran across all runners.
     pub fn run_count(&self, id: &str) -> usize {
         self.runners.iter().map(|runner| runner.run_count(id)).sum()
     }
--- a/testutils/src/fleet/link.rs
+++ b/testutils/src/fleet/link.rs
@@ -1,4 +1,4 @@
-//! A loopback link of a bounded rate before one server, which all its connections share.
+//! A loopback TCP proxy in front of one server, whose connections share a bandwidth limit.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,12 +10,13 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{Instant, sleep_until};
 
-/// The largest piece that is sent at once; smaller ones share the link more evenly.
-const PIECE: usize = 4 << 10;
-/// What a connection holds on its way to the link, in bytes, as the small windows of a real one do.
-const WINDOW: u32 = 32 << 10;
+/// The buffer size in bytes; small chunks share the bandwidth more evenly between connections.
+const CHUNK_BYTES: usize = 4 << 10;
+/// The receive buffer of a connection to the server in bytes; small, like the TCP window of a slow
+/// link.
+const RECEIVE_BUFFER_BYTES: u32 = 32 << 10;
 
-/// A link.
+/// A bandwidth-limited link.
 #[derive(Clone, Debug)]
 pub struct Link {
     inner: Arc<Inner>,
@@ -24,34 +25,35 @@
 #[derive(Debug)]
 struct Inner {
     server: SocketAddr,
-    /// Bytes a second from the server to all its callers together.
+    /// Bytes per second from the server to all of its clients together.
     rate: f64,
-    carried: AtomicU64,
-    /// When the link has sent what it has taken.
-    free: Mutex<Instant>,
+    bytes_sent: AtomicU64,
+    /// When all bytes that were accepted so far have been sent.
+    busy_until: Mutex<Instant>,
 }
 
 impl Link {
-    /// Carries what comes to `listener` to `server`, and its answers back at `rate` bytes a second.
+    /// Forwards connections from `listener` to `server`. Traffic from the server is limited to `rate`
+    /// bytes per second; the other direction is not limited.
     pub fn start(listener: TcpListener, server: SocketAddr, rate: f64) -> Self {
-        let free = Mutex::new(Instant::now());
-        let inner = Arc::new(Inner { server, rate, carried: AtomicU64::new(0), free });
+        let busy_until = Mutex::new(Instant::now());
+        let inner = Arc::new(Inner { server, rate, bytes_sent: AtomicU64::new(0), busy_until });
         let link = Self { inner };
         tokio::spawn(accept(link.clone(), listener));
         link
     }
 
-    /// Bytes that the server's callers were sent so far.
+    /// Bytes sent to the server's clients so far.
     pub fn bytes_sent(&self) -> u64 {
-        self.inner.carried.load(Ordering::Relaxed)
+        self.inner.bytes_sent.load(Ordering::Relaxed)
     }
 
-    /// When `bytes` that are given to the link now have been sent.
-    fn sent_at(&self, bytes: usize) -> Instant {
-        let mut free = self.inner.free.lock().unwrap_or_else(PoisonError::into_inner);
-        let took = Duration::from_secs_f64(bytes as f64 / self.inner.rate);
-        *free = (*free).max(Instant::now()) + took;
-        *free
+    /// Reserves bandwidth for `bytes` and returns when they have been sent.
+    fn reserve(&self, bytes: usize) -> Instant {
+        let mut busy_until = self.inner.busy_until.lock().unwrap_or_else(PoisonError::into_inner);
+        let duration = Duration::from_secs_f64(bytes as f64 / self.inner.rate);
+        *busy_until = (*busy_until).max(Instant::now()) + duration;
+        *busy_until
     }
 }
 
@@ -59,42 +61,42 @@
     while let Ok((stream, _)) = listener.accept().await {
         let link = link.clone();
         tokio::spawn(async move {
-            if let Err(error) = carry(&link, stream).await {
-                log::debug!(error:% = error; "a connection through a link ended");
+            if let Err(error) = forward(&link, stream).await {
+                log::debug!(error:% = error; "connection through a link failed");
             }
         });
     }
 }
 
-async fn carry(link: &Link, stream: TcpStream) -> std::io::Result<()> {
+async fn forward(link: &Link, stream: TcpStream) -> std::io::Result<()> {
     let socket = TcpSocket::new_v4()?;
-    socket.set_recv_buffer_size(WINDOW)?;
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
     let server = socket.connect(link.inner.server).await?;
     stream.set_nodelay(true)?;
     server.set_nodelay(true)?;
     let (from_caller, to_caller) = stream.into_split();
     let (from_server, to_server) = server.into_split();
     tokio::select! {
-        there = pump(from_caller, to_server, None) => there,
-        back = pump(from_server, to_caller, Some(link)) => back,
+        upload = copy_bytes(from_caller, to_server, None) => upload,
+        download = copy_bytes(from_server, to_caller, Some(link)) => download,
     }
 }
 
-/// Carries bytes one way until either side ends; through the link if there is one this way.
-async fn pump(
+/// Copies bytes in one direction until either side closes, limited by `link` if given.
+async fn copy_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     link: Option<&Link>,
 ) -> std::io::Result<()> {
-    let mut buffer = vec![0; PIECE];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
         let length = from.read(&mut buffer).await?;
         if length == 0 {
             return to.shutdown().await;
         }
         if let Some(link) = link {
-            sleep_until(link.sent_at(length)).await;
-            link.inner.carried.fetch_add(length as u64, Ordering::Relaxed);
+            sleep_until(link.reserve(length)).await;
+            link.inner.bytes_sent.fetch_add(length as u64, Ordering::Relaxed);
         }
         to.write_all(&buffer[..length]).await?;
     }
--- a/testutils/src/fleet/mod.rs
+++ b/testutils/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the users' platform in its published protocol: the store of objects, runners of
-//! plain services and model engines, callers, and a node among them.
+//! Fakes of the users' platform, which speak its published protocol: the object store, runners of
+//! plain services and model engines, callers, and the beat of a node.
 
 pub mod beat;
 pub mod caller;
--- a/testutils/src/fleet/platform.rs
+++ b/testutils/src/fleet/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for what takes the platform's calls that one node at a time makes.
+//! A fake of the platform endpoints that only the node holding the lease may call.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,30 +12,30 @@
 
 use crate::server::{Body, Cut, Server, answer, read};
 
-/// How it fails.
+/// A fault of the platform.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// It answers 503.
+    /// Answers 503.
     Busy,
-    /// It answers nothing.
+    /// Does not answer.
     Silent,
-    /// It takes calls, and breaks the connection off before it answers.
+    /// Processes calls, but aborts the connection before it answers.
     DropResponse,
 }
 
-/// A call that was taken.
+/// An accepted call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// When.
+    /// When it arrived.
     pub at: Instant,
     /// Its path.
     pub path: String,
-    /// In whose name.
+    /// The lease holder that it names.
     pub holder: String,
-    /// The fencing number.
+    /// The fencing token.
     pub token: u64,
     /// The body.
     pub body: Value,
@@ -44,12 +44,12 @@
 #[derive(Debug, Default)]
 struct Inner {
     fault: Fault,
-    /// Data centres in which no runners are to be had.
-    dry: Vec<String>,
+    /// Data centres without capacity for spot runners.
+    without_capacity: Vec<String>,
     calls: Vec<Call>,
 }
 
-/// The platform.
+/// The fake platform.
 #[derive(Clone, Debug)]
 pub struct Platform {
     inner: Arc<Mutex<Inner>>,
@@ -61,10 +61,10 @@
 }
 
 impl Platform {
-    /// Starts it.
+    /// Starts the server.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The address cannot be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let inner = Arc::new(Mutex::new(Inner::default()));
         let state = inner.clone();
@@ -73,27 +73,27 @@
         Ok(Self { inner, server })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Makes it fail.
+    /// Sets the fault.
     pub fn set_fault(&self, fault: Fault) {
         lock(&self.inner).fault = fault;
     }
 
-    /// Has no runners in a data centre from now on.
+    /// Refuses orders for spot runners in a data centre from now on.
     pub fn set_without_capacity(&self, data_centre: &str) {
-        lock(&self.inner).dry.push(data_centre.to_owned());
+        lock(&self.inner).without_capacity.push(data_centre.to_owned());
     }
 
-    /// The calls that it has taken, in their order.
+    /// The accepted calls, in order of arrival.
     pub fn calls(&self) -> Vec<Call> {
         lock(&self.inner).calls.clone()
     }
 
-    /// The windows that were reported, with the counts of each.
+    /// The reported usage windows, with the counts of each.
     ///
     /// # Panics
     /// A window was reported twice with different counts.
@@ -102,32 +102,35 @@
         for call in self.calls().into_iter().filter(|call| call.path == "/usage") {
             let window = call.body["window"].as_u64().expect("a window has a number");
             let counts = serde_json::from_value(call.body["counts"].clone()).expect("counts");
-            let known = windows.entry(window).or_insert_with(|| BTreeMap::clone(&counts));
-            assert_eq!(*known, counts, "window {window} was reported twice, differently");
+            let reported = windows.entry(window).or_insert_with(|| BTreeMap::clone(&counts));
+            assert_eq!(*reported, counts, "window {window} was reported twice, differently");
         }
         windows
     }
 
-    /// What is wrong with the order of the calls: a lower number after a higher one, one number of two
-    /// holders, or two holders by turns within `turns`.
+    /// Describes the first violation in the order of the calls: a lower fencing token after a higher one,
+    /// one token used by two holders, or two holders that alternate within `turns`.
     pub fn ordering_violation(&self, turns: Duration) -> Option<String> {
         let calls = self.calls();
         for (at, call) in calls.iter().enumerate() {
-            for before in &calls[..at] {
-                if before.token > call.token {
-                    return Some(format!("{} after {}", call.token, before.token));
+            for earlier in &calls[..at] {
+                if earlier.token > call.token {
+                    return Some(format!("token {} after {}", call.token, earlier.token));
                 }
-                if before.token == call.token && before.holder != call.holder {
-                    return Some(format!("{} of two holders", call.token));
+                if earlier.token == call.token && earlier.holder != call.holder {
+                    return Some(format!("token {} used by two holders", call.token));
                 }
             }
-            let since = calls[..at].iter().filter(|before| call.at - before.at < turns);
-            let mut other = false;
-            for before in since {
-                if other && before.holder == call.holder {
-                    return Some(format!("{} by turns", call.holder));
+            let recent = calls[..at].iter().filter(|earlier| call.at - earlier.at < turns);
+            let mut alternated = false;
+            for earlier in recent {
+                if alternated && earlier.holder == call.holder {
+                    return Some(format!(
+                        "calls of {} alternate with another holder's",
+                        call.holder
+                    ));
                 }
-                other |= before.holder != call.holder;
+                alternated |= earlier.holder != call.holder;
             }
         }
         None
@@ -162,7 +165,7 @@
     let holder = text(&head.headers, "lease-holder");
     let data_centre = body["zone"].as_str().unwrap_or_default().to_owned();
     let mut state = lock(&inner);
-    if state.dry.contains(&data_centre) && body["spot"] == Value::Bool(true) {
+    if state.without_capacity.contains(&data_centre) && body["spot"] == Value::Bool(true) {
         return Ok(answer(StatusCode::CONFLICT, ""));
     }
     let path = head.uri.path().to_owned();
--- a/testutils/src/fleet/proxy.rs
+++ b/testutils/src/fleet/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections through it.
+//! A loopback TCP proxy that injects network faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,114 +10,121 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// What is done to connections.
+/// A network fault that is applied to all connections of a proxy.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Harm {
-    /// Nothing.
+pub enum NetworkFault {
+    /// Forward without a fault.
     #[default]
     None,
-    /// Every piece of bytes is delayed so long.
+    /// Delay every chunk by this time.
     Delay(Duration),
-    /// Open connections are reset once, and new ones at once.
+    /// Reset open connections, and new ones on accept.
     Reset,
-    /// Bytes towards the server are held back.
-    OneWay,
-    /// Bytes are held back both ways.
-    Silence,
+    /// Hold back bytes towards the server.
+    BlockToServer,
+    /// Hold back bytes in both directions.
+    BlockBoth,
 }
 
-/// A proxy before one server.
+/// A proxy in front of one server.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    harm: Arc<watch::Sender<Harm>>,
+    fault: Arc<watch::Sender<NetworkFault>>,
 }
 
 impl Proxy {
-    /// Starts a proxy at `address` before `server`.
+    /// Starts a proxy at `address` in front of `server`.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The address cannot be bound.
     pub async fn start(address: SocketAddr, server: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let harm = Arc::new(watch::Sender::new(Harm::None));
-        tokio::spawn(accept(listener, server, harm.clone()));
-        Ok(Self { address, harm })
+        let fault = Arc::new(watch::Sender::new(NetworkFault::None));
+        tokio::spawn(accept(listener, server, fault.clone()));
+        Ok(Self { address, fault })
     }
 
-    /// Does something to all connections from now on.
-    pub fn set(&self, harm: Harm) {
-        self.harm.send_replace(harm);
+    /// Applies a fault to all connections from now on.
+    pub fn set(&self, fault: NetworkFault) {
+        self.fault.send_replace(fault);
     }
 }
 
-async fn accept(listener: TcpListener, server: SocketAddr, harm: Arc<watch::Sender<Harm>>) {
+async fn accept(
+    listener: TcpListener,
+    server: SocketAddr,
+    fault: Arc<watch::Sender<NetworkFault>>,
+) {
     while let Ok((stream, _)) = listener.accept().await {
-        let harm = harm.clone();
+        let fault = fault.clone();
         tokio::spawn(async move {
-            let now = *harm.borrow();
-            if now == Harm::Reset {
+            let now = *fault.borrow();
+            if now == NetworkFault::Reset {
                 return reset(&stream);
             }
             let Ok(upstream) = TcpStream::connect(server).await else { return reset(&stream) };
-            // Small pieces must not wait for each other.
+            // Nagle's algorithm would delay small chunks.
             let _ = (stream.set_nodelay(true), upstream.set_nodelay(true));
-            carry(stream, upstream, &harm).await;
+            forward(stream, upstream, &fault).await;
         });
     }
 }
 
-/// A connection that is dropped with no time to linger is reset.
+/// Makes the connection end with a reset when it is dropped, by a linger time of zero.
 fn reset(stream: &TcpStream) {
-    // If it cannot be set the connection is closed, which harms too.
+    // If the option cannot be set, the connection is closed normally, which is a fault as well.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn carry(stream: TcpStream, upstream: TcpStream, harm: &watch::Sender<Harm>) {
+async fn forward(stream: TcpStream, upstream: TcpStream, fault: &watch::Sender<NetworkFault>) {
     reset(&stream);
     let (from_caller, to_caller) = stream.into_split();
     let (from_server, to_server) = upstream.into_split();
-    let mut resets = harm.subscribe();
-    let there = pump(from_caller, to_server, harm, true);
-    let back = pump(from_server, to_caller, harm, false);
+    let mut resets = fault.subscribe();
+    let upload = copy_bytes(from_caller, to_server, fault, true);
+    let download = copy_bytes(from_server, to_caller, fault, false);
     tokio::select! {
-        _ = there => {}
-        _ = back => {}
-        _ = until(&mut resets, |harm| *harm == Harm::Reset) => {}
+        _ = upload => {}
+        _ = download => {}
+        _ = wait_for(&mut resets, |fault| *fault == NetworkFault::Reset) => {}
     }
 }
 
-/// Waits until the harm is as asked for; false if the proxy is gone.
-async fn until(harms: &mut watch::Receiver<Harm>, asked: impl Fn(&Harm) -> bool) -> bool {
-    harms.wait_for(asked).await.is_ok()
+/// Waits until the fault satisfies `condition`; false if the proxy was dropped.
+async fn wait_for(
+    faults: &mut watch::Receiver<NetworkFault>,
+    condition: impl Fn(&NetworkFault) -> bool,
+) -> bool {
+    faults.wait_for(condition).await.is_ok()
 }
 
-/// Carries bytes one way until either side ends.
-async fn pump(
+/// Copies bytes in one direction until either side closes, subject to the current fault.
+async fn copy_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    harm: &watch::Sender<Harm>,
-    there: bool,
+    fault: &watch::Sender<NetworkFault>,
+    upload: bool,
 ) -> std::io::Result<()> {
     let mut buffer = vec![0; 16 << 10];
-    let mut harms = harm.subscribe();
+    let mut faults = fault.subscribe();
     loop {
         let length = from.read(&mut buffer).await?;
         if length == 0 {
             return to.shutdown().await;
         }
-        let now = *harm.borrow();
-        if let Harm::Delay(delay) = now {
+        let now = *fault.borrow();
+        if let NetworkFault::Delay(delay) = now {
             sleep(delay).await;
         }
-        let passes = |harm: &Harm| match harm {
-            Harm::Silence => false,
-            Harm::OneWay => !there,
-            Harm::None | Harm::Delay(_) | Harm::Reset => true,
+        let forwards = |fault: &NetworkFault| match fault {
+            NetworkFault::BlockBoth => false,
+            NetworkFault::BlockToServer => !upload,
+            NetworkFault::None | NetworkFault::Delay(_) | NetworkFault::Reset => true,
         };
-        if !until(&mut harms, passes).await {
+        if !wait_for(&mut faults, forwards).await {
             return Ok(());
         }
         to.write_all(&buffer[..length]).await?;
--- a/testutils/src/fleet/runner/event.rs
+++ b/testutils/src/fleet/runner/event.rs
@@ -1,4 +1,4 @@
-//! The events of a stand-in's stream.
+//! The event stream of a fake runner.
 
 use bytes::Bytes;
 use futures_util::stream;
@@ -11,18 +11,18 @@
 use super::work::Running;
 use crate::server::{Body, Cut};
 
-/// In place of the next event's id: the stream breaks off.
-const CUT: u64 = u64::MAX - 1;
+/// Takes the place of the next event's id when the stream is to be aborted.
+const ABORT: u64 = u64::MAX - 1;
 
-/// The bytes of a stream's event.
+/// The encoding of one event.
 pub fn event(id: u64) -> String {
     format!("id: {id}\ndata: token {id}\n\n")
 }
 
-/// The events of a stream from `first` to `last`; `running` counts it until it has ended.
+/// A stream of the events from `first` to `last`. `running` counts it as in flight until it ends.
 pub(super) fn events(first: u64, last: u64, faults: Faults, running: Running) -> Body {
     let step = move |(next, running): (u64, Running)| async move {
-        if next == CUT {
+        if next == ABORT {
             return Some((Err(Cut), (u64::MAX, running)));
         }
         if next > last {
@@ -32,19 +32,19 @@
             sleep(faults.event_interval).await;
         }
         if faults.abort_after.is_some_and(|after| next > after) {
-            // A part of the event leaves before the connection breaks.
+            // A part of the event is sent before the connection is aborted.
             let part = Bytes::from(event(next)).slice(..6);
-            return Some((Ok(Frame::data(part)), (CUT, running)));
+            return Some((Ok(Frame::data(part)), (ABORT, running)));
         }
         let frame = Frame::data(Bytes::from(event(next)));
         Some((Ok(frame), (next + 1, running)))
     };
     let stream = stream::unfold((first, running), step);
-    StreamBody::new(ReceiverStream::new(forward(stream))).boxed()
+    StreamBody::new(ReceiverStream::new(spawn_stream(stream))).boxed()
 }
 
-/// Runs a stream in a task of its own, which ends when nobody reads it any more.
-fn forward<S>(stream: S) -> tokio::sync::mpsc::Receiver<S::Item>
+/// Runs a stream in its own task, which stops when the receiver is dropped.
+fn spawn_stream<S>(stream: S) -> tokio::sync::mpsc::Receiver<S::Item>
 where
     S: futures_util::Stream<Item: Send> + Send + 'static,
 {
@@ -55,7 +55,7 @@
         loop {
             let next = tokio::select! {
                 next = stream.next() => next,
-                // The caller has left: the work stops.
+                // The caller has disconnected.
                 () = sender.closed() => return,
             };
             let Some(item) = next else { return };
--- a/testutils/src/fleet/runner/mod.rs
+++ b/testutils/src/fleet/runner/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for runners: plain services and model engines.
+//! Fake runners: plain services and model engines.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use self::work::{Work, handle};
+use self::work::{Handler, handle};
 use crate::fleet::signal::Signals;
 use crate::fleet::store::Store;
 use crate::server::Server;
@@ -21,54 +21,54 @@
 mod event;
 mod work;
 
-/// How a runner fails.
+/// The faults of a runner.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// It breaks a stream off after so many events, within the next one.
+    /// Aborts a stream after this many events, in the middle of the next one.
     pub abort_after: Option<u64>,
-    /// It says that it did not run what it is sent.
+    /// Refuses requests with the statement that they were not run.
     pub refuse: bool,
-    /// It never answers.
+    /// Does not answer.
     pub hang: bool,
-    /// It breaks the connection off once it has run a request.
+    /// Aborts the connection after running a request.
     pub drop_response: bool,
-    /// It answers with its own failure.
+    /// Answers 500.
     pub respond_500: bool,
-    /// It answers as if to another request.
+    /// Signs the response with the id of another request.
     pub wrong_request_id: bool,
-    /// How long it takes for an answer, or to read a prompt.
+    /// The time before a response, or to process a prompt.
     pub response_delay: Duration,
-    /// How long it takes between events.
+    /// The time between events of a stream.
     pub event_interval: Duration,
-    /// It carries orders out and does not answer them.
+    /// Carries out orders, but aborts the connection before it answers them.
     pub drop_order_response: bool,
 }
 
-/// A request as a runner saw it.
+/// A request as a runner received it.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedRequest {
-    /// Its id.
+    /// The request id.
     pub id: String,
-    /// Its path and query.
+    /// The path and query.
     pub path: String,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// Whether it ran.
+    /// Whether the runner ran it.
     pub ran: bool,
-    /// When it came; none in a request that was made up.
+    /// When it arrived; `None` in a value that a test made.
     pub at: Option<Instant>,
 }
 
-/// An order as a runner saw it.
+/// An order as a runner received it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
-    /// Who gave it.
+    /// The lease holder that sent it.
     pub holder: String,
-    /// Its fencing number.
+    /// The fencing token.
     pub token: u64,
-    /// The stage it asks for.
+    /// The requested stage.
     pub stage: String,
 }
 
@@ -76,53 +76,53 @@
 struct Inner {
     faults: Faults,
     signals: Signals,
-    seen: Vec<ReceivedRequest>,
+    received: Vec<ReceivedRequest>,
     orders: Vec<Order>,
     handles: HashSet<String>,
-    /// The parts it keeps, by id, with their tokens.
-    kept: HashMap<String, u64>,
+    /// The token count of each cached prompt part, by id.
+    cached_parts: HashMap<String, u64>,
     next_handle: u64,
-    freed: u64,
+    freed_handles: u64,
     running: u64,
     stage: Option<String>,
-    accepted: u64,
-    state: &'static str,
+    accepted_orders: u64,
+    entry_state: &'static str,
     entry_writes: u64,
-    /// When this life of it began, in milliseconds of no particular clock.
-    born: u64,
-    /// The body of the request under which it ends.
-    ends_under: Option<Bytes>,
-    /// Tells that it has begun to run that request.
-    ends: Arc<Notify>,
+    /// The start time of this instance in milliseconds, on an arbitrary clock.
+    started_at: u64,
+    /// The body of the request on which it crashes.
+    crash_body: Option<Bytes>,
+    /// Notified when it starts to run that request.
+    crash_triggered: Arc<Notify>,
 }
 
-/// When the first life of a runner began.
-const FIRST_BORN: u64 = 1_764_000_000_000;
+/// The start time of a runner's first instance.
+const FIRST_START_MS: u64 = 1_764_000_000_000;
 
-/// What a runner is.
+/// The properties of a runner.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// Its service.
+    /// The service that it runs.
     pub service: String,
-    /// Its data centre.
+    /// The data centre that it is in.
     pub data_centre: String,
-    /// Its stage, for model engines.
+    /// The stage; only model engines have one.
     pub stage: Option<&'static str>,
-    /// How many events its streams have.
+    /// The number of events in each stream.
     pub events: u64,
 }
 
-/// A runner.
+/// A fake runner.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// Its id, which it keeps when it starts again.
+    /// The runner id, which it keeps across restarts.
     pub id: String,
     kind: Kind,
     inner: Arc<Mutex<Inner>>,
     server: Arc<Server>,
     store: Store,
-    /// Where its entry says that it is, if not where it listens.
-    shown: Arc<OnceLock<SocketAddr>>,
+    /// The address in its entry, if it differs from the one it listens on.
+    published_address: Arc<OnceLock<SocketAddr>>,
 }
 
 fn lock(inner: &Mutex<Inner>) -> std::sync::MutexGuard<'_, Inner> {
@@ -133,158 +133,165 @@
     /// Starts a runner and writes its entry.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The address cannot be bound.
     pub async fn start(
         id: &str,
         address: SocketAddr,
         kind: Kind,
         store: &Store,
     ) -> std::io::Result<Self> {
-        Self::start_life(id, address, kind, store, FIRST_BORN).await
+        Self::start_instance(id, address, kind, store, FIRST_START_MS).await
     }
 
-    /// Ends as a killed process does and starts again under its id, at another address: it holds and
-    /// knows nothing of before, and its counts start anew.
+    /// Kills the runner and starts it under the same id at another address, with empty state and with
+    /// counters at zero.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The address cannot be bound.
     pub async fn restart(&self, address: SocketAddr) -> std::io::Result<Self> {
         self.kill();
-        let born = lock(&self.inner).born + 1;
-        Self::start_life(&self.id, address, self.kind.clone(), &self.store, born).await
+        let started_at = lock(&self.inner).started_at + 1;
+        Self::start_instance(&self.id, address, self.kind.clone(), &self.store, started_at).await
     }
 
-    async fn start_life(
+    async fn start_instance(
         id: &str,
         address: SocketAddr,
         kind: Kind,
         store: &Store,
-        born: u64,
+        started_at: u64,
     ) -> std::io::Result<Self> {
         let stage = kind.stage.map(str::to_owned);
-        let inner = Inner { stage, state: "ready", born, ..Inner::default() };
+        let inner = Inner { stage, entry_state: "ready", started_at, ..Inner::default() };
         let inner = Arc::new(Mutex::new(inner));
-        let work = Work { id: id.to_owned(), kind: kind.clone(), inner: inner.clone() };
+        let work = Handler { id: id.to_owned(), kind: kind.clone(), inner: inner.clone() };
         let work = Arc::new(work);
         let handler = move |request| handle(work.clone(), request);
         let server = Arc::new(Server::start(address, handler).await?);
-        let shown = Arc::default();
-        let runner = Self { id: id.to_owned(), kind, inner, server, store: store.clone(), shown };
+        let published_address = Arc::default();
+        let runner = Self {
+            id: id.to_owned(),
+            kind,
+            inner,
+            server,
+            store: store.clone(),
+            published_address,
+        };
         runner.write_entry();
         Ok(runner)
     }
 
-    /// Has its entry say that it is elsewhere, as behind a proxy.
-    pub fn show_at(&self, address: SocketAddr) {
-        // Only the first call counts; a runner does not move.
-        let _ = self.shown.set(address);
+    /// Publishes another address in its entry, such as that of a proxy.
+    pub fn publish_address(&self, address: SocketAddr) {
+        // Only the first call has an effect: a runner does not change its address.
+        let _ = self.published_address.set(address);
         self.write_entry();
     }
 
-    /// Its service.
+    /// The service that it runs.
     pub fn service(&self) -> &str {
         &self.kind.service
     }
 
-    /// Whether its streams are a model engine's.
+    /// Whether it is a model engine.
     pub fn is_engine(&self) -> bool {
         self.kind.stage.is_some()
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Writes its entry in the store anew, as it does from time to time.
+    /// Writes its entry to the store, as runners do periodically.
     pub fn write_entry(&self) {
         self.store.put("servers", &self.id, &self.entry());
     }
 
-    /// Its entry as it would write it now.
+    /// The entry as of now. Each call counts as a write of the entry.
     pub fn entry(&self) -> Value {
         let mut inner = lock(&self.inner);
         inner.entry_writes += 1;
-        let address = self.shown.get().unwrap_or(&self.server.address).to_string();
+        let address = self.published_address.get().unwrap_or(&self.server.address).to_string();
         json!({
             "service": self.kind.service, "address": address,
             "zone": self.kind.data_centre, "version": "v1", "slots": 8,
-            "state": inner.state, "coldRemainingMs": 0, "stage": inner.stage,
-            "models": [], "seq": inner.entry_writes, "born": inner.born,
+            "state": inner.entry_state, "coldRemainingMs": 0, "stage": inner.stage,
+            "models": [], "seq": inner.entry_writes, "born": inner.started_at,
         })
     }
 
-    /// Says that it is about to leave.
+    /// Marks its entry as draining.
     pub fn drain(&self) {
-        lock(&self.inner).state = "draining";
+        lock(&self.inner).entry_state = "draining";
         self.write_entry();
     }
 
-    /// Ends as a killed process does; its entry stays.
+    /// Aborts all connections and stops listening, as a killed process does. The entry stays.
     pub fn kill(&self) {
         self.server.stop();
     }
 
-    /// Makes it fail.
+    /// Sets the faults.
     pub fn set_faults(&self, faults: Faults) {
         lock(&self.inner).faults = faults;
     }
 
-    /// Has all its answers carry these signals from now on, in place of those before.
+    /// Replaces the signals that all responses carry.
     pub fn set_signals(&self, signals: Signals) {
         lock(&self.inner).signals = signals;
     }
 
-    /// Has it end when it runs a request with this body.
+    /// Makes it crash when it runs a request with this body.
     pub fn crash_on(&self, body: Bytes) {
-        lock(&self.inner).ends_under = Some(body);
+        lock(&self.inner).crash_body = Some(body);
     }
 
-    /// Has whoever waits for its end hear of it now.
-    pub fn tell_end(&self) {
-        lock(&self.inner).ends.notify_one();
+    /// Reports a crash now, without a request.
+    pub fn trigger_crash(&self) {
+        lock(&self.inner).crash_triggered.notify_one();
     }
 
-    /// Waits until it has begun to run the request under which it ends.
-    pub async fn ends(&self) {
-        let ends = lock(&self.inner).ends.clone();
-        ends.notified().await;
+    /// Waits until it starts to run the request on which it crashes.
+    pub async fn crash_triggered(&self) {
+        let crash_triggered = lock(&self.inner).crash_triggered.clone();
+        crash_triggered.notified().await;
     }
 
-    /// The requests it saw.
+    /// The received requests.
     pub fn received(&self) -> Vec<ReceivedRequest> {
-        lock(&self.inner).seen.clone()
+        lock(&self.inner).received.clone()
     }
 
-    /// How often it ran requests with this id.
+    /// How often it ran a request with this id.
     pub fn run_count(&self, id: &str) -> usize {
-        lock(&self.inner).seen.iter().filter(|s| s.id == id && s.ran).count()
+        lock(&self.inner).received.iter().filter(|s| s.id == id && s.ran).count()
     }
 
-    /// The orders it saw.
+    /// The received orders.
     pub fn orders(&self) -> Vec<Order> {
         lock(&self.inner).orders.clone()
     }
 
-    /// Requests under way.
+    /// The number of requests in flight.
     pub fn running(&self) -> u64 {
         lock(&self.inner).running
     }
 
-    /// KV caches that wait to be taken, and those that were freed.
+    /// The number of KV cache handles that wait to be fetched, and of those that were freed.
     pub fn handles(&self) -> (usize, u64) {
         let inner = lock(&self.inner);
-        (inner.handles.len(), inner.freed)
+        (inner.handles.len(), inner.freed_handles)
     }
 }
 
-/// How often each request ran, over all runners.
-pub fn runs(runners: &[Runner]) -> HashMap<String, usize> {
-    let mut runs = HashMap::new();
+/// How often each request ran across all runners, by request id.
+pub fn run_counts(runners: &[Runner]) -> HashMap<String, usize> {
+    let mut run_counts = HashMap::new();
     for runner in runners {
-        for seen in runner.received() {
-            *runs.entry(seen.id).or_insert(0) += usize::from(seen.ran);
+        for received in runner.received() {
+            *run_counts.entry(received.id).or_insert(0) += usize::from(received.ran);
         }
     }
-    runs
+    run_counts
 }
--- a/testutils/src/fleet/runner/work.rs
+++ b/testutils/src/fleet/runner/work.rs
@@ -1,4 +1,4 @@
-//! What a stand-in for a runner does with each request.
+//! Request handling of a fake runner.
 
 use std::future::pending;
 use std::sync::{Arc, Mutex};
@@ -15,8 +15,8 @@
 use super::{Inner, Kind, Order, ReceivedRequest, lock};
 use crate::server::{Body, Cut, answer, full, json as json_answer, read};
 
-/// What a runner does with requests.
-pub(super) struct Work {
+/// The request handler of a runner.
+pub(super) struct Handler {
     pub(super) id: String,
     pub(super) kind: Kind,
     pub(super) inner: Arc<Mutex<Inner>>,
@@ -26,37 +26,37 @@
     headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_owned)
 }
 
-/// Answers a request, with the signals of the runner.
+/// Answers a request and adds the runner's signals to the response.
 pub(super) async fn handle(
-    work: Arc<Work>,
+    handler: Arc<Handler>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Cut> {
-    let mut response = respond(work.clone(), request).await?;
-    lock(&work.inner).signals.sign(&mut response);
+    let mut response = respond(handler.clone(), request).await?;
+    lock(&handler.inner).signals.add_to(&mut response);
     Ok(response)
 }
 
-async fn respond(work: Arc<Work>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+async fn respond(handler: Arc<Handler>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
     let (head, body) = request.into_parts();
     let body = read(body).await?;
     if let Some(expected) = text(&head.headers, "expect-instance")
-        && expected != work.id
+        && expected != handler.id
     {
-        return Ok(with_instance(answer(StatusCode::MISDIRECTED_REQUEST, ""), &work.id));
+        return Ok(with_instance(answer(StatusCode::MISDIRECTED_REQUEST, ""), &handler.id));
     }
     match (&head.method, head.uri.path()) {
-        (&Method::GET, "/api/report") => return Ok(work.report()),
-        (&Method::GET, "/api/kv-list") => return Ok(work.list_kept()),
-        (&Method::POST, "/api/order") => return work.order(&body),
+        (&Method::GET, "/api/report") => return Ok(handler.report()),
+        (&Method::GET, "/api/kv-list") => return Ok(handler.list_cached()),
+        (&Method::POST, "/api/order") => return handler.order(&body),
         (&Method::DELETE, path) if path.starts_with("/api/kv-handle/") => {
             let name = path.rsplit('/').next().unwrap_or_default().to_owned();
-            let mut inner = lock(&work.inner);
-            inner.freed += u64::from(inner.handles.remove(&name));
+            let mut inner = lock(&handler.inner);
+            inner.freed_handles += u64::from(inner.handles.remove(&name));
             return Ok(answer(StatusCode::OK, ""));
         }
         _ => {}
     }
-    let seen = ReceivedRequest {
+    let request = ReceivedRequest {
         id: text(&head.headers, "request-id").unwrap_or_default(),
         path: head.uri.path_and_query().map_or_else(String::new, ToString::to_string),
         headers: head.headers,
@@ -64,7 +64,7 @@
         ran: false,
         at: Some(Instant::now()),
     };
-    work.serve(seen).await
+    handler.serve(request).await
 }
 
 fn with_instance(mut response: Response<Body>, id: &str) -> Response<Body> {
@@ -74,7 +74,7 @@
     response
 }
 
-/// Counts a request as under way until it is dropped.
+/// Counts a request as in flight until it is dropped.
 pub(super) struct Running(Arc<Mutex<Inner>>);
 
 impl Running {
@@ -90,33 +90,33 @@
     }
 }
 
-impl Work {
+impl Handler {
     fn report(&self) -> Response<Body> {
         let inner = lock(&self.inner);
-        let body = json!({"stage": inner.stage, "models": [], "busy": false, "born": inner.born,
-            "seq": inner.accepted, "queued": 0, "running": inner.running});
+        let body = json!({"stage": inner.stage, "models": [], "busy": false, "born": inner.started_at,
+            "seq": inner.accepted_orders, "queued": 0, "running": inner.running});
         json_answer(StatusCode::OK, &body)
     }
 
-    fn list_kept(&self) -> Response<Body> {
+    fn list_cached(&self) -> Response<Body> {
         let inner = lock(&self.inner);
         let held: Vec<_> =
-            inner.kept.iter().map(|(id, tokens)| json!(["", id, tokens, "m"])).collect();
-        json_answer(StatusCode::OK, &json!({"epoch": inner.born, "next": 1, "held": held}))
+            inner.cached_parts.iter().map(|(id, tokens)| json!(["", id, tokens, "m"])).collect();
+        json_answer(StatusCode::OK, &json!({"epoch": inner.started_at, "next": 1, "held": held}))
     }
 
-    /// Keeps the parts of a request's prompt.
-    fn keep(&self, seen: &ReceivedRequest) {
-        let parts = text(&seen.headers, "prompt-prefix").unwrap_or_default();
+    /// Adds the parts of a request's prompt to the cache.
+    fn cache_prompt_parts(&self, request: &ReceivedRequest) {
+        let parts = text(&request.headers, "prompt-prefix").unwrap_or_default();
         let parts = parts.split(',').filter_map(|part| part.split_once(':'));
         let parts = parts.filter_map(|(id, tokens)| Some((id.to_owned(), tokens.parse().ok()?)));
-        lock(&self.inner).kept.extend(parts);
+        lock(&self.inner).cached_parts.extend(parts);
     }
 
     fn order(&self, body: &[u8]) -> Result<Response<Body>, Cut> {
         let order: Value = serde_json::from_slice(body).map_err(|_| Cut)?;
         let mut inner = lock(&self.inner);
-        if order["expected"].as_u64().is_some_and(|expected| expected != inner.accepted) {
+        if order["expected"].as_u64().is_some_and(|expected| expected != inner.accepted_orders) {
             return Ok(answer(StatusCode::CONFLICT, ""));
         }
         let stage = order["stage"].as_str().unwrap_or_default().to_owned();
@@ -125,7 +125,7 @@
             token: order["fencingToken"].as_u64().unwrap_or_default(),
             stage: stage.clone(),
         });
-        inner.accepted += 1;
+        inner.accepted_orders += 1;
         inner.stage = Some(stage);
         if inner.faults.drop_order_response {
             return Err(Cut);
@@ -133,14 +133,14 @@
         Ok(answer(StatusCode::ACCEPTED, ""))
     }
 
-    fn refuse(&self, mut seen: ReceivedRequest, status: StatusCode) -> Response<Body> {
+    fn refuse_not_run(&self, mut request: ReceivedRequest, status: StatusCode) -> Response<Body> {
         let mut response = answer(status, "");
-        if let Ok(id) = HeaderValue::from_str(&seen.id) {
+        if let Ok(id) = HeaderValue::from_str(&request.id) {
             response.headers_mut().insert("request-id", id);
         }
         response.headers_mut().insert("not-executed", HeaderValue::from_static("1"));
-        seen.ran = false;
-        lock(&self.inner).seen.push(seen);
+        request.ran = false;
+        lock(&self.inner).received.push(request);
         with_instance(response, &self.id)
     }
 
@@ -154,46 +154,46 @@
         }
     }
 
-    async fn serve(self: Arc<Self>, mut seen: ReceivedRequest) -> Result<Response<Body>, Cut> {
+    async fn serve(self: Arc<Self>, mut request: ReceivedRequest) -> Result<Response<Body>, Cut> {
         let faults = lock(&self.inner).faults;
         if faults.refuse {
-            return Ok(self.refuse(seen, StatusCode::SERVICE_UNAVAILABLE));
+            return Ok(self.refuse_not_run(request, StatusCode::SERVICE_UNAVAILABLE));
         }
         let running = Running::new(&self.inner);
-        let reads = text(&seen.headers, "stage").as_deref() == Some("prefill");
+        let prefill_only = text(&request.headers, "stage").as_deref() == Some("prefill");
         if faults.hang {
-            // A prompt that is only read is no run, also where it is read for ever.
-            seen.ran = !reads;
-            lock(&self.inner).seen.push(seen);
+            // Prefill alone does not count as a run, even if it never finishes.
+            request.ran = !prefill_only;
+            lock(&self.inner).received.push(request);
             sleep(Duration::from_secs(60)).await;
             return Err(Cut);
         }
         sleep(faults.response_delay).await;
-        if reads {
-            if self.ends_under(&seen) {
-                lock(&self.inner).seen.push(seen);
-                lock(&self.inner).ends.notify_one();
+        if prefill_only {
+            if self.crashes_on(&request) {
+                lock(&self.inner).received.push(request);
+                lock(&self.inner).crash_triggered.notify_one();
                 return pending().await;
             }
-            return Ok(self.read_prompt(seen));
+            return Ok(self.prefill(request));
         }
         if self.is_prefill() {
-            return Ok(self.refuse(seen, StatusCode::MISDIRECTED_REQUEST));
+            return Ok(self.refuse_not_run(request, StatusCode::MISDIRECTED_REQUEST));
         }
-        seen.ran = true;
-        let (id, from) = (seen.id.clone(), text(&seen.headers, "last-event-id"));
-        let ends = self.ends_under(&seen);
-        lock(&self.inner).seen.push(seen);
-        if ends {
-            return Ok(self.end(&id).await);
+        request.ran = true;
+        let (id, from) = (request.id.clone(), text(&request.headers, "last-event-id"));
+        let crashes = self.crashes_on(&request);
+        lock(&self.inner).received.push(request);
+        if crashes {
+            return Ok(self.crash(&id).await);
         }
         if faults.drop_response {
             return Err(Cut);
         }
-        let shown = if faults.wrong_request_id { "another" } else { id.as_str() };
+        let signed_id = if faults.wrong_request_id { "another" } else { id.as_str() };
         if faults.respond_500 {
             let mut response = answer(StatusCode::INTERNAL_SERVER_ERROR, "failed");
-            self.sign(&mut response, shown);
+            self.sign(&mut response, signed_id);
             return Ok(response);
         }
         let mut response = if self.kind.stage.is_some() {
@@ -206,17 +206,17 @@
         } else {
             Response::new(full(format!("answer to {id}")))
         };
-        self.sign(&mut response, shown);
+        self.sign(&mut response, signed_id);
         Ok(response)
     }
 
-    fn ends_under(&self, seen: &ReceivedRequest) -> bool {
-        lock(&self.inner).ends_under.as_ref() == Some(&seen.body)
+    fn crashes_on(&self, request: &ReceivedRequest) -> bool {
+        lock(&self.inner).crash_body.as_ref() == Some(&request.body)
     }
 
-    /// Begins a run that gives nothing but, for a stream, its head.
-    async fn end(&self, id: &str) -> Response<Body> {
-        lock(&self.inner).ends.notify_one();
+    /// Reports the crash. A plain service never answers; an engine sends a response head and no events.
+    async fn crash(&self, id: &str) -> Response<Body> {
+        lock(&self.inner).crash_triggered.notify_one();
         if self.kind.stage.is_none() {
             return pending().await;
         }
@@ -231,14 +231,14 @@
         lock(&self.inner).stage.as_deref() == Some("prefill")
     }
 
-    fn read_prompt(&self, seen: ReceivedRequest) -> Response<Body> {
-        let id = seen.id.clone();
-        self.keep(&seen);
+    fn prefill(&self, request: ReceivedRequest) -> Response<Body> {
+        let id = request.id.clone();
+        self.cache_prompt_parts(&request);
         let mut inner = lock(&self.inner);
         inner.next_handle += 1;
         let handle = format!("h{}", inner.next_handle);
         inner.handles.insert(handle.clone());
-        inner.seen.push(seen);
+        inner.received.push(request);
         let body = json!({"kvHandle": handle, "tokens": 1, "version": 1});
         let mut response = json_answer(StatusCode::OK, &body);
         if let Ok(id) = HeaderValue::from_str(&id) {
--- a/testutils/src/fleet/signal.rs
+++ b/testutils/src/fleet/signal.rs
@@ -1,10 +1,10 @@
-//! What a stand-in for a runner says of itself in its answers, beside the answer to the request.
+//! The headers with which a fake runner announces its own state in its responses.
 
 use std::borrow::Cow;
 
 use http::{HeaderName, HeaderValue, Response};
 
-/// The signals of a runner: headers that all of its answers carry while they are set.
+/// The signals of a runner: headers that all of its responses carry while they are set.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
     headers: Vec<(HeaderName, HeaderValue)>,
@@ -16,20 +16,20 @@
         Self::default()
     }
 
-    /// Announces a rate limit, in requests a second; `rate` may also be no number.
+    /// Announces a rate limit in requests per second. `rate` may be malformed.
     pub fn limit(rate: impl Into<Cow<'static, str>>) -> Self {
         Self::none().with("server-limit", rate)
     }
 
-    /// Says that the runner leaves.
+    /// Announces that the runner is leaving.
     pub fn leaving() -> Self {
         Self::none().with("server-leaving", "1")
     }
 
-    /// Adds a header, as the protocol has it or not.
+    /// Adds a header, which the protocol need not define.
     ///
     /// # Panics
-    /// `value` cannot stand in a header at all.
+    /// `value` is not a valid header value.
     #[must_use]
     pub fn with(mut self, name: &'static str, value: impl Into<Cow<'static, str>>) -> Self {
         let value = HeaderValue::from_str(&value.into()).expect("a header value");
@@ -37,8 +37,8 @@
         self
     }
 
-    /// Adds the signals to an answer.
-    pub fn sign<B>(&self, response: &mut Response<B>) {
+    /// Adds the signals to a response.
+    pub fn add_to<B>(&self, response: &mut Response<B>) {
         for (name, value) in &self.headers {
             response.headers_mut().append(name.clone(), value.clone());
         }
--- a/testutils/src/fleet/store/copy.rs
+++ b/testutils/src/fleet/store/copy.rs
@@ -1,5 +1,5 @@
-//! Copies of the store from which it comes back: what was written after a copy is lost, and revisions
-//! are given out again.
+//! Backups of the store. A restore loses all writes made after the backup, and later writes reuse
+//! their revisions.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,17 +15,17 @@
 /// The objects of the store by kind and name.
 pub(super) type Objects = BTreeMap<(String, String), Value>;
 
-/// A write of the operator or a runner, by kind and name; no content where the object was removed.
+/// A write of the operator or a runner, by kind and name; the spec is `None` for a removal.
 pub(super) type Write = ((String, String), Option<Value>);
 
-/// The store as it was once.
+/// A backup of the store.
 #[derive(Clone, Debug)]
 pub struct Copy {
     objects: Objects,
     events: VecDeque<Event>,
-    forgotten: u64,
+    compacted: u64,
     revision: u64,
-    /// How many writes of the operator and the runners there had been.
+    /// The number of writes of the operator and the runners before the backup.
     writes: usize,
 }
 
@@ -34,7 +34,7 @@
         Self {
             objects: inner.objects.clone(),
             events: inner.events.clone(),
-            forgotten: inner.forgotten,
+            compacted: inner.compacted,
             revision: inner.revision,
             writes: inner.writes.len(),
         }
@@ -42,14 +42,13 @@
 }
 
 impl Store {
-    /// Takes a copy.
+    /// Takes a backup.
     pub fn copy(&self) -> Copy {
         Copy::of(&lock(&self.inner))
     }
 
-    /// Comes back from a copy: all that was written since is gone, and its era rises by one. Watches
-    /// are cut off. Gives what the operator and the runners had written since, which they have not
-    /// written again yet.
+    /// Restores a backup: later writes are lost, the era rises by one, and watches are aborted. Returns
+    /// the lost writes of the operator and the runners, for them to replay.
     pub fn restore(&self, copy: &Copy) -> LostWrites {
         let mut inner = lock(&self.inner);
         let mut lost = BTreeMap::new();
@@ -59,21 +58,21 @@
         }
         inner.objects = copy.objects.clone();
         inner.events = copy.events.clone();
-        (inner.forgotten, inner.revision) = (copy.forgotten, copy.revision);
+        (inner.compacted, inner.revision) = (copy.compacted, copy.revision);
         inner.era += 1;
         drop(inner);
         self.changed.send_modify(|n| *n += 1);
         LostWrites { writes: lost.into_iter().collect(), since: kept }
     }
 
-    /// Writes again what was lost, all at once.
+    /// Replays lost writes all at once.
     pub fn replay(&self, lost: &LostWrites) {
         for write in &lost.writes {
-            self.write_one(write, lost.since);
+            self.replay_one(write, lost.since);
         }
     }
 
-    /// Writes again what was lost, in an order and with pauses drawn from `seed`, within `longest`.
+    /// Replays lost writes within `longest`, in an order and with pauses drawn from `seed`.
     pub async fn replay_shuffled(&self, lost: &LostWrites, seed: u64, longest: Duration) {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut writes = lost.writes.clone();
@@ -81,12 +80,12 @@
         let pause = longest / u32::try_from(writes.len().max(1)).unwrap_or(u32::MAX);
         for write in &writes {
             sleep(pause.mul_f64(rng.random())).await;
-            self.write_one(write, lost.since);
+            self.replay_one(write, lost.since);
         }
     }
 
-    /// Writes one object again, unless its writer has written it since.
-    fn write_one(&self, (key, content): &Write, since: usize) {
+    /// Replays one write, unless the object has been written since the restore.
+    fn replay_one(&self, (key, content): &Write, since: usize) {
         let is_newer = |writes: &[Write]| writes.iter().any(|(written, _)| written == key);
         if lock(&self.inner).writes.get(since..).is_some_and(is_newer) {
             return;
@@ -98,27 +97,27 @@
         }
     }
 
-    /// The era that its answers name.
+    /// The current era.
     pub fn era(&self) -> u64 {
         lock(&self.inner).era
     }
 
-    /// Has its answers name the era with these values, whatever it is.
+    /// Sends these values in the era header of all responses in place of the current era.
     pub fn override_era(&self, values: &[&str]) {
-        lock(&self.inner).shown_era =
+        lock(&self.inner).era_override =
             Some(values.iter().map(|value| (*value).to_owned()).collect());
     }
 
-    /// Has its answers name the era that it is.
+    /// Sends the current era again.
     pub fn clear_era_override(&self) {
-        lock(&self.inner).shown_era = None;
+        lock(&self.inner).era_override = None;
     }
 }
 
-/// What the operator and the runners had written after a copy, the last write of each object.
+/// The writes of the operator and the runners that a restore lost: the last one of each object.
 #[derive(Clone, Debug)]
 pub struct LostWrites {
     writes: Vec<Write>,
-    /// How many writes there had been once they were lost.
+    /// The number of writes that the restore kept.
     since: usize,
 }
--- a/testutils/src/fleet/store/mod.rs
+++ b/testutils/src/fleet/store/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's store of objects.
+//! A fake of the platform's object store.
 
 mod copy;
 
@@ -18,23 +18,23 @@
 use self::copy::{Objects, Write};
 use crate::server::{Body, Cut, Server, answer, json as json_answer, read};
 
-/// How the store fails.
+/// A fault of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// It answers 503.
+    /// Answers 503.
     Busy,
-    /// It answers nothing.
+    /// Does not answer.
     Silent,
-    /// It breaks connections off.
+    /// Aborts connections.
     Reset,
 }
 
-/// How many objects one page of a list holds.
+/// The page size of lists.
 const PAGE: usize = 50;
-/// How many changes are remembered.
+/// The number of events kept for watches.
 const HISTORY: usize = 1_000;
 
 #[derive(Clone, Debug)]
@@ -45,31 +45,31 @@
     tombstone: bool,
 }
 
-/// The header that names the era of the store.
+/// The header with the store's era.
 const ERA: HeaderName = HeaderName::from_static("store-era");
-/// The era of a store that has never come back from a copy.
+/// The era of a store that has never been restored from a backup.
 const FIRST_ERA: u64 = 1;
 
 #[derive(Debug)]
 struct Inner {
     objects: Objects,
-    /// What the operator and the runners have written, in order.
+    /// The writes of the operator and the runners, in order.
     writes: Vec<Write>,
     era: u64,
-    /// The values of the header in place of the era.
-    shown_era: Option<Vec<String>>,
+    /// Overrides the values of the era header.
+    era_override: Option<Vec<String>>,
     events: VecDeque<Event>,
-    /// Changes up to this one are forgotten.
-    forgotten: u64,
+    /// Events up to this revision have been compacted.
+    compacted: u64,
     revision: u64,
     fault: Fault,
-    /// Answers to so many of the next writes are lost, though they are done.
-    lose: u32,
+    /// The number of further writes whose response is dropped after the write took effect.
+    responses_to_drop: u32,
     calls: u64,
     refused: u64,
-    /// Watches that wait now, by kind.
+    /// The number of waiting watches by kind.
     watches: BTreeMap<String, usize>,
-    /// Calls a second; none for no limit.
+    /// Calls per second; `None` for no limit.
     rate: Option<u32>,
     window: Option<(Instant, u32)>,
 }
@@ -80,12 +80,12 @@
             era: FIRST_ERA,
             objects: Objects::new(),
             writes: Vec::new(),
-            shown_era: None,
+            era_override: None,
             events: VecDeque::new(),
-            forgotten: 0,
+            compacted: 0,
             revision: 0,
             fault: Fault::None,
-            lose: 0,
+            responses_to_drop: 0,
             calls: 0,
             refused: 0,
             watches: BTreeMap::new(),
@@ -95,7 +95,7 @@
     }
 }
 
-/// The store.
+/// The fake store.
 #[derive(Clone, Debug)]
 pub struct Store {
     inner: Arc<Mutex<Inner>>,
@@ -113,7 +113,7 @@
     /// Starts an empty store.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The address cannot be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let inner = Arc::new(Mutex::new(Inner::default()));
         let changed = watch::Sender::new(0);
@@ -123,36 +123,36 @@
         Ok(Self { inner, changed, server })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Makes it fail.
+    /// Sets the fault.
     pub fn set_fault(&self, fault: Fault) {
         lock(&self.inner).fault = fault;
     }
 
-    /// Loses the answers to so many of the next writes.
+    /// Drops the responses to the next `count` writes.
     pub fn drop_responses(&self, count: u32) {
-        lock(&self.inner).lose = count;
+        lock(&self.inner).responses_to_drop = count;
     }
 
-    /// Bounds the calls of a second.
+    /// Limits the calls per second.
     pub fn set_rate(&self, rate: u32) {
         lock(&self.inner).rate = Some(rate);
     }
 
-    /// Forgets all history: watches from before get 410.
+    /// Discards the event history: watches from an earlier revision get 410.
     pub fn compact(&self) {
         let mut inner = lock(&self.inner);
-        inner.forgotten = inner.revision;
+        inner.compacted = inner.revision;
         inner.events.clear();
         drop(inner);
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Calls so far, and those refused for the rate.
+    /// The number of calls so far, and of those over the rate limit.
     pub fn call_counts(&self) -> (u64, u64) {
         let inner = lock(&self.inner);
         (inner.calls, inner.refused)
@@ -163,12 +163,12 @@
         lock(&self.inner).revision
     }
 
-    /// How many watches of a kind wait now.
+    /// The number of watches of a kind that are waiting.
     pub fn watches(&self, kind: &str) -> usize {
         lock(&self.inner).watches.get(kind).copied().unwrap_or_default()
     }
 
-    /// Writes an object as the operator or a runner does.
+    /// Writes an object on behalf of the operator or a runner.
     pub fn put(&self, kind: &str, name: &str, spec: &Value) {
         let mut inner = lock(&self.inner);
         inner.writes.push(((kind.to_owned(), name.to_owned()), Some(spec.clone())));
@@ -177,7 +177,7 @@
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Removes an object.
+    /// Removes an object on behalf of the operator or a runner.
     pub fn remove(&self, kind: &str, name: &str) {
         let mut inner = lock(&self.inner);
         inner.writes.push(((kind.to_owned(), name.to_owned()), None));
@@ -186,12 +186,12 @@
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// How many objects of a kind there are.
+    /// The number of objects of a kind.
     pub fn count(&self, kind: &str) -> usize {
         lock(&self.inner).objects.keys().filter(|(of, _)| of == kind).count()
     }
 
-    /// The content of an object.
+    /// The spec of an object.
     pub fn get(&self, kind: &str, name: &str) -> Option<Value> {
         let inner = lock(&self.inner);
         let object = inner.objects.get(&(kind.to_owned(), name.to_owned()))?;
@@ -202,10 +202,10 @@
 impl Inner {
     fn put(&mut self, kind: &str, name: &str, spec: &Value) -> Value {
         let key = (kind.to_owned(), name.to_owned());
-        if let Some(known) = self.objects.get(&key)
-            && known["spec"] == *spec
+        if let Some(existing) = self.objects.get(&key)
+            && existing["spec"] == *spec
         {
-            return known.clone();
+            return existing.clone();
         }
         self.revision += 1;
         let object = json!({
@@ -214,46 +214,46 @@
             "spec": spec, "status": null,
         });
         self.objects.insert(key, object.clone());
-        self.note(kind, object.clone(), false);
+        self.record_event(kind, object.clone(), false);
         object
     }
 
     fn remove(&mut self, kind: &str, name: &str) {
         if let Some(object) = self.objects.remove(&(kind.to_owned(), name.to_owned())) {
             self.revision += 1;
-            self.note(kind, object, true);
+            self.record_event(kind, object, true);
         }
     }
 
-    fn note(&mut self, kind: &str, object: Value, tombstone: bool) {
+    fn record_event(&mut self, kind: &str, object: Value, tombstone: bool) {
         let kind = kind.to_owned();
         self.events.push_back(Event { revision: self.revision, kind, object, tombstone });
         if self.events.len() > HISTORY
             && let Some(event) = self.events.pop_front()
         {
-            self.forgotten = event.revision;
+            self.compacted = event.revision;
         }
     }
 
-    fn era_values(&self) -> Vec<HeaderValue> {
-        let values = self.shown_era.clone().unwrap_or_else(|| vec![self.era.to_string()]);
+    fn era_header_values(&self) -> Vec<HeaderValue> {
+        let values = self.era_override.clone().unwrap_or_else(|| vec![self.era.to_string()]);
         let values = values.iter().filter_map(|value| HeaderValue::from_str(value).ok());
         values.collect()
     }
 
-    /// Whether a call is beyond the rate.
-    fn is_over(&mut self) -> bool {
+    /// Counts a call and returns whether it exceeds the rate limit.
+    fn exceeds_rate(&mut self) -> bool {
         let Some(rate) = self.rate else { return false };
         let now = Instant::now();
-        let (began, count) = self.window.get_or_insert((now, 0));
-        if now.duration_since(*began) >= Duration::from_secs(1) {
-            (*began, *count) = (now, 0);
+        let (window_start, count) = self.window.get_or_insert((now, 0));
+        if now.duration_since(*window_start) >= Duration::from_secs(1) {
+            (*window_start, *count) = (now, 0);
         }
         *count += 1;
         *count > rate
     }
 
-    fn since(&self, kind: &str, from: u64) -> Vec<Value> {
+    fn events_since(&self, kind: &str, from: u64) -> Vec<Value> {
         let new = self.events.iter().filter(|e| e.kind == kind && e.revision > from);
         new.map(|e| json!({"tombstone": e.tombstone, "object": e.object})).collect()
     }
@@ -262,7 +262,7 @@
 async fn handle(state: State, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
     let inner = state.0.clone();
     let mut response = respond(state, request).await?;
-    for value in lock(&inner).era_values() {
+    for value in lock(&inner).era_header_values() {
         response.headers_mut().append(ERA, value);
     }
     Ok(response)
@@ -270,15 +270,15 @@
 
 async fn respond(state: State, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
     let (inner, changed) = state;
-    let (fault, over) = {
+    let (fault, rate_exceeded) = {
         let mut inner = lock(&inner);
         inner.calls += 1;
-        let over = inner.is_over();
-        inner.refused += u64::from(over);
-        (inner.fault, over)
+        let rate_exceeded = inner.exceeds_rate();
+        inner.refused += u64::from(rate_exceeded);
+        (inner.fault, rate_exceeded)
     };
     match fault {
-        Fault::None if over => return Ok(answer(StatusCode::TOO_MANY_REQUESTS, "")),
+        Fault::None if rate_exceeded => return Ok(answer(StatusCode::TOO_MANY_REQUESTS, "")),
         Fault::None => {}
         Fault::Busy => return Ok(answer(StatusCode::SERVICE_UNAVAILABLE, "")),
         Fault::Silent => {
@@ -306,8 +306,8 @@
             let response = write(&mut lock(&inner), &head.method, &kind, name.as_deref(), &body);
             changed.send_modify(|n| *n += 1);
             let mut inner = lock(&inner);
-            if inner.lose > 0 {
-                inner.lose -= 1;
+            if inner.responses_to_drop > 0 {
+                inner.responses_to_drop -= 1;
                 return Err(Cut);
             }
             response
@@ -348,14 +348,14 @@
     let Some(name) = name.or(named).map(str::to_owned) else {
         return answer(StatusCode::BAD_REQUEST, "");
     };
-    let known = inner.objects.get(&(kind.to_owned(), name.clone())).cloned();
+    let existing = inner.objects.get(&(kind.to_owned(), name.clone())).cloned();
     let expected = body["metadata"]["revision"].as_u64();
-    let revision = known.as_ref().and_then(|o| o["metadata"]["revision"].as_u64());
-    match (method, known) {
-        (&Method::POST, Some(known)) => json_answer(StatusCode::CONFLICT, &known),
+    let revision = existing.as_ref().and_then(|o| o["metadata"]["revision"].as_u64());
+    match (method, existing) {
+        (&Method::POST, Some(existing)) => json_answer(StatusCode::CONFLICT, &existing),
         (&Method::PUT, None) => answer(StatusCode::NOT_FOUND, ""),
-        (&Method::PUT, Some(known)) if expected.is_some() && expected != revision => {
-            json_answer(StatusCode::CONFLICT, &known)
+        (&Method::PUT, Some(existing)) if expected.is_some() && expected != revision => {
+            json_answer(StatusCode::CONFLICT, &existing)
         }
         (&Method::POST | &Method::PUT, _) => {
             json_answer(StatusCode::OK, &inner.put(kind, &name, &body["spec"]))
@@ -368,20 +368,20 @@
     }
 }
 
-/// Counts a watch as long as it waits, also if its caller breaks it off.
-struct Waiting<'a> {
+/// Counts a watch as waiting until it is dropped, also if the caller disconnects.
+struct WaitingWatch<'a> {
     inner: &'a Mutex<Inner>,
     kind: &'a str,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingWatch<'a> {
     fn new(inner: &'a Mutex<Inner>, kind: &'a str) -> Self {
         *lock(inner).watches.entry(kind.to_owned()).or_default() += 1;
         Self { inner, kind }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingWatch<'_> {
     fn drop(&mut self) {
         if let Some(count) = lock(self.inner).watches.get_mut(self.kind) {
             *count -= 1;
@@ -399,7 +399,7 @@
     let (from, wait) = (number("watch"), Duration::from_millis(number("waitMs").min(30_000)));
     let until = Instant::now() + wait;
     let mut changes = changed.subscribe();
-    let _waiting = Waiting::new(inner, kind);
+    let _waiting = WaitingWatch::new(inner, kind);
     let era = lock(inner).era;
     loop {
         changes.borrow_and_update();
@@ -408,17 +408,17 @@
             if inner.era != era {
                 return Err(Cut);
             }
-            if from < inner.forgotten || from > inner.revision {
+            if from < inner.compacted || from > inner.revision {
                 return Ok(answer(StatusCode::GONE, ""));
             }
-            let events = inner.since(kind, from);
+            let events = inner.events_since(kind, from);
             if !events.is_empty() || Instant::now() >= until {
                 let body = json!({"events": events, "asOf": inner.revision});
                 return Ok(json_answer(StatusCode::OK, &body));
             }
         }
         let left = until.saturating_duration_since(Instant::now());
-        // Whether a change came or the wait is over, the next round looks.
+        // The next iteration handles both a change and the end of the wait.
         let _ = timeout(left, changes.changed()).await;
     }
 }
