--- a/node/examples/trial.rs
+++ b/node/examples/trial.rs
@@ -155,7 +155,7 @@
             }
             seen.push(told.observation);
         }
-        let effects = deployment.plain.effects(&body);
+        let effects = deployment.plain.effect_count(&body);
         let violation = check_call(&key, &seen, effects);
         for one in &seen {
             tally.count(one, None);
--- a/node/tests/crash.rs
+++ b/node/tests/crash.rs
@@ -353,7 +353,7 @@
     let mut set = Deployment::new().await;
     set.add_crashing_runners(None, 6, &crashing_body(), RESTART_TIME).await;
     let set = set.with_nodes(3).await;
-    let copy = set.store.copy();
+    let copy = set.store.backup();
     check_quarantined_after_threshold(&set, "/board/a").await;
     wait_until("the store has the entry", async || set.store.count(QUARANTINE) == 1).await;
     let lost = set.store.restore(&copy);
--- a/node/tests/duties_copy.rs
+++ b/node/tests/duties_copy.rs
@@ -46,7 +46,7 @@
 async fn usage_reported_once_by_same_holder() {
     let set = deployment(3).await;
     wait_reports(&set, 1).await;
-    let copy = set.store.copy();
+    let copy = set.store.backup();
     let before = reports(&set).len();
     wait_reports(&set, before + LOST_WINDOWS).await;
     let holder = platform(&set).calls().last().expect("at least one call").holder.clone();
@@ -68,7 +68,7 @@
 async fn usage_not_reported_twice_by_new_holder() {
     let mut set = deployment(3).await;
     wait_reports(&set, 1).await;
-    let copy = set.store.copy();
+    let copy = set.store.backup();
     let shown = reports(&set);
     wait_reports(&set, shown.len() + LOST_WINDOWS).await;
     let holder = platform(&set).calls().last().expect("at least one call").holder.clone();
--- a/node/tests/failures.rs
+++ b/node/tests/failures.rs
@@ -9,7 +9,7 @@
 use sardinepick_testutils::cluster::{
     Cluster, NodeOptions, free_address, own_ip, wait_ready, wait_until,
 };
-use sardinepick_testutils::engine::{Engine, Faults, Speed, expected};
+use sardinepick_testutils::engine::{Engine, Faults, Speed, expected_output};
 use sardinepick_testutils::invariant::{Observation, check_call, check_completion};
 use sardinepick_testutils::plain::{self, PlainService};
 use sardinepick_testutils::platform;
@@ -70,7 +70,7 @@
 }
 
 fn is_whole(seen: &Observation) -> bool {
-    matches!(seen, Observation::Answer(text) if *text == expected(PROMPT, TOKENS))
+    matches!(seen, Observation::Answer(text) if *text == expected_output(PROMPT, TOKENS))
 }
 
 /// Symptom: an answer stops in the middle. Sequence: the runner breaks the stream off after five
@@ -175,7 +175,7 @@
     while let Some(seen) = calls.join_next().await {
         let seen = seen.expect("callers do not panic");
         assert!(
-            matches!(&seen, Observation::Answer(text) if *text == expected(PROMPT, 400)),
+            matches!(&seen, Observation::Answer(text) if *text == expected_output(PROMPT, 400)),
             "{seen:?}"
         );
     }
@@ -202,8 +202,8 @@
         seen.push(told.observation);
         set.plain.set_faults(plain::Faults::default());
     }
-    assert_eq!(check_call("bread-1", &seen, set.plain.effects("bread")), None);
-    assert_eq!(set.plain.effects("bread"), 1);
+    assert_eq!(check_call("bread-1", &seen, set.plain.effect_count("bread")), None);
+    assert_eq!(set.plain.effect_count("bread"), 1);
     assert!(seen.iter().all(|s| matches!(s, Observation::RefusedUnknown)), "{seen:?}");
 }
 
@@ -230,7 +230,7 @@
         let told = set.caller.post(set.cluster.front(0), "ontbijtbord", &body, Some(&keyed)).await;
         unknown += u32::from(matches!(told.observation, Observation::RefusedUnknown));
         assert!(!matches!(told.observation, Observation::RefusedNotRun), "{told:?}");
-        assert_eq!(set.plain.effects(&body), 1);
+        assert_eq!(set.plain.effect_count(&body), 1);
     }
     assert!(unknown > 0, "no key had its owner killed, so nothing was shown");
 }
@@ -420,12 +420,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn http2_cleartext_served() {
     let set = set(1, 1).await;
-    let (caller, front) = (Caller::over_http2(KEY), set.cluster.front(0));
+    let (caller, front) = (Caller::with_http2(KEY), set.cluster.front(0));
     let listing = caller.look_up(front).await.expect("a listing");
     assert!(listing.addresses.contains(&front));
     let told = caller.complete(front, "telraad", "h2", PROMPT, TOKENS).await;
     assert!(is_whole(&told.observation), "{told:?}");
     let told = caller.post(front, "ontbijtbord", "eggs", None).await;
     assert!(matches!(told.observation, Observation::Answer(_)), "{told:?}");
-    assert_eq!(set.plain.effects("eggs"), 1);
+    assert_eq!(set.plain.effect_count("eggs"), 1);
 }
--- a/node/tests/processes.rs
+++ b/node/tests/processes.rs
@@ -146,7 +146,7 @@
             }
         }
         tally.count(seen.last().expect("there was an attempt"));
-        tally.violations.extend(check_call(&id, &seen, back.plain.effects(&id)));
+        tally.violations.extend(check_call(&id, &seen, back.plain.effect_count(&id)));
     }
     tally
 }
--- a/node/tests/store_copy.rs
+++ b/node/tests/store_copy.rs
@@ -48,7 +48,7 @@
         set.store.override_era(shown);
     }
     let set = set.with_plain(3).await.with_nodes(NODES).await;
-    let copy = set.store.copy();
+    let copy = set.store.backup();
     for _ in 0..WRITES {
         set.runners[writer].write_entry();
     }
@@ -103,7 +103,7 @@
 #[tokio::test]
 async fn change_in_lost_revisions_seen() {
     let set = Deployment::new().await.with_plain(3).await.with_nodes(NODES).await;
-    let copy = set.store.copy();
+    let copy = set.store.backup();
     set.runners[1].write_entry();
     wait_written(&set, &set.runners[1]).await;
     set.store.set_fault(Fault::Reset);
@@ -178,7 +178,7 @@
     let set = Deployment::new().await.with_plain(2).await.with_nodes(2).await;
     set.store.put("config", "main", &with_accounts(2, &[("kitchen", &["key-1", "key-2"], None)]));
     in_force(&set, 2).await;
-    let copy = set.store.copy();
+    let copy = set.store.backup();
     set.store.put("config", "main", &with_accounts(3, &[("kitchen", &["key-1"], None)]));
     in_force(&set, 3).await;
     set.store.restore(&copy);
@@ -199,7 +199,7 @@
 #[tokio::test]
 async fn copy_lacks_own_objects_written_again() {
     let mut set = Deployment::new().await.with_plain(2).await;
-    let copy = set.store.copy();
+    let copy = set.store.backup();
     set = set.with_nodes(NODES).await;
     wait_until("nodes have written", async || set.store.count("sardinepick-nodes") >= 3).await;
     let before = set.store.call_counts().0;
@@ -219,7 +219,7 @@
     let before = set.store.call_counts().0;
     let began = Instant::now();
     if returns {
-        let copy = set.store.copy();
+        let copy = set.store.backup();
         set.runners[0].write_entry();
         wait_written(set, &set.runners[0]).await;
         let lost = set.store.restore(&copy);
@@ -256,12 +256,12 @@
 #[tokio::test]
 async fn returns_two_within_a_second_leaving_known() {
     let set = come_back(0).await;
-    let copy = set.store.copy();
+    let copy = set.store.backup();
     for _ in 0..WRITES {
         set.runners[1].write_entry();
     }
     let lost = set.store.restore(&copy);
-    let again = set.store.restore(&set.store.copy());
+    let again = set.store.restore(&set.store.backup());
     set.store.replay(&lost);
     set.store.replay(&again);
     assert_leaving_known(&set, &set.runners[0]).await;
@@ -278,7 +278,7 @@
 #[tokio::test]
 async fn runners_missing_from_copy_served_on() {
     let mut set = Deployment::new().await;
-    let copy = set.store.copy();
+    let copy = set.store.backup();
     set = set.with_plain(3).await.with_nodes(3).await;
     let lost = set.store.restore(&copy);
     let eras = || set.nodes.iter().map(|node| node.shared.history.era().0);
--- a/testutils/src/caller.rs
+++ b/testutils/src/caller.rs
@@ -30,7 +30,7 @@
     },
     /// The answer is not what the protocol has.
     #[error("answer of {peer}: {detail}")]
-    Form {
+    Protocol {
         /// The node.
         peer: SocketAddr,
         /// What is wrong.
@@ -90,7 +90,7 @@
     }
 
     /// A caller that speaks HTTP/2 without TLS.
-    pub fn over_http2(key: &str) -> Self {
+    pub fn with_http2(key: &str) -> Self {
         let client =
             Client::builder(TokioExecutor::new()).http2_only(true).build(HttpConnector::new());
         Self { client, key: key.to_owned() }
@@ -148,7 +148,7 @@
     pub async fn look_up(&self, peer: SocketAddr) -> Result<Listing, CallError> {
         let (_, body) = self.fetch(peer, Method::GET, "/v1/addresses", &[], "").await?;
         serde_json::from_str(&body)
-            .map_err(|error| CallError::Form { peer, detail: format!("{error}: {body}") })
+            .map_err(|error| CallError::Protocol { peer, detail: format!("{error}: {body}") })
     }
 
     /// Streams a completion and reads it to its end.
--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -21,7 +21,7 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
 
-use crate::server::{Body, Cut, Server, answer, json, read};
+use crate::server::{Aborted, Body, Server, json_response, read_body, text_response};
 
 /// How fast an engine is.
 #[derive(Clone, Copy, Debug)]
@@ -109,7 +109,7 @@
 }
 
 /// The whole answer to `prompt`.
-pub fn expected(prompt: &str, tokens: u64) -> String {
+pub fn expected_output(prompt: &str, tokens: u64) -> String {
     (0..tokens).map(|index| token(prompt, index)).collect()
 }
 
@@ -198,18 +198,18 @@
     state: State,
     speed: Speed,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Aborted> {
     if state.lock().expect("engine lock").faults.hang {
         std::future::pending::<()>().await;
     }
     let (parts, body) = request.into_parts();
-    let body = read(body).await?;
+    let body = read_body(body).await?;
     match parts.uri.path() {
         "/v1/completions" => complete(state, speed, &body).await,
-        "/v1/load" => Ok(json(StatusCode::OK, &report(&state, speed))),
-        "/v1/condition" => Ok(json(StatusCode::OK, &condition(&state))),
+        "/v1/load" => Ok(json_response(StatusCode::OK, &report(&state, speed))),
+        "/v1/condition" => Ok(json_response(StatusCode::OK, &condition(&state))),
         "/v1/orders" => order(&state, speed, &body),
-        _ => Ok(answer(StatusCode::NOT_FOUND, "no such path")),
+        _ => Ok(text_response(StatusCode::NOT_FOUND, "no such path")),
     }
 }
 
@@ -236,14 +236,14 @@
     }
 }
 
-fn order(state: &State, speed: Speed, body: &[u8]) -> Result<Response<Body>, Cut> {
+fn order(state: &State, speed: Speed, body: &[u8]) -> Result<Response<Body>, Aborted> {
     let Ok(order) = serde_json::from_slice::<Order>(body) else {
-        return Ok(answer(StatusCode::BAD_REQUEST, "not an order"));
+        return Ok(text_response(StatusCode::BAD_REQUEST, "not an order"));
     };
     let mut inner = state.lock().expect("engine lock");
     let stale = order.epoch < inner.fence;
     if stale && !inner.faults.ignore_fencing {
-        return Ok(answer(StatusCode::CONFLICT, "an old fencing number"));
+        return Ok(text_response(StatusCode::CONFLICT, "an old fencing number"));
     }
     if !inner.done.contains(&order.id) {
         if stale || inner.changing {
@@ -264,9 +264,9 @@
         inner.fence = inner.fence.max(order.epoch);
     }
     if inner.faults.drop_order_responses {
-        return Err(Cut);
+        return Err(Aborted);
     }
-    Ok(answer(StatusCode::OK, "taken"))
+    Ok(text_response(StatusCode::OK, "taken"))
 }
 
 /// Counts a request as running for as long as it lives.
@@ -286,7 +286,7 @@
 }
 
 fn unstarted(detail: &'static str, leaving: bool) -> Response<Body> {
-    let mut response = answer(StatusCode::SERVICE_UNAVAILABLE, detail);
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, detail);
     response.headers_mut().insert("x-not-run", HeaderValue::from_static("true"));
     if leaving {
         response.headers_mut().insert("x-leaving", HeaderValue::from_static("true"));
@@ -294,9 +294,9 @@
     response
 }
 
-async fn complete(state: State, speed: Speed, body: &[u8]) -> Result<Response<Body>, Cut> {
+async fn complete(state: State, speed: Speed, body: &[u8]) -> Result<Response<Body>, Aborted> {
     let Ok(completion) = serde_json::from_slice::<Completion>(body) else {
-        return Ok(answer(StatusCode::BAD_REQUEST, "not a completion"));
+        return Ok(text_response(StatusCode::BAD_REQUEST, "not a completion"));
     };
     let faults = {
         let mut inner = state.lock().expect("engine lock");
@@ -335,7 +335,7 @@
     speed: Speed,
     completion: Completion,
     faults: Faults,
-    sender: mpsc::Sender<Result<Bytes, Cut>>,
+    sender: mpsc::Sender<Result<Bytes, Aborted>>,
     _running: Running,
 ) {
     let pause = Duration::from_secs_f64(1.0 / f64::from(speed.decode));
@@ -346,7 +346,7 @@
         // An engine that is away for a role change does not go on with what it had.
         let away = state.lock().expect("engine lock").changing;
         if away || faults.abort_after == Some(made) {
-            let _ = sender.send(Err(Cut)).await;
+            let _ = sender.send(Err(Aborted)).await;
             return;
         }
         if faults.end_after == Some(made) {
--- a/testutils/src/fleet/platform.rs
+++ b/testutils/src/fleet/platform.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep};
 
-use crate::server::{Body, Cut, Server, answer, read};
+use crate::server::{Aborted, Body, Server, read_body, text_response};
 
 /// A fault of the platform.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -144,31 +144,31 @@
 async fn handle(
     inner: Arc<Mutex<Inner>>,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Aborted> {
     let (head, body) = request.into_parts();
-    let body = read(body).await?;
+    let body = read_body(body).await?;
     let fault = lock(&inner).fault;
     match fault {
-        Fault::Busy => return Ok(answer(StatusCode::SERVICE_UNAVAILABLE, "")),
+        Fault::Busy => return Ok(text_response(StatusCode::SERVICE_UNAVAILABLE, "")),
         Fault::Silent => {
             sleep(Duration::from_secs(60)).await;
-            return Err(Cut);
+            return Err(Aborted);
         }
         Fault::None | Fault::DropResponse => {}
     }
     let Ok(body) = serde_json::from_slice::<Value>(&body) else {
-        return Ok(answer(StatusCode::BAD_REQUEST, ""));
+        return Ok(text_response(StatusCode::BAD_REQUEST, ""));
     };
     let Ok(token) = text(&head.headers, "fencing-token").parse() else {
-        return Ok(answer(StatusCode::BAD_REQUEST, ""));
+        return Ok(text_response(StatusCode::BAD_REQUEST, ""));
     };
     let holder = text(&head.headers, "lease-holder");
     let data_centre = body["zone"].as_str().unwrap_or_default().to_owned();
     let mut state = lock(&inner);
     if state.without_capacity.contains(&data_centre) && body["spot"] == Value::Bool(true) {
-        return Ok(answer(StatusCode::CONFLICT, ""));
+        return Ok(text_response(StatusCode::CONFLICT, ""));
     }
     let path = head.uri.path().to_owned();
     state.calls.push(Call { at: Instant::now(), path, holder, token, body });
-    if fault == Fault::DropResponse { Err(Cut) } else { Ok(answer(StatusCode::OK, "")) }
+    if fault == Fault::DropResponse { Err(Aborted) } else { Ok(text_response(StatusCode::OK, "")) }
 }
--- a/testutils/src/fleet/runner/event.rs
+++ b/testutils/src/fleet/runner/event.rs
@@ -9,7 +9,7 @@
 
 use super::Faults;
 use super::work::Running;
-use crate::server::{Body, Cut};
+use crate::server::{Aborted, Body};
 
 /// Takes the place of the next event's id when the stream is to be aborted.
 const ABORT: u64 = u64::MAX - 1;
@@ -23,7 +23,7 @@
 pub(super) fn events(first: u64, last: u64, faults: Faults, running: Running) -> Body {
     let step = move |(next, running): (u64, Running)| async move {
         if next == ABORT {
-            return Some((Err(Cut), (u64::MAX, running)));
+            return Some((Err(Aborted), (u64::MAX, running)));
         }
         if next > last {
             return None;
--- a/testutils/src/fleet/runner/work.rs
+++ b/testutils/src/fleet/runner/work.rs
@@ -13,7 +13,7 @@
 
 use super::event::events;
 use super::{Inner, Kind, Order, ReceivedRequest, lock};
-use crate::server::{Body, Cut, answer, full, json as json_answer, read};
+use crate::server::{Aborted, Body, full_body, json_response, read_body, text_response};
 
 /// The request handler of a runner.
 pub(super) struct Handler {
@@ -30,19 +30,22 @@
 pub(super) async fn handle(
     handler: Arc<Handler>,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Aborted> {
     let mut response = respond(handler.clone(), request).await?;
     lock(&handler.inner).signals.add_to(&mut response);
     Ok(response)
 }
 
-async fn respond(handler: Arc<Handler>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+async fn respond(
+    handler: Arc<Handler>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Aborted> {
     let (head, body) = request.into_parts();
-    let body = read(body).await?;
+    let body = read_body(body).await?;
     if let Some(expected) = text(&head.headers, "expect-instance")
         && expected != handler.id
     {
-        return Ok(with_instance(answer(StatusCode::MISDIRECTED_REQUEST, ""), &handler.id));
+        return Ok(with_instance(text_response(StatusCode::MISDIRECTED_REQUEST, ""), &handler.id));
     }
     match (&head.method, head.uri.path()) {
         (&Method::GET, "/api/report") => return Ok(handler.report()),
@@ -52,7 +55,7 @@
             let name = path.rsplit('/').next().unwrap_or_default().to_owned();
             let mut inner = lock(&handler.inner);
             inner.freed_handles += u64::from(inner.handles.remove(&name));
-            return Ok(answer(StatusCode::OK, ""));
+            return Ok(text_response(StatusCode::OK, ""));
         }
         _ => {}
     }
@@ -95,14 +98,14 @@
         let inner = lock(&self.inner);
         let body = json!({"stage": inner.stage, "models": [], "busy": false, "born": inner.started_at,
             "seq": inner.accepted_orders, "queued": 0, "running": inner.running});
-        json_answer(StatusCode::OK, &body)
+        json_response(StatusCode::OK, &body)
     }
 
     fn list_cached(&self) -> Response<Body> {
         let inner = lock(&self.inner);
         let held: Vec<_> =
             inner.cached_parts.iter().map(|(id, tokens)| json!(["", id, tokens, "m"])).collect();
-        json_answer(StatusCode::OK, &json!({"epoch": inner.started_at, "next": 1, "held": held}))
+        json_response(StatusCode::OK, &json!({"epoch": inner.started_at, "next": 1, "held": held}))
     }
 
     /// Adds the parts of a request's prompt to the cache.
@@ -113,11 +116,11 @@
         lock(&self.inner).cached_parts.extend(parts);
     }
 
-    fn order(&self, body: &[u8]) -> Result<Response<Body>, Cut> {
-        let order: Value = serde_json::from_slice(body).map_err(|_| Cut)?;
+    fn order(&self, body: &[u8]) -> Result<Response<Body>, Aborted> {
+        let order: Value = serde_json::from_slice(body).map_err(|_| Aborted)?;
         let mut inner = lock(&self.inner);
         if order["expected"].as_u64().is_some_and(|expected| expected != inner.accepted_orders) {
-            return Ok(answer(StatusCode::CONFLICT, ""));
+            return Ok(text_response(StatusCode::CONFLICT, ""));
         }
         let stage = order["stage"].as_str().unwrap_or_default().to_owned();
         inner.orders.push(Order {
@@ -128,13 +131,13 @@
         inner.accepted_orders += 1;
         inner.stage = Some(stage);
         if inner.faults.drop_order_response {
-            return Err(Cut);
+            return Err(Aborted);
         }
-        Ok(answer(StatusCode::ACCEPTED, ""))
+        Ok(text_response(StatusCode::ACCEPTED, ""))
     }
 
     fn refuse_not_run(&self, mut request: ReceivedRequest, status: StatusCode) -> Response<Body> {
-        let mut response = answer(status, "");
+        let mut response = text_response(status, "");
         if let Ok(id) = HeaderValue::from_str(&request.id) {
             response.headers_mut().insert("request-id", id);
         }
@@ -154,7 +157,10 @@
         }
     }
 
-    async fn serve(self: Arc<Self>, mut request: ReceivedRequest) -> Result<Response<Body>, Cut> {
+    async fn serve(
+        self: Arc<Self>,
+        mut request: ReceivedRequest,
+    ) -> Result<Response<Body>, Aborted> {
         let faults = lock(&self.inner).faults;
         if faults.refuse {
             return Ok(self.refuse_not_run(request, StatusCode::SERVICE_UNAVAILABLE));
@@ -166,7 +172,7 @@
             request.ran = !prefill_only;
             lock(&self.inner).received.push(request);
             sleep(Duration::from_secs(60)).await;
-            return Err(Cut);
+            return Err(Aborted);
         }
         sleep(faults.response_delay).await;
         if prefill_only {
@@ -188,11 +194,11 @@
             return Ok(self.crash(&id).await);
         }
         if faults.drop_response {
-            return Err(Cut);
+            return Err(Aborted);
         }
         let signed_id = if faults.wrong_request_id { "another" } else { id.as_str() };
         if faults.respond_500 {
-            let mut response = answer(StatusCode::INTERNAL_SERVER_ERROR, "failed");
+            let mut response = text_response(StatusCode::INTERNAL_SERVER_ERROR, "failed");
             self.sign(&mut response, signed_id);
             return Ok(response);
         }
@@ -204,7 +210,7 @@
             response.headers_mut().insert(header::CONTENT_TYPE, kind);
             response
         } else {
-            Response::new(full(format!("answer to {id}")))
+            Response::new(full_body(format!("answer to {id}")))
         };
         self.sign(&mut response, signed_id);
         Ok(response)
@@ -240,7 +246,7 @@
         inner.handles.insert(handle.clone());
         inner.received.push(request);
         let body = json!({"kvHandle": handle, "tokens": 1, "version": 1});
-        let mut response = json_answer(StatusCode::OK, &body);
+        let mut response = json_response(StatusCode::OK, &body);
         if let Ok(id) = HeaderValue::from_str(&id) {
             response.headers_mut().insert("request-id", id);
         }
--- a/testutils/src/fleet/soak.rs
+++ b/testutils/src/fleet/soak.rs
@@ -28,7 +28,7 @@
 use crate::fleet::rate_limit::{LIMIT_GRACE, LIMIT_WINDOW, limit_violation};
 use crate::fleet::runner::{Faults, Kind, Runner, event};
 use crate::fleet::signal::Signals;
-use crate::fleet::store::{Copy, Fault, Store};
+use crate::fleet::store::{Backup, Fault, Store};
 use crate::process::Daemon;
 
 /// The parameters of a soak test.
@@ -117,7 +117,7 @@
     /// The number of times that a runner's signals were set.
     signals: u64,
     /// Backups from before the most recent faults, oldest first.
-    copies: VecDeque<Copy>,
+    copies: VecDeque<Backup>,
     /// Runners that announced that they are leaving, and when.
     leaving: Vec<(Runner, Instant)>,
 }
@@ -255,7 +255,7 @@
     /// Takes a backup of the store, and restores the oldest one periodically. It draws no random number,
     /// so that the fault sequence of a seed stays the same.
     fn copy(&mut self, faults: u64) {
-        self.copies.push_back(self.store.copy());
+        self.copies.push_back(self.store.backup());
         if self.copies.len() > MAX_BACKUPS {
             self.copies.pop_front();
         }
--- a/testutils/src/fleet/store/copy.rs
+++ b/testutils/src/fleet/store/backup.rs
@@ -20,7 +20,7 @@
 
 /// A backup of the store.
 #[derive(Clone, Debug)]
-pub struct Copy {
+pub struct Backup {
     objects: Objects,
     events: VecDeque<Event>,
     compacted: u64,
@@ -29,7 +29,7 @@
     writes: usize,
 }
 
-impl Copy {
+impl Backup {
     fn of(inner: &Inner) -> Self {
         Self {
             objects: inner.objects.clone(),
@@ -43,13 +43,13 @@
 
 impl Store {
     /// Takes a backup.
-    pub fn copy(&self) -> Copy {
-        Copy::of(&lock(&self.inner))
+    pub fn backup(&self) -> Backup {
+        Backup::of(&lock(&self.inner))
     }
 
     /// Restores a backup: later writes are lost, the era rises by one, and watches are aborted. Returns
     /// the lost writes of the operator and the runners, for them to replay.
-    pub fn restore(&self, copy: &Copy) -> LostWrites {
+    pub fn restore(&self, copy: &Backup) -> LostWrites {
         let mut inner = lock(&self.inner);
         let mut lost = BTreeMap::new();
         let kept = copy.writes.min(inner.writes.len());
--- a/testutils/src/fleet/store/mod.rs
+++ b/testutils/src/fleet/store/mod.rs
@@ -1,6 +1,6 @@
 //! A fake of the platform's object store.
 
-mod copy;
+mod backup;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-pub use self::copy::{Copy, LostWrites};
+pub use self::backup::{Backup, LostWrites};
 
-use self::copy::{Objects, Write};
-use crate::server::{Body, Cut, Server, answer, json as json_answer, read};
+use self::backup::{Objects, Write};
+use crate::server::{Aborted, Body, Server, json_response, read_body, text_response};
 
 /// A fault of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -259,7 +259,7 @@
     }
 }
 
-async fn handle(state: State, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+async fn handle(state: State, request: Request<Incoming>) -> Result<Response<Body>, Aborted> {
     let inner = state.0.clone();
     let mut response = respond(state, request).await?;
     for value in lock(&inner).era_header_values() {
@@ -268,7 +268,7 @@
     Ok(response)
 }
 
-async fn respond(state: State, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+async fn respond(state: State, request: Request<Incoming>) -> Result<Response<Body>, Aborted> {
     let (inner, changed) = state;
     let (fault, rate_exceeded) = {
         let mut inner = lock(&inner);
@@ -278,19 +278,21 @@
         (inner.fault, rate_exceeded)
     };
     match fault {
-        Fault::None if rate_exceeded => return Ok(answer(StatusCode::TOO_MANY_REQUESTS, "")),
+        Fault::None if rate_exceeded => {
+            return Ok(text_response(StatusCode::TOO_MANY_REQUESTS, ""));
+        }
         Fault::None => {}
-        Fault::Busy => return Ok(answer(StatusCode::SERVICE_UNAVAILABLE, "")),
+        Fault::Busy => return Ok(text_response(StatusCode::SERVICE_UNAVAILABLE, "")),
         Fault::Silent => {
             sleep(Duration::from_secs(60)).await;
-            return Err(Cut);
+            return Err(Aborted);
         }
-        Fault::Reset => return Err(Cut),
+        Fault::Reset => return Err(Aborted),
     }
     let (head, body) = request.into_parts();
     let path = head.uri.path().trim_start_matches("/api/objects/").to_owned();
     let query = head.uri.query().unwrap_or_default().to_owned();
-    let body = read(body).await?;
+    let body = read_body(body).await?;
     let body: Value = serde_json::from_slice(&body).unwrap_or_default();
     let (kind, name) = match path.split_once('/') {
         Some((kind, name)) => (kind.to_owned(), Some(name.to_owned())),
@@ -308,7 +310,7 @@
             let mut inner = lock(&inner);
             if inner.responses_to_drop > 0 {
                 inner.responses_to_drop -= 1;
-                return Err(Cut);
+                return Err(Aborted);
             }
             response
         }
@@ -327,13 +329,13 @@
     let all: Vec<&Value> = of_kind.map(|(_, object)| object).collect();
     let items: Vec<&Value> = all.iter().take(PAGE).copied().collect();
     let body = json!({"items": items, "hasMore": all.len() > PAGE, "asOf": inner.revision});
-    json_answer(StatusCode::OK, &body)
+    json_response(StatusCode::OK, &body)
 }
 
 fn get(inner: &Inner, kind: &str, name: &str) -> Response<Body> {
     match inner.objects.get(&(kind.to_owned(), name.to_owned())) {
-        Some(object) => json_answer(StatusCode::OK, object),
-        None => answer(StatusCode::NOT_FOUND, ""),
+        Some(object) => json_response(StatusCode::OK, object),
+        None => text_response(StatusCode::NOT_FOUND, ""),
     }
 }
 
@@ -346,25 +348,25 @@
 ) -> Response<Body> {
     let named = body["metadata"]["name"].as_str();
     let Some(name) = name.or(named).map(str::to_owned) else {
-        return answer(StatusCode::BAD_REQUEST, "");
+        return text_response(StatusCode::BAD_REQUEST, "");
     };
     let existing = inner.objects.get(&(kind.to_owned(), name.clone())).cloned();
     let expected = body["metadata"]["revision"].as_u64();
     let revision = existing.as_ref().and_then(|o| o["metadata"]["revision"].as_u64());
     match (method, existing) {
-        (&Method::POST, Some(existing)) => json_answer(StatusCode::CONFLICT, &existing),
-        (&Method::PUT, None) => answer(StatusCode::NOT_FOUND, ""),
+        (&Method::POST, Some(existing)) => json_response(StatusCode::CONFLICT, &existing),
+        (&Method::PUT, None) => text_response(StatusCode::NOT_FOUND, ""),
         (&Method::PUT, Some(existing)) if expected.is_some() && expected != revision => {
-            json_answer(StatusCode::CONFLICT, &existing)
+            json_response(StatusCode::CONFLICT, &existing)
         }
         (&Method::POST | &Method::PUT, _) => {
-            json_answer(StatusCode::OK, &inner.put(kind, &name, &body["spec"]))
+            json_response(StatusCode::OK, &inner.put(kind, &name, &body["spec"]))
         }
         (&Method::DELETE, _) => {
             inner.remove(kind, &name);
-            answer(StatusCode::OK, "")
+            text_response(StatusCode::OK, "")
         }
-        _ => answer(StatusCode::METHOD_NOT_ALLOWED, ""),
+        _ => text_response(StatusCode::METHOD_NOT_ALLOWED, ""),
     }
 }
 
@@ -394,7 +396,7 @@
     changed: &watch::Sender<u64>,
     kind: &str,
     query: &str,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Aborted> {
     let number = |name| parameter(query, name).and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
     let (from, wait) = (number("watch"), Duration::from_millis(number("waitMs").min(30_000)));
     let until = Instant::now() + wait;
@@ -406,15 +408,15 @@
         {
             let inner = lock(inner);
             if inner.era != era {
-                return Err(Cut);
+                return Err(Aborted);
             }
             if from < inner.compacted || from > inner.revision {
-                return Ok(answer(StatusCode::GONE, ""));
+                return Ok(text_response(StatusCode::GONE, ""));
             }
             let events = inner.events_since(kind, from);
             if !events.is_empty() || Instant::now() >= until {
                 let body = json!({"events": events, "asOf": inner.revision});
-                return Ok(json_answer(StatusCode::OK, &body));
+                return Ok(json_response(StatusCode::OK, &body));
             }
         }
         let left = until.saturating_duration_since(Instant::now());
--- a/testutils/src/invariant.rs
+++ b/testutils/src/invariant.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::engine::expected;
+use crate::engine::expected_output;
 
 /// What a caller saw of one request.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
     starts: u32,
 ) -> Option<Violation> {
     match seen {
-        Observation::Answer(got) if *got != expected(prompt, tokens) => {
+        Observation::Answer(got) if *got != expected_output(prompt, tokens) => {
             Some(Violation::WrongAnswer { prompt: prompt.to_owned(), got: got.clone() })
         }
         Observation::RefusedNotRun if starts > 0 => {
--- a/testutils/src/plain.rs
+++ b/testutils/src/plain.rs
@@ -8,7 +8,7 @@
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
 
-use crate::server::{Body, Cut, Server, answer, json, read};
+use crate::server::{Aborted, Body, Server, json_response, read_body, text_response};
 
 /// How the service fails.
 #[derive(Clone, Copy, Debug, Default)]
@@ -57,7 +57,7 @@
     }
 
     /// How often a call with this body has taken effect.
-    pub fn effects(&self, body: &str) -> u32 {
+    pub fn effect_count(&self, body: &str) -> u32 {
         self.inner.lock().expect("plain lock").effects.get(body).copied().unwrap_or(0)
     }
 
@@ -76,17 +76,17 @@
 async fn handle(
     state: Arc<Mutex<Inner>>,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Aborted> {
     let faults = state.lock().expect("plain lock").faults;
     if faults.leaving {
-        let mut response = answer(StatusCode::SERVICE_UNAVAILABLE, "leaving");
+        let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "leaving");
         let headers = response.headers_mut();
         headers.insert("x-not-run", http::HeaderValue::from_static("true"));
         headers.insert("x-leaving", http::HeaderValue::from_static("true"));
         return Ok(response);
     }
     let (parts, body) = request.into_parts();
-    let body = read(body).await?;
+    let body = read_body(body).await?;
     let text = String::from_utf8_lossy(&body).into_owned();
     let count = {
         let mut inner = state.lock().expect("plain lock");
@@ -96,7 +96,7 @@
     };
     tokio::time::sleep(faults.delay).await;
     if faults.drop_response {
-        return Err(Cut);
+        return Err(Aborted);
     }
     let path = parts.uri.path_and_query().map(ToString::to_string).unwrap_or_default();
     let said = serde_json::json!({
@@ -105,5 +105,5 @@
         "body": text,
         "count": count,
     });
-    Ok(json(StatusCode::OK, &said))
+    Ok(json_response(StatusCode::OK, &said))
 }
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 
-use crate::server::{Body, Cut, Server, answer, json, read};
+use crate::server::{Aborted, Body, Server, json_response, read_body, text_response};
 
 /// The largest value that is held.
 pub const MAX_VALUE: usize = 1 << 20;
@@ -131,17 +131,17 @@
     state: State,
     changed: Changed,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Aborted> {
     let faults = state.lock().expect("platform lock").faults;
     if faults.down {
-        return Err(Cut);
+        return Err(Aborted);
     }
     tokio::time::sleep(faults.delay).await;
     let (parts, body) = request.into_parts();
     let path = parts.uri.path().to_owned();
     let query = parts.uri.query().unwrap_or_default().to_owned();
     if let Some(name) = path.strip_prefix("/v1/objects/") {
-        let value = read(body).await?;
+        let value = read_body(body).await?;
         return object(&state, &changed, &parts.method, name, &parts.headers, value);
     }
     match path.as_str() {
@@ -150,13 +150,13 @@
         "/v1/vms" => {
             let mut inner = state.lock().expect("platform lock");
             inner.calls.reads += 1;
-            Ok(json(StatusCode::OK, &inner.vms))
+            Ok(json_response(StatusCode::OK, &inner.vms))
         }
         _ if path.starts_with("/v1/weights/") => {
             state.lock().expect("platform lock").weight_loads += 1;
-            Ok(answer(StatusCode::OK, "weights"))
+            Ok(text_response(StatusCode::OK, "weights"))
         }
-        _ => Ok(answer(StatusCode::NOT_FOUND, "no such path")),
+        _ => Ok(text_response(StatusCode::NOT_FOUND, "no such path")),
     }
 }
 
@@ -172,22 +172,22 @@
     name: &str,
     headers: &HeaderMap,
     value: Bytes,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Aborted> {
     let mut inner = state.lock().expect("platform lock");
     if method == Method::GET {
         inner.calls.reads += 1;
         return Ok(match inner.objects.get(name) {
             Some(stored) => with_revision(stored.value.clone(), stored.revision),
-            None => answer(StatusCode::NOT_FOUND, "no such object"),
+            None => text_response(StatusCode::NOT_FOUND, "no such object"),
         });
     }
     inner.calls.writes += 1;
     if value.len() > MAX_VALUE {
-        return Ok(answer(StatusCode::PAYLOAD_TOO_LARGE, "more than a megabyte"));
+        return Ok(text_response(StatusCode::PAYLOAD_TOO_LARGE, "more than a megabyte"));
     }
     let now = inner.objects.get(name).map(|o| o.revision);
     if !condition_holds(headers, now) {
-        return Ok(answer(StatusCode::PRECONDITION_FAILED, "another revision"));
+        return Ok(text_response(StatusCode::PRECONDITION_FAILED, "another revision"));
     }
     inner.revision += 1;
     let revision = inner.revision;
@@ -199,7 +199,7 @@
     changed.send_replace(revision);
     if inner.faults.drop_responses > 0 {
         inner.faults.drop_responses -= 1;
-        return Err(Cut);
+        return Err(Aborted);
     }
     Ok(with_revision(Bytes::new(), revision))
 }
@@ -216,7 +216,7 @@
 }
 
 fn with_revision(value: Bytes, revision: u64) -> Response<Body> {
-    let mut response = answer(StatusCode::OK, value);
+    let mut response = text_response(StatusCode::OK, value);
     response.headers_mut().insert(http::header::ETAG, revision.into());
     response
 }
@@ -229,14 +229,14 @@
 fn list(state: &State, prefix: &str) -> Response<Body> {
     let mut inner = state.lock().expect("platform lock");
     inner.calls.reads += 1;
-    json(StatusCode::OK, &lines(&inner, prefix, 0))
+    json_response(StatusCode::OK, &lines(&inner, prefix, 0))
 }
 
 async fn watch_objects(
     state: &State,
     changed: &Changed,
     query: &str,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Aborted> {
     let prefix = parameter(query, "prefix");
     let after = parameter(query, "after").parse().unwrap_or(0);
     let wait = Duration::from_millis(parameter(query, "timeout_ms").parse().unwrap_or(0));
@@ -247,7 +247,7 @@
         inner.calls.watches += 1;
         if inner.faults.miss_watches > 0 {
             inner.faults.miss_watches -= 1;
-            return Ok(json(StatusCode::OK, &Vec::<Line>::new()));
+            return Ok(json_response(StatusCode::OK, &Vec::<Line>::new()));
         }
     }
     loop {
@@ -255,13 +255,13 @@
         let found = {
             let inner = state.lock().expect("platform lock");
             if inner.faults.down {
-                return Err(Cut);
+                return Err(Aborted);
             }
             lines(&inner, &prefix, after)
         };
         let left = until.saturating_duration_since(Instant::now());
         if !found.is_empty() || left.is_zero() {
-            return Ok(json(StatusCode::OK, &found));
+            return Ok(json_response(StatusCode::OK, &found));
         }
         let _ = timeout(left, changes.changed()).await;
     }
--- a/testutils/src/server.rs
+++ b/testutils/src/server.rs
@@ -20,27 +20,27 @@
 /// The connection is broken off in place of an answer or of the rest of one.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("broken off on purpose")]
-pub struct Cut;
+pub struct Aborted;
 
 /// The body of an answer, which may break off.
-pub type Body = BoxBody<Bytes, Cut>;
+pub type Body = BoxBody<Bytes, Aborted>;
 
 /// A body with all of its bytes at hand.
-pub fn full(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never: Infallible| match never {}).boxed()
 }
 
 /// An answer with a status and a whole body.
-pub fn answer(status: StatusCode, bytes: impl Into<Bytes>) -> Response<Body> {
-    let mut response = Response::new(full(bytes));
+pub fn text_response(status: StatusCode, bytes: impl Into<Bytes>) -> Response<Body> {
+    let mut response = Response::new(full_body(bytes));
     *response.status_mut() = status;
     response
 }
 
 /// An answer with JSON.
-pub fn json(status: StatusCode, value: &impl serde::Serialize) -> Response<Body> {
+pub fn json_response(status: StatusCode, value: &impl serde::Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).expect("stand-ins answer with JSON types");
-    let mut response = answer(status, bytes);
+    let mut response = text_response(status, bytes);
     let json = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert(http::header::CONTENT_TYPE, json);
     response
@@ -62,7 +62,7 @@
     pub async fn start<H, F>(address: SocketAddr, handler: H) -> std::io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
-        F: Future<Output = Result<Response<Body>, Cut>> + Send + 'static,
+        F: Future<Output = Result<Response<Body>, Aborted>> + Send + 'static,
     {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -86,7 +86,7 @@
 async fn accept<H, F>(listener: TcpListener, handler: Arc<H>, mut stopped: watch::Receiver<bool>)
 where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
-    F: Future<Output = Result<Response<Body>, Cut>> + Send + 'static,
+    F: Future<Output = Result<Response<Body>, Aborted>> + Send + 'static,
 {
     loop {
         let accepted = tokio::select! {
@@ -113,6 +113,6 @@
 ///
 /// # Errors
 /// The caller broke off.
-pub async fn read(body: Incoming) -> Result<Bytes, Cut> {
-    body.collect().await.map(http_body_util::Collected::to_bytes).map_err(|_| Cut)
+pub async fn read_body(body: Incoming) -> Result<Bytes, Aborted> {
+    body.collect().await.map(http_body_util::Collected::to_bytes).map_err(|_| Aborted)
 }
