--- a/testutils/src/caller.rs
+++ b/testutils/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: it looks up addresses, keeps them for as long as it may, and asks.
+//! A client that looks up node addresses and sends requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,71 +17,71 @@
 
 use crate::invariant::Observation;
 
-/// Why a caller got nothing.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection, or it broke off.
+    /// The connection failed.
     #[error("calling {peer}: {detail}")]
     Transport {
-        /// The node.
+        /// The node that was called.
         peer: SocketAddr,
-        /// What the transport says.
+        /// The transport error.
         detail: String,
     },
-    /// The answer is not what the protocol has.
-    #[error("answer of {peer}: {detail}")]
+    /// The response does not follow the protocol.
+    #[error("response of {peer}: {detail}")]
     Protocol {
-        /// The node.
+        /// The node that was called.
         peer: SocketAddr,
-        /// What is wrong.
+        /// The parse error and the response.
         detail: String,
     },
 }
 
-/// The answer to a look-up.
+/// The response to an address look-up.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Listing {
     /// The addresses to use.
     pub addresses: Vec<SocketAddr>,
-    /// For how long, in milliseconds.
+    /// How long they are valid, in milliseconds.
     pub valid_ms: u64,
-    /// The epoch to send with requests that must not run twice.
+    /// The epoch to send with requests that must run at most once.
     pub epoch: u64,
 }
 
-/// One attempt at a request that must not run twice.
+/// An attempt at a request that must run at most once.
 #[derive(Clone, Debug)]
 pub struct KeyedAttempt<'a> {
-    /// The key.
+    /// The idempotency key.
     pub key: &'a str,
-    /// The attempt, from 1.
+    /// The number of the attempt, starting at 1.
     pub attempt: u64,
-    /// The epoch of the first attempt's listing.
+    /// The epoch of the listing that the first attempt used.
     pub epoch: u64,
 }
 
-/// A caller with its account's key.
+/// A client with the API key of an account.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
     key: String,
 }
 
-/// What came of a request, with the refusal's time to come back.
+/// The result of a request.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// What was seen.
+    /// What the caller can conclude about the request.
     pub observation: Observation,
-    /// The status; nought where the connection broke off before it.
+    /// The HTTP status; 0 if none was received.
     pub status: u16,
-    /// When to come back.
+    /// The delay before a retry that a refusal names.
     pub retry_after: Option<Duration>,
-    /// The body of a refusal.
+    /// The body of a refusal, or a description of the error.
     pub body: String,
 }
 
 impl Caller {
-    /// A caller of the account with this key.
+    /// A client with this API key.
     pub fn new(key: &str) -> Self {
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
@@ -89,17 +89,17 @@
         Self { client, key: key.to_owned() }
     }
 
-    /// A caller that speaks HTTP/2 without TLS.
+    /// A client that uses HTTP/2 without TLS.
     pub fn with_http2(key: &str) -> Self {
         let client =
             Client::builder(TokioExecutor::new()).http2_only(true).build(HttpConnector::new());
         Self { client, key: key.to_owned() }
     }
 
-    /// Sends any request.
+    /// Sends a request and returns the response before its body is read.
     ///
     /// # Errors
-    /// No connection, or it broke off before an answer.
+    /// The connection failed before a response arrived.
     pub async fn send(
         &self,
         peer: SocketAddr,
@@ -116,17 +116,17 @@
         for (name, value) in headers {
             request = request.header(*name, value);
         }
-        let request = request.body(Full::new(body.into())).expect("tests make valid requests");
+        let request = request.body(Full::new(body.into())).expect("valid request parameters");
         self.client
             .request(request)
             .await
             .map_err(|error| CallError::Transport { peer, detail: error.to_string() })
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads the whole response.
     ///
     /// # Errors
-    /// No connection, or it broke off.
+    /// The connection failed.
     pub async fn fetch(
         &self,
         peer: SocketAddr,
@@ -141,17 +141,17 @@
         Ok((status, body))
     }
 
-    /// Looks up the addresses to use.
+    /// Looks up the node addresses.
     ///
     /// # Errors
-    /// No connection, or an answer that is not a listing.
+    /// The connection failed, or the response is not a listing.
     pub async fn look_up(&self, peer: SocketAddr) -> Result<Listing, CallError> {
         let (_, body) = self.fetch(peer, Method::GET, "/v1/addresses", &[], "").await?;
         serde_json::from_str(&body)
             .map_err(|error| CallError::Protocol { peer, detail: format!("{error}: {body}") })
     }
 
-    /// Streams a completion and reads it to its end.
+    /// Requests a streamed completion and reads the stream to its end.
     pub async fn complete(
         &self,
         peer: SocketAddr,
@@ -164,27 +164,27 @@
             "model": model, "prompt": prompt, "max_tokens": tokens, "stream": true,
         });
         let headers = [("x-request-id", id.to_owned())];
-        let sent = self.send(peer, Method::POST, "/v1/completions", &headers, body.to_string());
-        match sent.await {
+        let call = self.send(peer, Method::POST, "/v1/completions", &headers, body.to_string());
+        match call.await {
             Ok(response) if response.status().is_success() => read_stream(response).await,
-            Ok(response) => refusal(peer, response).await,
-            Err(error) => cut(error.to_string()),
+            Ok(response) => read_refusal(peer, response).await,
+            Err(error) => incomplete(error.to_string()),
         }
     }
 
-    /// Posts to a plain service.
+    /// Sends a POST to a plain service.
     pub async fn post(
         &self,
         peer: SocketAddr,
         service: &str,
         body: &str,
-        keyed: Option<&KeyedAttempt<'_>>,
+        attempt: Option<&KeyedAttempt<'_>>,
     ) -> Reply {
         let mut headers = Vec::new();
-        if let Some(keyed) = keyed {
-            headers.push(("idempotency-key", keyed.key.to_owned()));
-            headers.push(("x-sardinepick-attempt", keyed.attempt.to_string()));
-            headers.push(("x-sardinepick-epoch", keyed.epoch.to_string()));
+        if let Some(attempt) = attempt {
+            headers.push(("idempotency-key", attempt.key.to_owned()));
+            headers.push(("x-sardinepick-attempt", attempt.attempt.to_string()));
+            headers.push(("x-sardinepick-epoch", attempt.epoch.to_string()));
         }
         let path = format!("/services/{service}/orders");
         match self.send(peer, Method::POST, &path, &headers, body.to_owned()).await {
@@ -197,18 +197,18 @@
                         retry_after: None,
                         body: String::new(),
                     },
-                    Err(error) => cut(error.to_string()),
+                    Err(error) => incomplete(error.to_string()),
                 }
             }
-            Ok(response) => refusal(peer, response).await,
-            Err(error) => cut(error.to_string()),
+            Ok(response) => read_refusal(peer, response).await,
+            Err(error) => incomplete(error.to_string()),
         }
     }
 
-    /// Carries out a command of the operators' language, waiting for all nodes.
+    /// Executes a command of the operators' language and waits for all nodes.
     ///
     /// # Errors
-    /// No connection, or it broke off.
+    /// The connection failed.
     pub async fn command(
         &self,
         peer: SocketAddr,
@@ -221,7 +221,7 @@
     }
 }
 
-fn cut(detail: String) -> Reply {
+fn incomplete(detail: String) -> Reply {
     Reply { observation: Observation::Truncated, status: 0, retry_after: None, body: detail }
 }
 
@@ -234,7 +234,7 @@
     Ok(String::from_utf8_lossy(&body.to_bytes()).into_owned())
 }
 
-async fn refusal(peer: SocketAddr, response: Response<Incoming>) -> Reply {
+async fn read_refusal(peer: SocketAddr, response: Response<Incoming>) -> Reply {
     let status = response.status().as_u16();
     let text = |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok());
     let observation = match text("x-sardinepick-run") {
@@ -257,7 +257,7 @@
     text: String,
 }
 
-/// Reads a stream as a client does: only the closing event makes it whole.
+/// Reads a stream as a client does: it is complete only with its closing event.
 async fn read_stream(response: Response<Incoming>) -> Reply {
     let status = response.status().as_u16();
     let mut events = BodyDataStream::new(response.into_body()).eventsource();
@@ -265,7 +265,7 @@
     while let Some(event) = events.next().await {
         let event = match event {
             Ok(event) => event,
-            Err(error) => return cut(error.to_string()),
+            Err(error) => return incomplete(error.to_string()),
         };
         if event.event == "error" {
             return Reply {
@@ -285,8 +285,8 @@
         }
         match serde_json::from_str::<Event>(&event.data) {
             Ok(event) => text.extend(event.choices.into_iter().map(|c| c.text)),
-            Err(error) => return cut(error.to_string()),
+            Err(error) => return incomplete(error.to_string()),
         }
     }
-    cut("the stream ended without its closing event".to_owned())
+    incomplete("the stream ended without its closing event".to_owned())
 }
--- a/testutils/src/cluster.rs
+++ b/testutils/src/cluster.rs
@@ -1,5 +1,5 @@
-//! A small deployment in one process: a platform, stand-ins and nodes wired by settings files as a
-//! deployment would be.
+//! A small deployment in one process: a fake platform and nodes, which are configured by settings
+//! files as in production.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::sync::Arc;
@@ -17,13 +17,14 @@
 use crate::caller::Caller;
 use crate::platform::Platform;
 
-/// The key that administers in tests.
+/// The administrator's key in tests.
 pub const ADMIN_KEY: &str = "admin-key";
 
-/// How long a condition is waited for before a test gives up.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// The time after which waiting for a condition fails the test.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A loopback address of this process's own, so that tests that run at once do not meet.
+/// A loopback address that is unique to this process and call, so that concurrent tests do not
+/// interfere.
 pub fn own_ip() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let process = std::process::id();
@@ -33,13 +34,13 @@
     IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, host.max(1)))
 }
 
-/// An address with a port that is free for TCP and UDP.
+/// An address with a port that is currently free for TCP and UDP.
 ///
 /// # Panics
-/// No port can be had.
+/// The address cannot be bound.
 pub fn free_address(ip: IpAddr) -> SocketAddr {
     loop {
-        let listener = TcpListener::bind((ip, 0)).expect("a loopback address can be listened at");
+        let listener = TcpListener::bind((ip, 0)).expect("a loopback address can be bound");
         let address = listener.local_addr().expect("a listener has an address");
         if UdpSocket::bind(address).is_ok() {
             return address;
@@ -47,33 +48,33 @@
     }
 }
 
-/// An address of this process's own at which a server that binds it gets whichever port is free. Unlike
-/// one of [`free_address`], nobody can take it between the look and the use.
+/// An address with port 0, on which a server gets any free port when it binds. Unlike with
+/// [`free_address`], no other process can take the port first.
 pub fn any_address() -> SocketAddr {
     SocketAddr::new(own_ip(), 0)
 }
 
-/// What the settings of a node are made of.
+/// The parameters of a node, from which its settings file is generated.
 #[derive(Clone, Debug)]
 pub struct NodeOptions {
-    /// Its name.
+    /// The name of the node.
     pub name: String,
-    /// Its data centre.
+    /// The data centre that it is in.
     pub data_centre: String,
-    /// For callers.
+    /// The address for callers.
     pub front: SocketAddr,
-    /// For nodes.
+    /// The address for other nodes.
     pub peer: SocketAddr,
-    /// The platform.
+    /// The address of the platform.
     pub platform: SocketAddr,
-    /// Further lines of the settings file.
+    /// Additional lines of the settings file.
     pub extra: String,
-    /// Whether periods are short, as tests want them, or those of a deployment.
+    /// Whether to use short periods, as suits tests, rather than the defaults.
     pub short_periods: bool,
 }
 
 impl NodeOptions {
-    /// A node with free addresses.
+    /// Parameters with free addresses.
     pub fn new(name: &str, data_centre: &str, platform: SocketAddr) -> Self {
         let ip = own_ip();
         Self {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The settings file.
+    /// The content of the settings file.
     pub fn ini(&self) -> String {
         let key = Digest::of(ADMIN_KEY.as_bytes());
         if !self.short_periods {
@@ -110,65 +111,65 @@
         )
     }
 
-    /// The line of the VM list.
+    /// The node's entry in the VM list.
     pub fn vm(&self) -> Vm {
-        let name = self.name.parse().expect("tests name nodes rightly");
+        let name = self.name.parse().expect("a valid node name");
         Vm { name, address: self.peer, leaving: false }
     }
 
-    /// Starts the node as a task of this process.
+    /// Starts the node in this process.
     ///
     /// # Panics
-    /// The settings are wrong or an address is taken.
+    /// The settings are invalid or an address is in use.
     pub async fn start(&self) -> Running {
-        let settings = Settings::parse(&self.name, &self.ini()).expect("the settings are right");
+        let settings = Settings::parse(&self.name, &self.ini()).expect("the settings are valid");
         start(settings, Arc::new(Boot::default())).await.expect("the addresses are free")
     }
 }
 
-/// Waits until `holds`.
+/// Waits until `condition` is true. `what` names it in the panic message.
 ///
 /// # Panics
-/// It does not hold within [`PATIENCE`].
-pub async fn wait_until<F: Future<Output = bool>>(what: &str, holds: impl Fn() -> F) {
-    let until = Instant::now() + PATIENCE;
-    while !holds().await {
-        assert!(Instant::now() < until, "waited in vain until {what}");
+/// It is not true within [`WAIT_TIMEOUT`].
+pub async fn wait_until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition().await {
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Waits until a node takes requests.
+/// Waits until the node at `front` is ready.
 pub async fn wait_ready(front: SocketAddr) {
     let caller = Caller::new("");
     wait_until("a node is ready", || {
         let caller = caller.clone();
         async move {
-            let asked = caller.fetch(front, Method::GET, "/readyz", &[], "").await;
-            asked.is_ok_and(|(status, _)| status.is_success())
+            let response = caller.fetch(front, Method::GET, "/readyz", &[], "").await;
+            response.is_ok_and(|(status, _)| status.is_success())
         }
     })
     .await;
 }
 
-/// A platform with nodes.
+/// A fake platform with nodes.
 pub struct Cluster {
-    /// The platform.
+    /// The address of the platform.
     pub platform: Platform,
-    /// The nodes' plans, in order.
+    /// The parameters of the nodes, by index.
     pub node_options: Vec<NodeOptions>,
-    /// The nodes; `None` for one that has been stopped.
+    /// The nodes by index; `None` for a stopped one.
     pub nodes: Vec<Option<Running>>,
-    /// An operator who administers.
+    /// A client with the administrator's key.
     pub operator: Caller,
 }
 
 impl Cluster {
-    /// Starts a platform and `count` nodes that know of each other, with `config` as the first
-    /// change.
+    /// Starts a platform and `count` nodes, spread over `data_centres` in turn, and applies `config` as the
+    /// first change.
     ///
     /// # Panics
-    /// Something does not start, or the change is refused.
+    /// A server does not start, or the change is refused.
     pub async fn start(count: usize, data_centres: &[&str], config: &str) -> Self {
         let platform = Platform::start(free_address(own_ip())).await.expect("a free address");
         let options = |at: usize| {
@@ -183,7 +184,7 @@
         }
         let operator = Caller::new(ADMIN_KEY);
         let cluster = Self { platform, node_options, nodes, operator };
-        cluster.wait_met().await;
+        cluster.wait_for_membership().await;
         cluster.change(config).await;
         for plan in &cluster.node_options {
             wait_ready(plan.front).await;
@@ -192,8 +193,8 @@
         cluster
     }
 
-    /// Waits until every node knows of every other.
-    async fn wait_met(&self) {
+    /// Waits until all nodes know each other.
+    async fn wait_for_membership(&self) {
         let count = self.node_options.len();
         wait_until("the nodes know each other", || async {
             let running = self.nodes.iter().flatten();
@@ -202,37 +203,37 @@
         .await;
     }
 
-    /// Waits until every node has a table of owners that names all of them.
+    /// Waits until every node's owner table lists all running nodes.
     pub async fn wait_for_table(&self) {
         let count = self.nodes.iter().flatten().count();
-        wait_until("the table of owners names all nodes", || async {
+        wait_until("the owner tables list all nodes", || async {
             let running = self.nodes.iter().flatten();
             running.map(|n| n.node.table.load().members().len()).all(|known| known == count)
         })
         .await;
     }
 
-    /// Makes a change and waits until it is in force everywhere.
+    /// Applies a change, waits until it is in force on all nodes and returns its generation.
     ///
     /// # Panics
-    /// It is refused.
+    /// The change is refused.
     pub async fn change(&self, text: &str) -> u64 {
         let (status, value) = self.operator.command(self.front(0), text).await.expect("a node");
         assert!(status.is_success(), "{text}: {value}");
         let applied = &value["results"][0]["applied"];
-        assert_eq!(applied["applied"], applied["nodes"], "not in force everywhere: {value}");
+        assert_eq!(applied["applied"], applied["nodes"], "not in force on all nodes: {value}");
         applied["generation"].as_u64().unwrap_or_default()
     }
 
-    /// Where callers reach the node at `at`.
+    /// The address for callers of the node at index `at`.
     pub fn front(&self, at: usize) -> SocketAddr {
         self.node_options[at].front
     }
 
-    /// The running node at `at`.
+    /// The running node at index `at`.
     ///
     /// # Panics
-    /// It has been stopped.
+    /// The node has been stopped.
     pub fn node(&self, at: usize) -> &Running {
         self.nodes[at].as_ref().expect("the node runs")
     }
--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a model engine: batches continuously, answers by a fixed rule from the prompt,
-//! and can be told to fail in all the ways that engines do.
+//! A fake model engine with continuous batching. Its output is a deterministic function of the prompt,
+//! and it supports fault injection.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -23,14 +23,14 @@
 
 use crate::server::{Aborted, Body, Server, json_response, read_body, text_response};
 
-/// How fast an engine is.
+/// The speed of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub prefill: u32,
-    /// Output tokens a second of one request.
+    /// Output tokens per second of one request.
     pub decode: u32,
-    /// How long a role change takes.
+    /// The duration of a role change.
     pub role_change_time: Duration,
 }
 
@@ -40,28 +40,28 @@
     }
 }
 
-/// How an engine fails.
+/// The faults of an engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// It takes connections and answers nothing.
+    /// Accepts connections, but does not answer.
     pub hang: bool,
-    /// It breaks streams off after so many tokens.
+    /// Aborts streams after this many tokens.
     pub abort_after: Option<u64>,
-    /// It ends streams without their closing frame after so many tokens.
+    /// Ends streams without the closing frame after this many tokens.
     pub end_after: Option<u64>,
-    /// It refuses new work as one that leaves.
+    /// Refuses new requests as a leaving runner does.
     pub leaving: bool,
-    /// It refuses new work without having started it.
+    /// Refuses new requests with the statement that they were not run.
     pub refuse: bool,
-    /// It answers with the answer to another prompt.
+    /// Answers with the output of another request.
     pub answer_other_request: bool,
-    /// It loses the answers to orders after taking them.
+    /// Carries out orders, but aborts the connection before it answers them.
     pub drop_order_responses: bool,
-    /// It does not look at fencing numbers.
+    /// Ignores fencing tokens.
     pub ignore_fencing: bool,
 }
 
-/// A completion as the published protocol has it, with the extensions that engines offer.
+/// A completion request of the published protocol, with the extensions that engines offer.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Completion {
@@ -69,13 +69,13 @@
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// How many tokens to make.
+    /// The number of output tokens.
     pub max_tokens: u64,
-    /// Whether to stream.
+    /// Whether to stream the output.
     pub stream: bool,
-    /// The token to go on from.
+    /// The index of the token to resume from.
     pub resume_from: u64,
-    /// The caller's name for the request.
+    /// The caller's request id.
     pub request_id: String,
 }
 
@@ -83,8 +83,8 @@
 struct Inner {
     role: Role,
     changing: bool,
-    last: Option<Id>,
-    done: HashSet<Id>,
+    last_order: Option<Id>,
+    completed_orders: HashSet<Id>,
     fence: Epoch,
     running: u32,
     backlog: u64,
@@ -95,25 +95,25 @@
     tokens: u64,
 }
 
-/// An engine.
+/// A fake engine.
 #[derive(Debug)]
 pub struct Engine {
     inner: Arc<Mutex<Inner>>,
     server: Server,
 }
 
-/// Token `index` of the answer to `prompt`.
+/// Token `index` of the output for `prompt`.
 pub fn token(prompt: &str, index: u64) -> String {
     let hash = place(index, prompt.as_bytes());
     format!(" t{:x}", hash & 0xffff)
 }
 
-/// The whole answer to `prompt`.
+/// The whole output for `prompt`.
 pub fn expected_output(prompt: &str, tokens: u64) -> String {
     (0..tokens).map(|index| token(prompt, index)).collect()
 }
 
-/// A rough count of the tokens of a text, as the engines count them.
+/// An estimate of a prompt's token count, as the fake engines use it.
 pub fn prompt_tokens(prompt: &str) -> u64 {
     prompt.len().div_ceil(4) as u64
 }
@@ -122,13 +122,13 @@
     /// Starts an engine.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The address cannot be bound.
     pub async fn start(address: SocketAddr, role: Role, speed: Speed) -> std::io::Result<Self> {
         let inner = Arc::new(Mutex::new(Inner {
             role,
             changing: false,
-            last: None,
-            done: HashSet::new(),
+            last_order: None,
+            completed_orders: HashSet::new(),
             fence: Epoch(0),
             running: 0,
             backlog: 0,
@@ -144,49 +144,49 @@
         Ok(Self { inner, server })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Dies, breaking off all that is under way.
+    /// Aborts all connections and stops listening, as a killed process does.
     pub fn kill(&self) {
         self.server.stop();
     }
 
-    /// Sets how it fails.
+    /// Sets the faults.
     pub fn set_faults(&self, faults: Faults) {
         self.inner.lock().expect("engine lock").faults = faults;
     }
 
-    /// How often the request of this name was started from its first token.
+    /// How often the request with this id was started from its first token.
     pub fn start_count(&self, request_id: &str) -> u32 {
         let inner = self.inner.lock().expect("engine lock");
         inner.start_counts.get(request_id).copied().unwrap_or(0)
     }
 
-    /// Requests under way.
+    /// The number of requests in flight.
     pub fn running(&self) -> u32 {
         self.inner.lock().expect("engine lock").running
     }
 
-    /// The orders that it took, in order.
+    /// The accepted orders, in order of arrival.
     pub fn orders(&self) -> Vec<Order> {
         self.inner.lock().expect("engine lock").orders.clone()
     }
 
-    /// Orders that came while another change was under way or with an older fencing number than
-    /// one that was obeyed.
+    /// The number of orders that were carried out although another role change was in progress or a
+    /// higher fencing token had been accepted.
     pub fn conflicts(&self) -> u32 {
         self.inner.lock().expect("engine lock").conflicts
     }
 
-    /// The role it works in.
+    /// The current role.
     pub fn role(&self) -> Role {
         self.inner.lock().expect("engine lock").role
     }
 
-    /// Output tokens made so far.
+    /// The number of output tokens generated so far.
     pub fn tokens(&self) -> u64 {
         self.inner.lock().expect("engine lock").tokens
     }
@@ -209,7 +209,7 @@
         "/v1/load" => Ok(json_response(StatusCode::OK, &report(&state, speed))),
         "/v1/condition" => Ok(json_response(StatusCode::OK, &condition(&state))),
         "/v1/orders" => order(&state, speed, &body),
-        _ => Ok(text_response(StatusCode::NOT_FOUND, "no such path")),
+        _ => Ok(text_response(StatusCode::NOT_FOUND, "unknown path")),
     }
 }
 
@@ -231,27 +231,27 @@
     Condition {
         role: inner.role,
         changing: inner.changing,
-        last: inner.last.clone(),
+        last: inner.last_order.clone(),
         fence: inner.fence,
     }
 }
 
 fn order(state: &State, speed: Speed, body: &[u8]) -> Result<Response<Body>, Aborted> {
     let Ok(order) = serde_json::from_slice::<Order>(body) else {
-        return Ok(text_response(StatusCode::BAD_REQUEST, "not an order"));
+        return Ok(text_response(StatusCode::BAD_REQUEST, "malformed order"));
     };
     let mut inner = state.lock().expect("engine lock");
     let stale = order.epoch < inner.fence;
     if stale && !inner.faults.ignore_fencing {
-        return Ok(text_response(StatusCode::CONFLICT, "an old fencing number"));
+        return Ok(text_response(StatusCode::CONFLICT, "stale fencing token"));
     }
-    if !inner.done.contains(&order.id) {
+    if !inner.completed_orders.contains(&order.id) {
         if stale || inner.changing {
             inner.conflicts += 1;
         }
         inner.fence = inner.fence.max(order.epoch);
-        inner.done.insert(order.id.clone());
-        inner.last = Some(order.id.clone());
+        inner.completed_orders.insert(order.id.clone());
+        inner.last_order = Some(order.id.clone());
         inner.role = order.role;
         inner.changing = true;
         inner.orders.push(order);
@@ -266,10 +266,10 @@
     if inner.faults.drop_order_responses {
         return Err(Aborted);
     }
-    Ok(text_response(StatusCode::OK, "taken"))
+    Ok(text_response(StatusCode::OK, "accepted"))
 }
 
-/// Counts a request as running for as long as it lives.
+/// Counts a request as in flight until it is dropped.
 struct Running(State);
 
 impl Running {
@@ -285,7 +285,7 @@
     }
 }
 
-fn unstarted(detail: &'static str, leaving: bool) -> Response<Body> {
+fn refusal_not_run(detail: &'static str, leaving: bool) -> Response<Body> {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, detail);
     response.headers_mut().insert("x-not-run", HeaderValue::from_static("true"));
     if leaving {
@@ -296,16 +296,16 @@
 
 async fn complete(state: State, speed: Speed, body: &[u8]) -> Result<Response<Body>, Aborted> {
     let Ok(completion) = serde_json::from_slice::<Completion>(body) else {
-        return Ok(text_response(StatusCode::BAD_REQUEST, "not a completion"));
+        return Ok(text_response(StatusCode::BAD_REQUEST, "malformed completion request"));
     };
     let faults = {
         let mut inner = state.lock().expect("engine lock");
         let faults = inner.faults;
         if faults.leaving {
-            return Ok(unstarted("leaving", true));
+            return Ok(refusal_not_run("leaving", true));
         }
         if faults.refuse || inner.changing {
-            return Ok(unstarted("not now", false));
+            return Ok(refusal_not_run("busy", false));
         }
         if completion.resume_from == 0 {
             *inner.start_counts.entry(completion.request_id.clone()).or_default() += 1;
@@ -325,8 +325,8 @@
     tokio::spawn(stream(state, speed, completion, faults, sender, running));
     let frames = ReceiverStream::new(receiver).map(|r| r.map(Frame::data));
     let mut response = Response::new(BodyExt::boxed(StreamBody::new(frames)));
-    let kind = HeaderValue::from_static("text/event-stream");
-    response.headers_mut().insert(http::header::CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("text/event-stream");
+    response.headers_mut().insert(http::header::CONTENT_TYPE, content_type);
     Ok(response)
 }
 
@@ -342,14 +342,14 @@
     let prompt = if faults.answer_other_request { "another prompt" } else { &completion.prompt };
     let id = if faults.answer_other_request { "another request" } else { &completion.request_id };
     for index in completion.resume_from..completion.max_tokens {
-        let made = index - completion.resume_from;
-        // An engine that is away for a role change does not go on with what it had.
-        let away = state.lock().expect("engine lock").changing;
-        if away || faults.abort_after == Some(made) {
+        let generated = index - completion.resume_from;
+        // A role change aborts the requests in flight.
+        let role_changing = state.lock().expect("engine lock").changing;
+        if role_changing || faults.abort_after == Some(generated) {
             let _ = sender.send(Err(Aborted)).await;
             return;
         }
-        if faults.end_after == Some(made) {
+        if faults.end_after == Some(generated) {
             return;
         }
         let text = token(prompt, index);
@@ -362,7 +362,7 @@
         if sender.send(Ok(Bytes::from(format!("data: {event}\n\n")))).await.is_err() {
             return;
         }
-        if !pause.is_zero() && speed.decode < FASTEST_PACED {
+        if !pause.is_zero() && speed.decode < UNPACED_DECODE_RATE {
             tokio::time::sleep(pause).await;
         }
     }
@@ -375,5 +375,5 @@
     let _ = sender.send(Ok(Bytes::from_static(b"data: [DONE]\n\n"))).await;
 }
 
-/// From this rate on tokens are made without a pause between them, for measuring others.
-const FASTEST_PACED: u32 = 100_000;
+/// From this many tokens per second on, tokens are generated without pauses, for measuring others.
+const UNPACED_DECODE_RATE: u32 = 100_000;
--- a/testutils/src/fleet/store/mod.rs
+++ b/testutils/src/fleet/store/mod.rs
@@ -270,17 +270,15 @@
 
 async fn respond(state: State, request: Request<Incoming>) -> Result<Response<Body>, Aborted> {
     let (inner, changed) = state;
-    let (fault, rate_exceeded) = {
+    let (fault, limited) = {
         let mut inner = lock(&inner);
         inner.calls += 1;
-        let rate_exceeded = inner.exceeds_rate();
-        inner.refused += u64::from(rate_exceeded);
-        (inner.fault, rate_exceeded)
+        let limited = inner.exceeds_rate();
+        inner.refused += u64::from(limited);
+        (inner.fault, limited)
     };
     match fault {
-        Fault::None if rate_exceeded => {
-            return Ok(text_response(StatusCode::TOO_MANY_REQUESTS, ""));
-        }
+        Fault::None if limited => return Ok(text_response(StatusCode::TOO_MANY_REQUESTS, "")),
         Fault::None => {}
         Fault::Busy => return Ok(text_response(StatusCode::SERVICE_UNAVAILABLE, "")),
         Fault::Silent => {
--- a/testutils/src/invariant.rs
+++ b/testutils/src/invariant.rs
@@ -1,39 +1,39 @@
-//! Checks of what must always hold, over what callers saw and what stand-ins did.
+//! Invariant checks on what callers observed and what fakes did.
 
 use std::fmt;
 
 use crate::engine::expected_output;
 
-/// What a caller saw of one request.
+/// What a caller observed of one request.
 #[derive(Clone, Debug)]
 pub enum Observation {
-    /// A whole answer.
+    /// A complete response.
     Answer(String),
-    /// A refusal that says that the request was not run.
+    /// A refusal with the statement that the request was not run.
     RefusedNotRun,
-    /// A refusal that says that the request may have run.
+    /// A refusal with the statement that the request may have run.
     RefusedUnknown,
-    /// The connection broke off or the answer had no closing frame: the caller knows that the
-    /// answer is not whole.
+    /// The connection failed or the response had no closing frame, so the caller knows that the response
+    /// is incomplete.
     Truncated,
 }
 
-/// A promise that was broken.
+/// A violated invariant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Violation {
-    /// A caller took something for the whole answer that is not.
+    /// A response that looked complete had the wrong content.
     WrongAnswer {
         /// The prompt.
         prompt: String,
-        /// What came.
+        /// The received content.
         got: String,
     },
-    /// A request that was said not to have run has run.
+    /// A request ran although the refusal stated that it did not.
     FalseRefusal {
         /// The request.
         request: String,
     },
-    /// A request that must run at most once ran more often.
+    /// A request that must run at most once ran several times.
     Duplicate {
         /// The request.
         request: String,
@@ -49,15 +49,15 @@
                 write!(f, "wrong answer to {prompt:?}: {got:?}")
             }
             Violation::FalseRefusal { request } => {
-                write!(f, "{request} was said not to have run, and has")
+                write!(f, "{request} was refused as not run, but ran")
             }
             Violation::Duplicate { request, times } => write!(f, "{request} ran {times} times"),
         }
     }
 }
 
-/// Checks one completion: right and whole, or truly refused. `starts` is how often runners started
-/// it.
+/// Checks that a completion has the right output or was not run if it was refused as such. `starts` is
+/// how often runners started it.
 pub fn check_completion(
     request: &str,
     prompt: &str,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Checks one call that must have an effect at most once. `effects` is how often it had one.
+/// Checks one call that must take effect at most once. `effects` is how often it did.
 pub fn check_call(request: &str, seen: &[Observation], effects: u32) -> Option<Violation> {
     if effects > 1 {
         return Some(Violation::Duplicate { request: request.to_owned(), times: effects });
--- a/testutils/src/lib.rs
+++ b/testutils/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for everything around sardinepick, and what tests, benchmarks and the trial run
-//! share. The stand-ins speak the published protocols and can be told to fail.
+//! Fakes of the systems around sardinepick, and code that tests, benchmarks and the trial run share.
+//! The fakes speak the published protocols and support fault injection.
 
 pub mod caller;
 pub mod cluster;
--- a/testutils/src/plain.rs
+++ b/testutils/src/plain.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service whose calls may not be repeated: it counts what it did.
+//! A fake plain service with non-idempotent calls, which counts how often each call took effect.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,14 +10,14 @@
 
 use crate::server::{Aborted, Body, Server, json_response, read_body, text_response};
 
-/// How the service fails.
+/// The faults of the service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// It breaks the connection off after the call has taken effect.
+    /// Aborts the connection after the call took effect.
     pub drop_response: bool,
-    /// It takes so long.
+    /// The time from the effect to the response.
     pub delay: Duration,
-    /// It refuses as one that leaves, without effect.
+    /// Refuses calls as a leaving runner does, without effect.
     pub leaving: bool,
 }
 
@@ -27,7 +27,7 @@
     faults: Faults,
 }
 
-/// A plain service.
+/// A fake plain service.
 #[derive(Debug)]
 pub struct PlainService {
     inner: Arc<Mutex<Inner>>,
@@ -38,7 +38,7 @@
     /// Starts a service.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The address cannot be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let inner = Arc::new(Mutex::new(Inner::default()));
         let state = inner.clone();
@@ -46,28 +46,28 @@
         Ok(Self { inner, server })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Sets how it fails.
+    /// Sets the faults.
     pub fn set_faults(&self, faults: Faults) {
         self.inner.lock().expect("plain lock").faults = faults;
     }
 
-    /// How often a call with this body has taken effect.
+    /// How often a call with this body took effect.
     pub fn effect_count(&self, body: &str) -> u32 {
         self.inner.lock().expect("plain lock").effects.get(body).copied().unwrap_or(0)
     }
 
-    /// The bodies that have taken effect more than once.
+    /// The bodies of calls that took effect more than once.
     pub fn duplicates(&self) -> Vec<String> {
         let inner = self.inner.lock().expect("plain lock");
         inner.effects.iter().filter(|(_, n)| **n > 1).map(|(body, _)| body.clone()).collect()
     }
 
-    /// Dies.
+    /// Aborts all connections and stops listening, as a killed process does.
     pub fn kill(&self) {
         self.server.stop();
     }
@@ -99,11 +99,11 @@
         return Err(Aborted);
     }
     let path = parts.uri.path_and_query().map(ToString::to_string).unwrap_or_default();
-    let said = serde_json::json!({
+    let response = serde_json::json!({
         "method": parts.method.as_str(),
         "path": path,
         "body": text,
         "count": count,
     });
-    Ok(json_response(StatusCode::OK, &said))
+    Ok(json_response(StatusCode::OK, &response))
 }
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform: the object API with versions, conditional updates and watches, the
-//! VM list and the weight store.
+//! A fake platform: the object API with revisions, conditional updates and watches, the VM list and
+//! the weight store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 
 use crate::server::{Aborted, Body, Server, json_response, read_body, text_response};
 
-/// The largest value that is held.
+/// The largest size of a value in bytes.
 pub const MAX_VALUE: usize = 1 << 20;
 
 #[derive(Clone, Debug)]
@@ -25,27 +25,27 @@
     value: Bytes,
 }
 
-/// How the platform fails.
+/// The faults of the platform.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// It answers nothing.
+    /// Aborts all calls.
     pub down: bool,
-    /// It answers so much later.
+    /// Delays all calls by this time.
     pub delay: Duration,
-    /// The answers to so many of the next writes are lost after the write has taken effect.
+    /// The number of further writes whose response is dropped after the write took effect.
     pub drop_responses: u32,
-    /// So many of the next watches return without having seen anything.
+    /// The number of further watches that return at once without changes.
     pub miss_watches: u32,
 }
 
-/// How often the platform was called.
+/// The numbers of calls to the platform.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Calls {
-    /// Reads, lists and looks at the VM list.
+    /// Reads, lists and reads of the VM list.
     pub reads: u64,
-    /// Writes that were tried.
+    /// Attempted writes.
     pub writes: u64,
-    /// Watches that were begun.
+    /// Started watches.
     pub watches: u64,
 }
 
@@ -59,7 +59,7 @@
     weight_loads: u32,
 }
 
-/// The platform.
+/// A fake platform.
 #[derive(Debug)]
 pub struct Platform {
     inner: Arc<Mutex<Inner>>,
@@ -67,18 +67,18 @@
     server: Server,
 }
 
-/// One line of a list or watch.
+/// An entry in the response to a list or watch.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct Line {
+struct ObjectRevision {
     name: String,
     revision: u64,
 }
 
 impl Platform {
-    /// Starts the platform on a free port of `ip`.
+    /// Starts the platform at `address`.
     ///
     /// # Errors
-    /// No port can be had.
+    /// The address cannot be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let inner = Arc::new(Mutex::new(Inner::default()));
         let (changed, _) = watch::channel(0);
@@ -90,12 +90,12 @@
         Ok(Self { inner, changed, server })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Sets how it fails.
+    /// Sets the faults.
     pub fn set_faults(&self, faults: Faults) {
         self.inner.lock().expect("platform lock").faults = faults;
         self.changed.send_modify(|_| {});
@@ -106,7 +106,7 @@
         self.inner.lock().expect("platform lock").vms = vms;
     }
 
-    /// How often it was called.
+    /// The numbers of calls so far.
     pub fn calls(&self) -> Calls {
         self.inner.lock().expect("platform lock").calls
     }
@@ -117,7 +117,7 @@
         inner.objects.get(name).map(|o| o.value.clone())
     }
 
-    /// The names of all objects below `prefix`.
+    /// The names of all objects that start with `prefix`.
     pub fn names(&self, prefix: &str) -> Vec<String> {
         let inner = self.inner.lock().expect("platform lock");
         inner.objects.keys().filter(|n| n.starts_with(prefix)).cloned().collect()
@@ -156,7 +156,7 @@
             state.lock().expect("platform lock").weight_loads += 1;
             Ok(text_response(StatusCode::OK, "weights"))
         }
-        _ => Ok(text_response(StatusCode::NOT_FOUND, "no such path")),
+        _ => Ok(text_response(StatusCode::NOT_FOUND, "unknown path")),
     }
 }
 
@@ -183,11 +183,11 @@
     }
     inner.calls.writes += 1;
     if value.len() > MAX_VALUE {
-        return Ok(text_response(StatusCode::PAYLOAD_TOO_LARGE, "more than a megabyte"));
+        return Ok(text_response(StatusCode::PAYLOAD_TOO_LARGE, "value larger than 1 MiB"));
     }
-    let now = inner.objects.get(name).map(|o| o.revision);
-    if !condition_holds(headers, now) {
-        return Ok(text_response(StatusCode::PRECONDITION_FAILED, "another revision"));
+    let current = inner.objects.get(name).map(|o| o.revision);
+    if !precondition_holds(headers, current) {
+        return Ok(text_response(StatusCode::PRECONDITION_FAILED, "revision mismatch"));
     }
     inner.revision += 1;
     let revision = inner.revision;
@@ -204,13 +204,13 @@
     Ok(with_revision(Bytes::new(), revision))
 }
 
-fn condition_holds(headers: &HeaderMap, now: Option<u64>) -> bool {
+fn precondition_holds(headers: &HeaderMap, current: Option<u64>) -> bool {
     let text = |name| headers.get(name).and_then(|v: &http::HeaderValue| v.to_str().ok());
     if text(http::header::IF_NONE_MATCH) == Some("*") {
-        return now.is_none();
+        return current.is_none();
     }
     match text(http::header::IF_MATCH) {
-        Some(revision) => now.is_some_and(|now| revision == now.to_string()),
+        Some(revision) => current.is_some_and(|current| revision == current.to_string()),
         None => true,
     }
 }
@@ -221,15 +221,16 @@
     response
 }
 
-fn lines(inner: &Inner, prefix: &str, after: u64) -> Vec<Line> {
-    let below = inner.objects.iter().filter(|(n, o)| n.starts_with(prefix) && o.revision > after);
-    below.map(|(n, o)| Line { name: n.clone(), revision: o.revision }).collect()
+fn revisions_after(inner: &Inner, prefix: &str, after: u64) -> Vec<ObjectRevision> {
+    let matching =
+        inner.objects.iter().filter(|(n, o)| n.starts_with(prefix) && o.revision > after);
+    matching.map(|(n, o)| ObjectRevision { name: n.clone(), revision: o.revision }).collect()
 }
 
 fn list(state: &State, prefix: &str) -> Response<Body> {
     let mut inner = state.lock().expect("platform lock");
     inner.calls.reads += 1;
-    json_response(StatusCode::OK, &lines(&inner, prefix, 0))
+    json_response(StatusCode::OK, &revisions_after(&inner, prefix, 0))
 }
 
 async fn watch_objects(
@@ -240,14 +241,14 @@
     let prefix = parameter(query, "prefix");
     let after = parameter(query, "after").parse().unwrap_or(0);
     let wait = Duration::from_millis(parameter(query, "timeout_ms").parse().unwrap_or(0));
-    let until = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     let mut changes = changed.subscribe();
     {
         let mut inner = state.lock().expect("platform lock");
         inner.calls.watches += 1;
         if inner.faults.miss_watches > 0 {
             inner.faults.miss_watches -= 1;
-            return Ok(json_response(StatusCode::OK, &Vec::<Line>::new()));
+            return Ok(json_response(StatusCode::OK, &Vec::<ObjectRevision>::new()));
         }
     }
     loop {
@@ -257,9 +258,9 @@
             if inner.faults.down {
                 return Err(Aborted);
             }
-            lines(&inner, &prefix, after)
+            revisions_after(&inner, &prefix, after)
         };
-        let left = until.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         if !found.is_empty() || left.is_zero() {
             return Ok(json_response(StatusCode::OK, &found));
         }
--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes of their own, ended by their ids.
+//! Nodes as child processes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -15,34 +15,34 @@
     settings: PathBuf,
 }
 
-/// What a process has used.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Its memory in kilobytes.
+    /// Resident memory in kilobytes.
     pub rss_kb: u64,
-    /// Its processor time in milliseconds.
+    /// CPU time in milliseconds.
     pub cpu_ms: u64,
 }
 
 impl Daemon {
-    /// Starts the program at `exe` with the settings of `plan`.
+    /// Starts the program at `exe` with the settings from `options`.
     ///
     /// # Panics
-    /// It cannot be started.
+    /// The program cannot be started.
     pub fn start(exe: &Path, plan: &NodeOptions) -> Self {
         Self::run(exe, &plan.ini(), &[])
     }
 
-    /// Starts the program at `exe` on the platform, with these settings.
+    /// Starts the program at `exe` in platform mode with these settings.
     ///
     /// # Panics
-    /// It cannot be started.
+    /// The program cannot be started.
     pub fn serve(exe: &Path, ini: &str) -> Self {
         Self::run(exe, ini, &["--serve"])
     }
 
     fn run(exe: &Path, ini: &str, flags: &[&str]) -> Self {
-        // A file for each start: the one before may be removed while this one is read.
+        // Each start has its own file, since dropping an earlier process removes that one's file.
         static STARTS: AtomicU32 = AtomicU32::new(0);
         let start = STARTS.fetch_add(1, Ordering::Relaxed);
         let name = format!("sardinepick-{}-{start}.ini", std::process::id());
@@ -53,7 +53,7 @@
             .arg("--settings")
             .arg(&settings)
             .stdin(Stdio::null())
-            .stdout(output(start))
+            .stdout(log_output(start))
             .spawn()
             .expect("the program can be started");
         Self { child, settings }
@@ -61,48 +61,48 @@
 
     fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.child.id().cast_signed()).expect("a process has an id");
-        // A process that has ended already needs no signal.
+        // This fails if the process has already exited.
         let _ = kill_process(pid, signal);
     }
 
-    /// Kills it.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
         let _ = self.child.wait();
     }
 
-    /// Stops it in its tracks, as a suspended VM is.
+    /// Suspends the process, as when its VM is suspended.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Resumes a suspended process.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks it to end gracefully.
+    /// Requests a graceful shutdown.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Asks it to end gracefully, and waits until it has.
+    /// Requests a graceful shutdown and waits for the end of the process.
     pub fn terminate_and_wait(&mut self) {
         self.terminate();
         let _ = self.child.wait();
     }
 
-    /// Tells it that its settings have changed.
+    /// Requests a reload of the settings.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Whether it has ended, and with which code.
+    /// The exit code if the process has exited; the inner value is `None` if a signal ended it.
     pub fn exit_status(&mut self) -> Option<Option<i32>> {
         self.child.try_wait().ok().flatten().map(|status| status.code())
     }
 
-    /// What it has used so far.
+    /// The resource usage so far.
     pub fn usage(&self) -> Usage {
         let read = |file: &str| {
             std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).unwrap_or_default()
@@ -111,7 +111,7 @@
         let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
         let rss_kb = rss.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0);
         let stat = read("stat");
-        // After the name in brackets, user and system time are the 12th and 13th fields, in
+        // After the name in parentheses, user and system time are the 12th and 13th fields, in
         // hundredths of a second.
         let rest = stat.rsplit(')').next().unwrap_or_default();
         let ticks: u64 =
@@ -120,15 +120,15 @@
     }
 }
 
-/// Where a process writes its log: a file in the folder that `SARDINEPICK_LOG_DIR` names, or
-/// nowhere.
-fn output(start: u32) -> Stdio {
+/// The log output of a process: a file in the directory `SARDINEPICK_LOG_DIR` if that is set, otherwise
+/// discarded.
+fn log_output(start: u32) -> Stdio {
     let Some(folder) = std::env::var_os("SARDINEPICK_LOG_DIR") else { return Stdio::null() };
     let name = format!("sardinepickd-{}-{start}.log", std::process::id());
     match std::fs::File::create(PathBuf::from(folder).join(name)) {
         Ok(file) => Stdio::from(file),
         Err(error) => {
-            eprintln!("no log is kept: {error}");
+            eprintln!("cannot create the log file, discarding the log: {error}");
             Stdio::null()
         }
     }
--- a/testutils/src/server.rs
+++ b/testutils/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins, which can break connections off as a dying process does.
+//! A small HTTP server for fakes, which can abort connections as a killed process does.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,48 +17,48 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// The connection is broken off in place of an answer or of the rest of one.
+/// The connection is aborted before or during the response.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("broken off on purpose")]
+#[error("connection aborted by fault injection")]
 pub struct Aborted;
 
-/// The body of an answer, which may break off.
+/// A response body that may be aborted.
 pub type Body = BoxBody<Bytes, Aborted>;
 
-/// A body with all of its bytes at hand.
+/// A body of the given bytes.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never: Infallible| match never {}).boxed()
 }
 
-/// An answer with a status and a whole body.
+/// A response with a status and a body.
 pub fn text_response(status: StatusCode, bytes: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(full_body(bytes));
     *response.status_mut() = status;
     response
 }
 
-/// An answer with JSON.
+/// A response with a JSON body.
 pub fn json_response(status: StatusCode, value: &impl serde::Serialize) -> Response<Body> {
-    let bytes = serde_json::to_vec(value).expect("stand-ins answer with JSON types");
+    let bytes = serde_json::to_vec(value).expect("the value is serializable as JSON");
     let mut response = text_response(status, bytes);
     let json = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert(http::header::CONTENT_TYPE, json);
     response
 }
 
-/// A server that runs until it is dropped or stopped.
+/// A server that runs until it is stopped or dropped.
 #[derive(Debug)]
 pub struct Server {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     stop: watch::Sender<bool>,
 }
 
 impl Server {
-    /// Listens at `address` and answers each request by `handler`.
+    /// Listens on `address` and answers each request with `handler`.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The address cannot be bound.
     pub async fn start<H, F>(address: SocketAddr, handler: H) -> std::io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
@@ -71,7 +71,7 @@
         Ok(Self { address, stop })
     }
 
-    /// Breaks off all connections and stops listening, as a killed process does.
+    /// Aborts all connections and stops listening, as a killed process does.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
@@ -112,7 +112,7 @@
 /// Reads a whole body.
 ///
 /// # Errors
-/// The caller broke off.
+/// The caller aborted the request.
 pub async fn read_body(body: Incoming) -> Result<Bytes, Aborted> {
     body.collect().await.map(http_body_util::Collected::to_bytes).map_err(|_| Aborted)
 }
