--- a/testutils/benches/cost.rs
+++ b/testutils/benches/cost.rs
@@ -1,6 +1,6 @@
-//! `cargo bench --bench cost`: what a node adds to a call of a stand-in engine, against calling it
-//! directly in the same run, and what finding the account of a key takes. Times depend on the machine,
-//! so nothing is held against bounds. `-- accounts` runs the second part alone.
+//! `cargo bench --bench cost`: measures the overhead of a node on calls of a fake engine, compared with
+//! direct calls in the same run, and the time to look up the account of an API key. Times depend on the
+//! machine, so there are no bounds. `-- accounts` runs only the second part.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 const THROUGHPUT_TOKENS: u64 = 268;
 const LOOKUPS: usize = 200_000;
 
-/// The times of one streamed call: to the first bytes, and between frames.
+/// The times of one streamed call: until the first frame, and between frames.
 struct Times {
     first: Duration,
     gaps: Vec<Duration>,
@@ -37,19 +37,19 @@
         "request_id": format!("c{id}"),
     });
     let headers = [("x-request-id", format!("c{id}"))];
-    let began = Instant::now();
+    let started = Instant::now();
     let sent = caller.send(peer, Method::POST, "/v1/completions", &headers, body.to_string());
-    let response = sent.await.expect("the stand-in answers");
+    let response = sent.await.expect("the server answers");
     assert!(response.status().is_success(), "status {}", response.status());
     let mut body = response.into_body();
     let mut first = None;
-    let mut last = began;
+    let mut last = started;
     let mut gaps = Vec::new();
     while let Some(frame) = body.frame().await {
-        frame.expect("the stream is whole");
+        frame.expect("the stream is complete");
         let now = Instant::now();
         match first {
-            None => first = Some(now - began),
+            None => first = Some(now - started),
             Some(_) => gaps.push(now - last),
         }
         last = now;
@@ -57,13 +57,13 @@
     Times { first: first.unwrap_or_default(), gaps }
 }
 
-fn quantile(values: &mut [Duration], part: f64) -> f64 {
+fn quantile(values: &mut [Duration], fraction: f64) -> f64 {
     values.sort();
-    let at = ((values.len() - 1) as f64 * part) as usize;
+    let at = ((values.len() - 1) as f64 * fraction) as usize;
     values[at].as_secs_f64() * 1e6
 }
 
-async fn latency(label: &str, caller: &Caller, peer: SocketAddr) {
+async fn measure_latency(label: &str, caller: &Caller, peer: SocketAddr) {
     let (mut firsts, mut gaps) = (Vec::new(), Vec::new());
     for call in 0..CALLS {
         let times = stream(caller, peer, call, TOKENS).await;
@@ -71,16 +71,18 @@
         gaps.extend(times.gaps);
     }
     for (name, values) in [("first_byte", &mut firsts), ("token_gap", &mut gaps)] {
-        for (part, at) in [("median", 0.5), ("p99", 0.99)] {
-            let figure =
-                Figure::new(format!("cost.{label}.{name}_{part}_us"), quantile(values, at));
+        for (statistic, fraction) in [("median", 0.5), ("p99", 0.99)] {
+            let figure = Figure::new(
+                format!("cost.{label}.{name}_{statistic}_us"),
+                quantile(values, fraction),
+            );
             println!("{figure}");
         }
     }
 }
 
-async fn throughput(label: &str, caller: &Caller, peer: SocketAddr) {
-    let began = Instant::now();
+async fn measure_throughput(label: &str, caller: &Caller, peer: SocketAddr) {
+    let started = Instant::now();
     let mut calls = JoinSet::new();
     for at in 0..THROUGHPUT_CALLERS {
         let caller = caller.clone();
@@ -93,15 +95,15 @@
     while let Some(done) = calls.join_next().await {
         done.expect("callers do not panic");
     }
-    let passed = began.elapsed().as_secs_f64();
+    let passed = started.elapsed().as_secs_f64();
     let calls = (THROUGHPUT_CALLERS * THROUGHPUT_CALLS) as f64;
     println!("{}", Figure::new(format!("cost.{label}.requests_per_s"), calls / passed));
     let tokens = calls * THROUGHPUT_TOKENS as f64;
     println!("{}", Figure::new(format!("cost.{label}.tokens_per_s"), tokens / passed));
 }
 
-/// What finding the account of a key takes, among so many accounts with two keys each.
-fn key_lookup(accounts: usize) {
+/// Measures the look-up of the account of an API key among `accounts` accounts with two keys each.
+fn measure_key_lookup(accounts: usize) {
     let key = |at: usize| format!("key-of-an-account-{at:012}");
     let entries = (0..accounts).map(|at| Entry {
         account: Account { name: format!("account-{at}").parse().expect("a name"), rank: None },
@@ -109,18 +111,18 @@
     });
     let directory = Directory::new(entries, Vec::new());
     let keys: Vec<String> = (0..LOOKUPS).map(|n| key(n * 7_919 % (accounts * 4))).collect();
-    let began = Instant::now();
+    let started = Instant::now();
     let found = keys.iter().filter(|key| {
         let identity = identify(Some(&directory), false, Some(key.as_bytes()));
         matches!(identity, Identity::Account(_))
     });
     let found = found.count();
-    let each = began.elapsed().as_secs_f64() * 1e6 / LOOKUPS as f64;
+    let each = started.elapsed().as_secs_f64() * 1e6 / LOOKUPS as f64;
     println!("{}", Figure::new(format!("cost.accounts.{accounts}.lookup_us"), each));
     println!("{}", Figure::new(format!("cost.accounts.{accounts}.found"), found as f64));
 }
 
-async fn with_speed(label: &str, speed: Speed) -> (Engine, Cluster) {
+async fn start_with_speed(label: &str, speed: Speed) -> (Engine, Cluster) {
     let engine = Engine::start(free_address(own_ip()), Role::Mixed, speed).await.expect("free");
     let key = Digest::of(KEY.as_bytes());
     let config = format!(
@@ -138,18 +140,18 @@
 async fn main() {
     println!("# keys of client accounts, half of them unknown");
     for accounts in [75, 10_000] {
-        key_lookup(accounts);
+        measure_key_lookup(accounts);
     }
     if std::env::args().any(|arg| arg == "accounts") {
         return;
     }
     let caller = Caller::new(KEY);
     let paced = Speed { prefill: 1_000_000, decode: 500, ..Speed::default() };
-    let (engine, cluster) = with_speed("latency at 500 tokens a second", paced).await;
-    latency("direct", &caller, engine.address()).await;
-    latency("node", &caller, cluster.front(0)).await;
+    let (engine, cluster) = start_with_speed("latency at 500 tokens a second", paced).await;
+    measure_latency("direct", &caller, engine.address()).await;
+    measure_latency("node", &caller, cluster.front(0)).await;
     let fast = Speed { prefill: 10_000_000, decode: 1_000_000, ..Speed::default() };
-    let (engine, cluster) = with_speed("throughput, tokens without pauses", fast).await;
-    throughput("direct", &caller, engine.address()).await;
-    throughput("node", &caller, cluster.front(0)).await;
+    let (engine, cluster) = start_with_speed("throughput, tokens without pauses", fast).await;
+    measure_throughput("direct", &caller, engine.address()).await;
+    measure_throughput("node", &caller, cluster.front(0)).await;
 }
--- a/testutils/benches/decisions.rs
+++ b/testutils/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! `cargo bench --bench decisions`: the quality of decisions, exact, held against bounds.
+//! `cargo bench --bench decisions`: measures the quality of decisions and checks it against bounds.
 
 use std::process::ExitCode;
 
--- a/testutils/benches/scale.rs
+++ b/testutils/benches/scale.rs
@@ -1,5 +1,5 @@
-//! `cargo bench --bench scale`: what grows with the size. Bytes and allocations are exact and held
-//! against bounds; times are printed only.
+//! `cargo bench --bench scale`: measures sizes, allocations and times at different deployment sizes.
+//! Sizes and allocations are exact and checked against bounds; times are only printed.
 
 use std::alloc::System;
 use std::hint::black_box;
@@ -23,7 +23,7 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// The seconds that `work` takes, the best of a few.
+/// The shortest time of several runs of `work` in seconds.
 fn seconds(mut work: impl FnMut()) -> f64 {
     const RUNS: usize = 5;
     let mut best = Duration::MAX;
@@ -35,13 +35,13 @@
     best.as_secs_f64()
 }
 
-/// The bytes that `make` leaves allocated.
-fn kept<T>(make: impl FnOnce() -> T) -> (T, f64) {
+/// Runs `make` and returns its result with the number of bytes that it leaves allocated.
+fn measure_allocation<T>(make: impl FnOnce() -> T) -> (T, f64) {
     let region = Region::new(ALLOCATOR);
-    let made = make();
+    let value = make();
     let change = region.change();
-    let kept = change.bytes_allocated as f64 - change.bytes_deallocated as f64;
-    (made, kept)
+    let measure_allocation = change.bytes_allocated as f64 - change.bytes_deallocated as f64;
+    (value, measure_allocation)
 }
 
 fn members(count: usize) -> Members {
@@ -68,8 +68,9 @@
         figures.push(Figure::new(format!("scale.{}.{name}", size.nodes), value));
     };
     let records = scale::records(size);
-    let (snapshot, bytes) =
-        kept(|| Snapshot::build(Generation(1), records.clone(), None).expect("a right one"));
+    let (snapshot, bytes) = measure_allocation(|| {
+        Snapshot::build(Generation(1), records.clone(), None).expect("valid records")
+    });
     add(
         "time.snapshot_build_ms",
         1e3 * seconds(|| {
@@ -86,7 +87,7 @@
     );
     drop(snapshot);
 
-    let (mut members, bytes) = kept(|| members(size.nodes));
+    let (mut members, bytes) = measure_allocation(|| members(size.nodes));
     add("memory.members_mb", bytes / 1e6);
     let mut rng = StdRng::seed_from_u64(1);
     let mut now = Instant::now();
@@ -127,14 +128,16 @@
         let work = Work::default();
         let rounds = 10_000;
         let region = Region::new(ALLOCATOR);
-        let taken = seconds(|| {
+        let elapsed = seconds(|| {
             for _ in 0..rounds {
                 black_box(choose(&views, &work, now, Setting::default(), &[], &mut rng));
             }
         });
         let allocations = region.change().allocations as f64;
-        figures
-            .push(Figure::new(format!("choice.{count}.time.ns"), 1e9 * taken / f64::from(rounds)));
+        figures.push(Figure::new(
+            format!("choice.{count}.time.ns"),
+            1e9 * elapsed / f64::from(rounds),
+        ));
         figures.push(Figure::new(format!("choice.{count}.allocations"), allocations));
         let naive = seconds(|| {
             for _ in 0..rounds / 10 {
--- a/testutils/src/measure/figure.rs
+++ b/testutils/src/measure/figure.rs
@@ -1,4 +1,4 @@
-//! Figures and the bounds that hold them.
+//! Measured figures and their bounds.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,14 +10,14 @@
 /// A measured figure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Figure {
-    /// Its name, with dots between its parts.
+    /// The name, whose parts are separated by dots.
     pub name: String,
-    /// Its value.
+    /// The measured value.
     pub value: f64,
 }
 
 impl Figure {
-    /// A figure.
+    /// A figure with a name and a value.
     pub fn new(name: impl Into<String>, value: f64) -> Self {
         Self { name: name.into(), value }
     }
@@ -29,27 +29,27 @@
     }
 }
 
-/// The values that a figure may have, written `least..most`; either may be left out.
+/// The allowed range of a figure, written `least..most`; either may be omitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
     least: f64,
     most: f64,
 }
 
-/// Text that is not a bound.
+/// An error in the text of a bound.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-#[error("a bound is written least..most, not {0:?}")]
+#[error("malformed bound {0:?}, expected least..most")]
 pub struct BoundError(String);
 
 impl FromStr for Bound {
     type Err = BoundError;
 
     fn from_str(text: &str) -> Result<Self, BoundError> {
-        let wrong = || BoundError(text.to_owned());
-        let (least, most) = text.split_once("..").ok_or_else(wrong)?;
-        let part = |text: &str, open: f64| match text.trim() {
-            "" => Ok(open),
-            number => number.parse().map_err(|_| wrong()),
+        let malformed = || BoundError(text.to_owned());
+        let (least, most) = text.split_once("..").ok_or_else(malformed)?;
+        let part = |text: &str, default: f64| match text.trim() {
+            "" => Ok(default),
+            number => number.parse().map_err(|_| malformed()),
         };
         Ok(Self { least: part(least, f64::NEG_INFINITY)?, most: part(most, f64::INFINITY)? })
     }
@@ -68,73 +68,75 @@
     }
 }
 
-/// A figure that is out of its bound, or a bound without a figure.
+/// A failed check of figures against bounds.
 #[derive(Clone, Debug, Error, PartialEq)]
-pub enum Broken {
+pub enum BoundViolation {
     /// The figure is out of its bound.
     #[error("{figure} is not within {bound}")]
-    Out {
+    OutOfBounds {
         /// The figure.
         figure: Figure,
         /// The bound.
         bound: Bound,
     },
-    /// Nothing was measured under this name, so the bound would hold nothing.
+    /// There is a bound but no figure of this name.
     #[error("{0} has a bound and was not measured")]
     Unmeasured(String),
-    /// The bounds cannot be read.
-    #[error("the bounds cannot be read: {0}")]
+    /// The bounds cannot be parsed.
+    #[error("cannot read the bounds: {0}")]
     Unreadable(String),
 }
 
 /// Bounds by the names of their figures.
 pub type Bounds = BTreeMap<String, Bound>;
 
-/// Reads the bounds of one section.
+/// Parses the bounds of one section.
 ///
 /// # Errors
-/// The text is not INI or a bound is not one.
-pub fn read_bounds(text: &str, section: &str) -> Result<Bounds, Broken> {
-    let ini = Ini::load_from_str(text).map_err(|e| Broken::Unreadable(e.to_string()))?;
+/// The text is not INI, the section is missing, or a bound is malformed.
+pub fn read_bounds(text: &str, section: &str) -> Result<Bounds, BoundViolation> {
+    let ini = Ini::load_from_str(text).map_err(|e| BoundViolation::Unreadable(e.to_string()))?;
     let Some(properties) = ini.section(Some(section)) else {
-        return Err(Broken::Unreadable(format!("there is no section [{section}]")));
+        return Err(BoundViolation::Unreadable(format!("no section [{section}]")));
     };
     properties
         .iter()
         .map(|(name, text)| {
-            let bound = text.parse().map_err(|e: BoundError| Broken::Unreadable(e.to_string()))?;
+            let bound =
+                text.parse().map_err(|e: BoundError| BoundViolation::Unreadable(e.to_string()))?;
             Ok((name.to_owned(), bound))
         })
         .collect()
 }
 
-/// Holds figures against bounds and gives all that is broken.
-pub fn check(figures: &[Figure], bounds: &Bounds) -> Vec<Broken> {
-    let mut broken = Vec::new();
+/// Checks figures against bounds and returns all violations.
+pub fn check(figures: &[Figure], bounds: &Bounds) -> Vec<BoundViolation> {
+    let mut violations = Vec::new();
     for (name, bound) in bounds {
         match figures.iter().find(|f| f.name == *name) {
-            None => broken.push(Broken::Unmeasured(name.clone())),
+            None => violations.push(BoundViolation::Unmeasured(name.clone())),
             Some(figure) if !bound.holds(figure.value) => {
-                broken.push(Broken::Out { figure: figure.clone(), bound: *bound });
+                violations
+                    .push(BoundViolation::OutOfBounds { figure: figure.clone(), bound: *bound });
             }
             Some(_) => {}
         }
     }
-    broken
+    violations
 }
 
-/// Prints figures, holds them against the section's bounds and tells what is broken; true if
-/// nothing is.
+/// Prints the figures, checks them against the bounds of a section and prints all violations. Returns
+/// whether there were none.
 pub fn report(figures: &[Figure], bounds: &str, section: &str) -> bool {
     for figure in figures {
         println!("{figure}");
     }
-    let broken = match read_bounds(bounds, section) {
+    let violations = match read_bounds(bounds, section) {
         Ok(bounds) => check(figures, &bounds),
-        Err(broken) => vec![broken],
+        Err(violations) => vec![violations],
     };
-    for one in &broken {
-        eprintln!("out of bounds: {one}");
+    for violation in &violations {
+        eprintln!("out of bounds: {violation}");
     }
-    broken.is_empty()
+    violations.is_empty()
 }
--- a/testutils/src/measure/fleet.rs
+++ b/testutils/src/measure/fleet.rs
@@ -1,6 +1,6 @@
-//! A fake of engines for measuring decisions: prompts one after the other at the engine's rate,
-//! then output in one of its slots. The course of a request is settled when it is sent, so no
-//! events need to be kept.
+//! A model of engines for simulations: an engine processes prompts one after the other at its prefill
+//! rate and then generates output in one of its slots. The timing of a request is computed when it is
+//! sent, so the model needs no events.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -10,111 +10,111 @@
 use sardinepick_lib::unit::{TokenRate, Tokens};
 use smallvec::SmallVec;
 
-/// How many prompt prefixes an engine keeps.
-const CACHED: usize = 24;
+/// The number of prompt prefixes that an engine caches.
+const CACHE_SIZE: usize = 24;
 
-/// How fast an engine is.
+/// The speed of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub prefill: u32,
-    /// Output tokens a second of one request.
+    /// Output tokens per second of one request.
     pub decode: u32,
-    /// Requests that make output at once.
+    /// The number of requests that can generate output concurrently.
     pub slots: u32,
 }
 
-/// A request as an engine sees it.
+/// A request to an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Job {
+pub struct Request {
     /// Prompt tokens.
     pub prompt: u32,
-    /// The part of the prompt that a cached prefix saves.
+    /// Prompt tokens that a cached prefix saves.
     pub shared: u32,
     /// Output tokens.
     pub output: u32,
-    /// The start of the prompt.
+    /// The prefix of the prompt.
     pub prefix: Prefix,
 }
 
-/// The course of a request.
+/// The timing of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Course {
-    /// When its first token comes.
+pub struct Timing {
+    /// The time of the first token.
     pub first: Instant,
-    /// When its last token comes.
+    /// The time of the last token.
     pub last: Instant,
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// How fast it is.
+    /// The speed.
     pub speed: Speed,
-    prompts_until: Instant,
+    prefill_busy_until: Instant,
     slots: Vec<Instant>,
-    courses: SmallVec<[Course; 32]>,
-    cached: VecDeque<Prefix>,
-    /// Prompt tokens that the cache saved.
-    pub saved: u64,
-    /// Prompt tokens that came.
-    pub asked: u64,
+    timings: SmallVec<[Timing; 32]>,
+    cached_prefixes: VecDeque<Prefix>,
+    /// Prompt tokens saved by the cache.
+    pub saved_tokens: u64,
+    /// Prompt tokens received.
+    pub prompt_tokens: u64,
 }
 
 impl Engine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(speed: Speed, now: Instant) -> Self {
         Self {
             speed,
-            prompts_until: now,
+            prefill_busy_until: now,
             slots: vec![now; speed.slots as usize],
-            courses: SmallVec::new(),
-            cached: VecDeque::new(),
-            saved: 0,
-            asked: 0,
+            timings: SmallVec::new(),
+            cached_prefixes: VecDeque::new(),
+            saved_tokens: 0,
+            prompt_tokens: 0,
         }
     }
 
-    /// Takes a request at `now`.
-    pub fn send(&mut self, now: Instant, job: &Job) -> Course {
-        let hit = self.touch(job.prefix);
-        let saved = if hit { job.shared } else { 0 };
-        self.asked += u64::from(job.prompt);
-        self.saved += u64::from(saved);
-        let prompt = seconds(job.prompt - saved, self.speed.prefill);
-        let ready = self.prompts_until.max(now) + prompt;
-        self.prompts_until = ready;
-        let output = seconds(job.output, self.speed.decode);
+    /// Sends a request at `now` and returns its timing.
+    pub fn send(&mut self, now: Instant, request: &Request) -> Timing {
+        let hit = self.use_prefix(request.prefix);
+        let saved_tokens = if hit { request.shared } else { 0 };
+        self.prompt_tokens += u64::from(request.prompt);
+        self.saved_tokens += u64::from(saved_tokens);
+        let prompt = token_time(request.prompt - saved_tokens, self.speed.prefill);
+        let ready = self.prefill_busy_until.max(now) + prompt;
+        self.prefill_busy_until = ready;
+        let output = token_time(request.output, self.speed.decode);
         let slot = self.slots.iter_mut().min().expect("an engine has slots");
         let first = ready.max(*slot);
         let last = first + output;
         *slot = last;
-        let course = Course { first, last };
-        self.courses.push(course);
-        course
+        let timing = Timing { first, last };
+        self.timings.push(timing);
+        timing
     }
 
-    fn touch(&mut self, prefix: Prefix) -> bool {
-        let hit = self.cached.iter().position(|p| *p == prefix);
+    fn use_prefix(&mut self, prefix: Prefix) -> bool {
+        let hit = self.cached_prefixes.iter().position(|p| *p == prefix);
         if let Some(at) = hit {
-            self.cached.remove(at);
+            self.cached_prefixes.remove(at);
         }
-        self.cached.push_back(prefix);
-        if self.cached.len() > CACHED {
-            self.cached.pop_front();
+        self.cached_prefixes.push_back(prefix);
+        if self.cached_prefixes.len() > CACHE_SIZE {
+            self.cached_prefixes.pop_front();
         }
         hit.is_some()
     }
 
-    /// The engine's word of its load at `now`.
+    /// The engine's load report at `now`.
     pub fn report(&mut self, now: Instant) -> Report {
-        self.courses.retain(|c| c.last > now);
-        let begun = self.courses.iter().filter(|c| c.first <= now).count();
-        let backlog = self.prompts_until.saturating_duration_since(now).as_secs_f64();
+        self.timings.retain(|c| c.last > now);
+        let started = self.timings.iter().filter(|c| c.first <= now).count();
+        let backlog = self.prefill_busy_until.saturating_duration_since(now).as_secs_f64();
         let tokens = backlog * f64::from(self.speed.prefill);
         Report {
-            running: begun as u32,
-            waiting: (self.courses.len() - begun) as u32,
+            running: started as u32,
+            waiting: (self.timings.len() - started) as u32,
             backlog: Tokens(tokens as u32),
             prefill_rate: TokenRate(self.speed.prefill),
             decode_rate: TokenRate(self.speed.decode),
@@ -124,7 +124,7 @@
     }
 }
 
-/// How long `tokens` take at `rate`.
-pub fn seconds(tokens: u32, rate: u32) -> Duration {
+/// The time for `tokens` at `rate` tokens per second.
+pub fn token_time(tokens: u32, rate: u32) -> Duration {
     Duration::from_secs_f64(f64::from(tokens) / f64::from(rate))
 }
--- a/testutils/src/measure/nodes.rs
+++ b/testutils/src/measure/nodes.rs
@@ -1,5 +1,5 @@
-//! Membership and the spreading of configurations at growing numbers of nodes: the core's own
-//! state machines, stepped in one loop on a clock of its own.
+//! A simulation of membership and configuration distribution at different numbers of nodes. It steps
+//! the real state machines in one loop on simulated time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -21,12 +21,12 @@
 use super::figure::Figure;
 
 const TICK: Duration = Duration::from_millis(100);
-/// The heads of UDP and IP.
-const HEADS: usize = 28;
-/// Data centres, of which the last two are the second region.
+/// The size of the UDP and IP headers in bytes.
+const HEADER_BYTES: usize = 28;
+/// The number of data centres; the last two form the second region.
 const DATA_CENTRES: usize = 5;
-/// To how many nodes a new generation is told at once.
-const TELL: usize = 6;
+/// The number of nodes that a node notifies of a new generation.
+const NOTIFY_COUNT: usize = 6;
 
 enum Event {
     Tick(usize),
@@ -34,24 +34,24 @@
     Fetched { node: usize, from: usize, action: Action },
 }
 
-struct Item {
+struct QueuedEvent {
     at: Instant,
     order: u64,
     event: Event,
 }
 
-impl PartialEq for Item {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
-impl Eq for Item {}
-impl PartialOrd for Item {
+impl Eq for QueuedEvent {}
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Item {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
@@ -66,15 +66,15 @@
     received: u64,
 }
 
-/// The nodes with the network between them.
-pub struct World {
+/// The simulated nodes and the network between them.
+pub struct Simulation {
     now: Instant,
     nodes: Vec<Node>,
-    queue: BinaryHeap<Reverse<Item>>,
+    queue: BinaryHeap<Reverse<QueuedEvent>>,
     order: u64,
     rng: StdRng,
     loss: f64,
-    cut_regions: bool,
+    regions_partitioned: bool,
     store_calls: u64,
     published: Option<(Head, Vec<Chunk>)>,
 }
@@ -85,7 +85,7 @@
 }
 
 fn index(address: SocketAddr) -> usize {
-    let SocketAddr::V4(v4) = address else { unreachable!("all addresses are of version 4") };
+    let SocketAddr::V4(v4) = address else { unreachable!("all addresses are IPv4") };
     let [_, _, high, low] = v4.ip().octets();
     usize::from(high) * 256 + usize::from(low) - 1
 }
@@ -94,12 +94,12 @@
     format!("entry-{at}").parse().expect("letters and digits make a name")
 }
 
-fn region(at: usize) -> bool {
+fn in_second_region(at: usize) -> bool {
     at % DATA_CENTRES >= 3
 }
 
-impl World {
-    /// Nodes that all know each other.
+impl Simulation {
+    /// Creates nodes that all know each other.
     pub fn new(count: usize) -> Self {
         let now = Instant::now();
         let update = |at: usize| Update {
@@ -108,7 +108,7 @@
             serial: 1,
             state: State::Serving,
             addresses: Addresses { peer: address(at), front: address(at) },
-            data_centre: format!("dc-{}", at % DATA_CENTRES).parse().expect("a right name"),
+            data_centre: format!("dc-{}", at % DATA_CENTRES).parse().expect("a valid name"),
         };
         let all: Vec<Update> = (0..count).map(update).collect();
         let node = |at: usize| {
@@ -117,41 +117,41 @@
             let spreader = Spreader::default();
             Node { members, spreader, up: true, paused_until: None, sent: 0, received: 0 }
         };
-        let mut world = Self {
+        let mut simulation = Self {
             now,
             nodes: (0..count).map(node).collect(),
             queue: BinaryHeap::new(),
             order: 0,
             rng: StdRng::seed_from_u64(17),
             loss: 0.0,
-            cut_regions: false,
+            regions_partitioned: false,
             store_calls: 0,
             published: None,
         };
         for at in 0..count {
-            let delay = TICK.mul_f64(world.rng.random());
-            world.push(delay, Event::Tick(at));
+            let delay = TICK.mul_f64(simulation.rng.random());
+            simulation.push(delay, Event::Tick(at));
         }
-        world
+        simulation
     }
 
     fn push(&mut self, delay: Duration, event: Event) {
         self.order += 1;
-        let item = Item { at: self.now + delay, order: self.order, event };
+        let item = QueuedEvent { at: self.now + delay, order: self.order, event };
         self.queue.push(Reverse(item));
     }
 
     fn latency(&mut self, a: usize, b: usize) -> Duration {
-        let millis = if region(a) == region(b) { 1.5 } else { 12.0 };
+        let millis = if in_second_region(a) == in_second_region(b) { 1.5 } else { 12.0 };
         Duration::from_secs_f64(millis * (0.8 + 0.6 * self.rng.random::<f64>()) / 1000.0)
     }
 
-    fn lost(&mut self, a: usize, b: usize) -> bool {
-        let cut = self.cut_regions && region(a) != region(b);
-        cut || (self.loss > 0.0 && self.rng.random_bool(self.loss))
+    fn is_lost(&mut self, a: usize, b: usize) -> bool {
+        let partitioned = self.regions_partitioned && in_second_region(a) != in_second_region(b);
+        partitioned || (self.loss > 0.0 && self.rng.random_bool(self.loss))
     }
 
-    /// Lets `span` pass.
+    /// Advances the simulation by `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.queue.peek().is_some_and(|Reverse(item)| item.at <= end) {
@@ -198,10 +198,10 @@
         for Outgoing { to, message } in out {
             let target = index(to);
             let datagram = Datagram::Gossip(Box::new(message));
-            let bytes = (datagram.encode().len() + HEADS) as u64;
+            let bytes = (datagram.encode().len() + HEADER_BYTES) as u64;
             self.nodes[from].sent += bytes;
             let Datagram::Gossip(message) = datagram else { unreachable!("just made") };
-            if self.lost(from, target) {
+            if self.is_lost(from, target) {
                 continue;
             }
             self.nodes[target].received += bytes;
@@ -211,18 +211,18 @@
         }
     }
 
-    /// Exchanges whole lists, both ways, where the membership asks for it. The call between the nodes
-    /// is taken as one step; its bytes are counted.
+    /// Exchanges full member lists in both directions when the membership requests it. The call between the
+    /// nodes takes no simulated time; its bytes are counted.
     fn exchange(&mut self, at: usize) {
         let Some(with) = self.nodes[at].members.exchange_with(self.now, &mut self.rng) else {
             return;
         };
         let other = index(with);
-        if !self.nodes[other].up || self.lost(at, other) {
+        if !self.nodes[other].up || self.is_lost(at, other) {
             return;
         }
         let (mine, theirs) = (self.nodes[at].members.all(), self.nodes[other].members.all());
-        let bytes = ((mine.len() + theirs.len()) * UPDATE_BYTES) as u64;
+        let bytes = ((mine.len() + theirs.len()) * MEMBER_ENTRY_BYTES) as u64;
         for node in [at, other] {
             self.nodes[node].sent += bytes / 2;
             self.nodes[node].received += bytes / 2;
@@ -253,7 +253,7 @@
     fn fetched(&mut self, at: usize, from: usize, action: &Action) {
         let Some((head, chunks)) = self.published.clone() else { return };
         let has = from == at || self.nodes[from].spreader.installed().head == head;
-        if !has || !self.nodes[from].up || self.lost(at, from) {
+        if !has || !self.nodes[from].up || self.is_lost(at, from) {
             self.nodes[at].spreader.note_failed();
             return;
         }
@@ -262,22 +262,22 @@
             Action::Chunks(_, digests) => {
                 let found = chunks.into_iter().filter(|c| digests.contains(&c.digest)).collect();
                 let installed = self.nodes[at].spreader.take_chunks(found);
-                if installed.expect("the chunks are right").is_some() {
-                    self.tell(at);
+                if installed.expect("the chunks are valid").is_some() {
+                    self.notify(at);
                 }
             }
         }
         self.fetch(at);
     }
 
-    fn tell(&mut self, at: usize) {
+    fn notify(&mut self, at: usize) {
         let generation = self.nodes[at].spreader.installed().head.generation;
         self.nodes[at].members.set_status(Status { generation, ..Status::default() });
-        let out = self.nodes[at].members.tell(TELL, &mut self.rng);
+        let out = self.nodes[at].members.tell(NOTIFY_COUNT, &mut self.rng);
         self.send(at, out);
     }
 
-    /// Publishes a generation, which two watchers of each data centre see in the store.
+    /// Publishes a generation, which two watchers per data centre see in the store.
     fn publish(&mut self, generation: u64) {
         let (root, mut chunks) = Snapshot::default().chunks();
         let root = Chunk::write(&root);
@@ -285,7 +285,7 @@
             generation: Generation(generation),
             parent: None,
             root: root.digest,
-            change: format!("{generation}.x").parse().expect("a right change id"),
+            change: format!("{generation}.x").parse().expect("a valid change id"),
             author: name(0),
             at: 0,
             text: SmolStr::default(),
@@ -297,14 +297,14 @@
         chunks.extend([root, operation_chunk]);
         self.published = Some((head.clone(), chunks));
         for at in 0..(2 * DATA_CENTRES).min(self.nodes.len()) {
-            // A watch that returns, and the read of the head that follows it.
+            // The watch returns, and the head is read.
             self.store_calls += 2;
             self.nodes[at].spreader.take_head(head.clone());
             self.fetch(at);
         }
     }
 
-    fn have(&self, generation: u64) -> f64 {
+    fn fraction_with(&self, generation: u64) -> f64 {
         let paused = |n: &Node| n.paused_until.is_some_and(|until| self.now < until);
         let up = self.nodes.iter().filter(|n| n.up && !paused(n));
         let have =
@@ -312,105 +312,106 @@
         have as f64 / up.count() as f64
     }
 
-    /// The time until `holds`, looked at every 50 ms, up to a minute.
-    fn time_until(&mut self, holds: impl Fn(&World) -> bool) -> f64 {
-        const LOOK: Duration = Duration::from_millis(50);
-        const MOST: u32 = 1200;
-        for look in 0..MOST {
-            if holds(self) {
-                return f64::from(look) * LOOK.as_secs_f64();
+    /// The time in seconds until `condition` is true, checked every 50 ms; infinite if it takes more than
+    /// a minute.
+    fn time_until(&mut self, condition: impl Fn(&Simulation) -> bool) -> f64 {
+        const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+        const MAX_CHECKS: u32 = 1200;
+        for check in 0..MAX_CHECKS {
+            if condition(self) {
+                return f64::from(check) * CHECK_INTERVAL.as_secs_f64();
             }
-            self.run(LOOK);
+            self.run(CHECK_INTERVAL);
         }
         f64::INFINITY
     }
 
-    /// The part of pairs in which a living node takes the other for something. Of many nodes only some
-    /// are asked.
-    fn views(&self, of: impl Fn(usize) -> bool, state: State) -> f64 {
-        let (mut yes, mut all) = (0_u64, 0_u64);
+    /// The fraction of pairs of a running node and a selected other node in which the former sees the
+    /// latter in `state`. With many nodes, only a sample of observers counts.
+    fn fraction_seeing(&self, of: impl Fn(usize) -> bool, state: State) -> f64 {
+        let (mut matching, mut all) = (0_u64, 0_u64);
         let others: Vec<(usize, Name)> =
             (0..self.nodes.len()).filter(|o| of(*o)).map(|o| (o, name(o))).collect();
-        let step = (self.nodes.len() / OBSERVERS).max(1);
+        let step = (self.nodes.len() / MAX_OBSERVERS).max(1);
         for (at, node) in self.nodes.iter().enumerate().step_by(step).filter(|(_, n)| n.up) {
             for (_, other) in others.iter().filter(|(o, _)| *o != at) {
                 let seen = node.members.peer(other).map(|p| p.update.state);
-                yes += u64::from(seen == Some(state));
+                matching += u64::from(seen == Some(state));
                 all += 1;
             }
         }
-        yes as f64 / all.max(1) as f64
+        matching as f64 / all.max(1) as f64
     }
 }
 
-/// How many nodes are asked for their view at the most, about.
-const OBSERVERS: usize = 50;
+/// The approximate maximum number of observers.
+const MAX_OBSERVERS: usize = 50;
 
-/// The bytes of one line of a list, about.
-const UPDATE_BYTES: usize = 70;
+/// The approximate size of one entry of a member list in bytes.
+const MEMBER_ENTRY_BYTES: usize = 70;
 
-const SETTLE: Duration = Duration::from_secs(10);
-const WATCHED: Duration = Duration::from_secs(30);
+const SETTLE_TIME: Duration = Duration::from_secs(10);
+const OBSERVATION_TIME: Duration = Duration::from_secs(30);
 
 fn measure_count(count: usize) -> Vec<Figure> {
     let mut figures = Vec::new();
     let mut add = |name: &str, value: f64| {
         figures.push(Figure::new(format!("nodes.{count}.{name}"), value));
     };
-    let mut world = World::new(count);
-    world.run(SETTLE);
-    let before: Vec<u64> = world.nodes.iter().map(|n| n.sent + n.received).collect();
-    world.run(WATCHED);
-    let after = world.nodes.iter().map(|n| n.sent + n.received);
-    let spent: u64 = after.zip(before).map(|(a, b)| a - b).sum();
-    add("gossip_bytes_per_s", spent as f64 / count as f64 / WATCHED.as_secs_f64());
-
-    world.publish(1);
-    let calls = world.store_calls;
-    add("in_force_999_s", world.time_until(|w| w.have(1) >= 0.999));
-    add("in_force_all_s", world.time_until(|w| w.have(1) >= 1.0));
-    add("store_calls_per_change", world.store_calls as f64);
-    add("store_calls_beyond_watchers", (world.store_calls - calls) as f64);
-
-    world.loss = 0.02;
-    let pause = world.now + Duration::from_secs(3);
-    world.nodes[count / 2].paused_until = Some(pause);
-    world.publish(2);
-    add("in_force_999_lossy_s", world.time_until(|w| w.have(2) >= 0.999));
-    world.run(WATCHED);
-    let false_gone = world.views(|_| true, State::Gone);
+    let mut simulation = Simulation::new(count);
+    simulation.run(SETTLE_TIME);
+    let before: Vec<u64> = simulation.nodes.iter().map(|n| n.sent + n.received).collect();
+    simulation.run(OBSERVATION_TIME);
+    let after = simulation.nodes.iter().map(|n| n.sent + n.received);
+    let used: u64 = after.zip(before).map(|(a, b)| a - b).sum();
+    add("gossip_bytes_per_s", used as f64 / count as f64 / OBSERVATION_TIME.as_secs_f64());
+
+    simulation.publish(1);
+    let calls = simulation.store_calls;
+    add("in_force_999_s", simulation.time_until(|w| w.fraction_with(1) >= 0.999));
+    add("in_force_all_s", simulation.time_until(|w| w.fraction_with(1) >= 1.0));
+    add("store_calls_per_change", simulation.store_calls as f64);
+    add("store_calls_beyond_watchers", (simulation.store_calls - calls) as f64);
+
+    simulation.loss = 0.02;
+    let pause = simulation.now + Duration::from_secs(3);
+    simulation.nodes[count / 2].paused_until = Some(pause);
+    simulation.publish(2);
+    add("in_force_999_lossy_s", simulation.time_until(|w| w.fraction_with(2) >= 0.999));
+    simulation.run(OBSERVATION_TIME);
+    let false_gone = simulation.fraction_seeing(|_| true, State::Gone);
     add("false_gone_part", false_gone);
-    world.loss = 0.0;
+    simulation.loss = 0.0;
 
     let victim = count - 1;
-    world.nodes[victim].up = false;
-    let gone = |w: &World| w.views(|o| o == victim, State::Gone) >= 0.999;
-    add("detect_node_s", world.time_until(gone));
+    simulation.nodes[victim].up = false;
+    let gone = |w: &Simulation| w.fraction_seeing(|o| o == victim, State::Gone) >= 0.999;
+    add("detect_node_s", simulation.time_until(gone));
 
-    world.nodes[victim].up = true;
-    world.run(WATCHED);
+    simulation.nodes[victim].up = true;
+    simulation.run(OBSERVATION_TIME);
     let lost = |at: usize| at.is_multiple_of(DATA_CENTRES);
     for at in (0..count).filter(|at| lost(*at)) {
-        world.nodes[at].up = false;
+        simulation.nodes[at].up = false;
     }
-    let gone = |w: &World| w.views(lost, State::Gone) >= 0.999;
-    add("detect_data_centre_s", world.time_until(gone));
+    let gone = |w: &Simulation| w.fraction_seeing(lost, State::Gone) >= 0.999;
+    add("detect_data_centre_s", simulation.time_until(gone));
     for at in (0..count).filter(|at| lost(*at)) {
-        world.nodes[at].up = true;
+        simulation.nodes[at].up = true;
     }
-    world.run(WATCHED);
-
-    world.cut_regions = true;
-    world.run(WATCHED);
-    world.publish(3);
-    world.cut_regions = false;
-    let healed = |w: &World| w.views(|_| true, State::Serving) >= 0.999;
-    add("heal_regions_s", world.time_until(healed));
-    add("reached_after_heal", world.have(3));
+    simulation.run(OBSERVATION_TIME);
+
+    simulation.regions_partitioned = true;
+    simulation.run(OBSERVATION_TIME);
+    simulation.publish(3);
+    simulation.regions_partitioned = false;
+    let healed = |w: &Simulation| w.fraction_seeing(|_| true, State::Serving) >= 0.999;
+    add("heal_regions_s", simulation.time_until(healed));
+    add("reached_after_heal", simulation.fraction_with(3));
     figures
 }
 
-/// The figures; with those of 550 nodes, which take half a minute, if wanted.
+/// The figures about nodes. `with_largest` adds those of 550 nodes, which take half a minute.
 pub fn measure(with_largest: bool) -> Vec<Figure> {
     let mut counts = vec![6, 9, 50, 150];
     if with_largest {
--- a/testutils/src/measure/offline.rs
+++ b/testutils/src/measure/offline.rs
@@ -1,25 +1,24 @@
-//! What can be reached at the most: an offline plan that knows the future, and an ideal fleet
-//! whose engines change at no cost.
+//! Reference values for role decisions: an offline plan that knows all arrivals, and an ideal fleet
+//! whose role changes are free.
 
 use std::collections::BTreeMap;
 
 use sardinepick_lib::config::object::Role;
 use sardinepick_lib::role::{Demand, Division};
 
-use super::mixes::{Fleet, Mix, STEP, advance, arrivals, steps_per_decision};
+use super::workloads::{Fleet, STEP, Workload, advance, arrivals, steps_per_decision};
 
-/// What one change must at least gain in the offline plan, in requests, so that it makes none for
-/// nothing.
-const WORTH: f64 = 1.0;
+/// The cost of a role change in requests, which keeps the plan from making changes without benefit.
+const CHANGE_COST: f64 = 1.0;
 
-/// How many engines may move at once in the plan, as a part of all.
-const MOVES: f64 = 0.25;
+/// The fraction of all engines that the plan may change at once.
+const MAX_CHANGED_FRACTION: f64 = 0.25;
 
-/// The best plan found by going forward over all divisions, keeping for each the best course that
-/// ends in it. It knows all arrivals. Since a course is run on the same fake as every other way, it
-/// can be reached; since only one course a division is kept, a better one may exist.
-pub fn plan(mix: &Mix, engines: usize) -> Fleet {
-    let arrivals = arrivals(mix, engines);
+/// Searches for the best plan by dynamic programming over divisions, and keeps the best course that
+/// ends in each division. The plan is achievable, since it runs on the same simulation as the online
+/// strategies. It may not be optimal, since only one course per division is kept.
+pub fn plan(workload: &Workload, engines: usize) -> Fleet {
+    let arrivals = arrivals(workload, engines);
     let mut courses: BTreeMap<Division, Fleet> = BTreeMap::new();
     let first = Fleet::new(engines);
     courses.insert(first.division(), first);
@@ -30,64 +29,64 @@
             for target in targets(*division, engines, step) {
                 let mut fleet = fleet.clone();
                 if target != *division {
-                    fleet.move_to(target, mix.away);
+                    fleet.move_to(target, workload.away);
                 }
-                advance(&mut fleet, mix, part);
-                keep(&mut next, fleet);
+                advance(&mut fleet, workload, part);
+                keep_best(&mut next, fleet);
             }
         }
         courses = next;
     }
-    courses.into_values().max_by(|a, b| worth(a).total_cmp(&worth(b))).expect("there is a course")
+    courses.into_values().max_by(|a, b| value(a).total_cmp(&value(b))).expect("at least one course")
 }
 
-fn worth(fleet: &Fleet) -> f64 {
-    // Requests that wait are half answered, so that a course is not preferred for a backlog.
+fn value(fleet: &Fleet) -> f64 {
+    // Queued work counts as a loss, so that a course is not preferred for its backlog.
     let waiting = fleet.waiting().total();
-    fleet.answered - f64::from(fleet.changes) * WORTH - waiting
+    fleet.answered - f64::from(fleet.changes) * CHANGE_COST - waiting
 }
 
-fn keep(courses: &mut BTreeMap<Division, Fleet>, fleet: Fleet) {
+fn keep_best(courses: &mut BTreeMap<Division, Fleet>, fleet: Fleet) {
     let division = fleet.division();
     match courses.get(&division) {
-        Some(best) if worth(best) >= worth(&fleet) => {}
+        Some(best) if value(best) >= value(&fleet) => {}
         _ => {
             courses.insert(division, fleet);
         }
     }
 }
 
-/// The divisions that can be reached in one interval by moves between two roles.
+/// The divisions that are reachable in one interval by changes from one role to one other.
 fn targets(from: Division, engines: usize, step: u32) -> Vec<Division> {
     const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
-    let most = (engines as f64 * MOVES).max(1.0) as u32;
+    let max_changes = (engines as f64 * MAX_CHANGED_FRACTION).max(1.0) as u32;
     let mut targets = vec![from];
     let pairs = ROLES.into_iter().flat_map(|a| ROLES.into_iter().map(move |b| (a, b)));
     for (a, b) in pairs.filter(|(a, b)| a != b) {
-        let mut moved = step;
-        while moved <= most && from.of(a) >= moved {
-            targets.push((0..moved).fold(from, |division, _| division.changed(a, b)));
-            moved *= 2;
+        let mut count = step;
+        while count <= max_changes && from.of(a) >= count {
+            targets.push((0..count).fold(from, |division, _| division.changed(a, b)));
+            count *= 2;
         }
     }
     targets
 }
 
-/// The requests that an ideal fleet answers, in which every engine does what is wanted at every
-/// moment without loss: no way of deciding can answer more.
-pub fn ideal(mix: &Mix, engines: usize) -> f64 {
+/// The number of requests answered by an ideal fleet, in which every engine can do any work at any
+/// time. This is an upper bound for all strategies.
+pub fn ideal(workload: &Workload, engines: usize) -> f64 {
     let mut waiting: Vec<(f64, f64, f64)> = Vec::new();
     let mut answered = 0.0;
     let mut time = 0.0;
-    let mut there = engines as f64;
-    for (demand, count) in arrivals(mix, engines) {
-        if let Some((at, part)) = mix.loss
+    let mut running = engines as f64;
+    for (demand, count) in arrivals(workload, engines) {
+        if let Some((at, part)) = workload.loss
             && (time - at).abs() < STEP / 2.0
         {
-            there -= (engines as f64 * part).ceil();
+            running -= (engines as f64 * part).ceil();
         }
-        waiting.push((time + IDEAL_PATIENCE, count, work(demand) / count));
-        let mut capacity = there * STEP;
+        waiting.push((time + IDEAL_DEADLINE, count, work(demand) / count));
+        let mut capacity = running * STEP;
         waiting.retain(|(deadline, ..)| *deadline >= time);
         for (_, count, work) in &mut waiting {
             let fits = (capacity / *work).min(*count);
@@ -101,8 +100,8 @@
     answered
 }
 
-/// How long the ideal fleet may take, in seconds: the whole deadline.
-const IDEAL_PATIENCE: f64 = 20.0;
+/// The deadline of requests to the ideal fleet in seconds.
+const IDEAL_DEADLINE: f64 = 20.0;
 
 fn work(demand: Demand) -> f64 {
     demand.total() * STEP
--- a/testutils/src/measure/scale.rs
+++ b/testutils/src/measure/scale.rs
@@ -1,4 +1,4 @@
-//! What grows with the size: bytes of what is stored and sent, exact.
+//! Exact sizes of stored and sent data at different deployment sizes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,24 +18,24 @@
 
 use super::figure::Figure;
 
-/// The heads of UDP and IP.
-const HEADS: usize = 28;
+/// The size of the UDP and IP headers in bytes.
+const HEADER_BYTES: usize = 28;
 
-/// How often loads are passed on in a small deployment, by the settings' default.
+/// The default interval between load messages in a small deployment.
 const LOAD_PERIOD: Duration = Duration::from_secs(1);
 
-/// Nodes, runners and accounts of one size.
+/// The numbers of nodes, runners and accounts of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Nodes.
+    /// The number of nodes.
     pub nodes: usize,
-    /// Runners.
+    /// The number of runners.
     pub runners: usize,
-    /// Accounts.
+    /// The number of accounts.
     pub accounts: usize,
 }
 
-/// The sizes that are measured, from today's to the one to design for.
+/// The measured sizes, from the current one to the largest supported one.
 pub const SIZES: [Size; 4] = [
     Size { nodes: 9, runners: 18, accounts: 100 },
     Size { nodes: 50, runners: 150, accounts: 600 },
@@ -43,7 +43,7 @@
     Size { nodes: 550, runners: 1600, accounts: 6800 },
 ];
 
-/// A name made of a kind and a number.
+/// The name `{kind}-{at}`.
 pub fn name(kind: &str, at: usize) -> Name {
     format!("{kind}-{at}").parse().expect("letters and digits make a name")
 }
@@ -53,7 +53,7 @@
     record.set(field, value);
 }
 
-/// The configuration of a size, as records.
+/// The configuration records of a deployment.
 pub fn records(size: Size) -> BTreeMap<Key, Arc<Record>> {
     let mut records = BTreeMap::new();
     let mut add = |kind, name: Name, fill: &dyn Fn(&mut Record)| {
@@ -87,7 +87,7 @@
     records
 }
 
-/// A table of owners of so many members that has been followed until it is full.
+/// An owner table of `nodes` members with a full history.
 pub fn table(nodes: usize) -> Table {
     let member = |at: usize| Member {
         name: name("entry", at),
@@ -118,28 +118,29 @@
     }
 }
 
-/// What one node sends and receives for loads, in bytes a second: on average and at the most.
+/// The bytes per second that a node sends and receives for load messages, on average and at most, and
+/// the largest number of runners that one node uses.
 fn load_bytes(size: Size) -> (f64, f64, f64) {
     let nodes: Vec<Name> = (0..size.nodes).map(|at| name("entry", at)).collect();
-    let place: BTreeMap<&Name, usize> = nodes.iter().zip(0..).collect();
-    let mut sending: BTreeMap<(usize, usize), Vec<Load>> = BTreeMap::new();
+    let index: BTreeMap<&Name, usize> = nodes.iter().zip(0..).collect();
+    let mut messages: BTreeMap<(usize, usize), Vec<Load>> = BTreeMap::new();
     let mut used = vec![0_u32; size.nodes];
     let mut sharing = Vec::new();
     for at in 0..size.runners {
         let runner = name("runner", at);
         supply::sharers(&runner, &nodes, &mut sharing);
-        let observer = place[sharing[0]];
+        let observer = index[sharing[0]];
         for sharer in &sharing {
-            used[place[sharer]] += 1;
+            used[index[sharer]] += 1;
         }
         for sharer in &sharing[1..] {
-            sending.entry((observer, place[sharer])).or_default().push(load(&runner));
+            messages.entry((observer, index[sharer])).or_default().push(load(&runner));
         }
     }
     let mut bytes = vec![0_usize; size.nodes];
-    for ((from, to), loads) in sending {
+    for ((from, to), loads) in messages {
         for part in loads.chunks(LOADS) {
-            let len = Datagram::Loads(part.to_vec()).encode().len() + HEADS;
+            let len = Datagram::Loads(part.to_vec()).encode().len() + HEADER_BYTES;
             bytes[from] += len;
             bytes[to] += len;
         }
@@ -151,8 +152,7 @@
     (mean, most, f64::from(used.iter().max().copied().unwrap_or(0)))
 }
 
-/// A straight line through points, and how far the points lie from it at the most, as a part of
-/// their value.
+/// A linear fit, with the largest relative deviation of a point from it.
 struct Line {
     slope: f64,
     residual: f64,
@@ -165,12 +165,12 @@
     let covariance: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
     let variance: f64 = points.iter().map(|p| (p.0 - x) * (p.0 - x)).sum();
     let slope = covariance / variance;
-    let off = |p: &(f64, f64)| ((y + slope * (p.0 - x)) - p.1).abs() / p.1;
-    Line { slope, residual: points.iter().map(off).fold(0.0, f64::max) }
+    let deviation = |p: &(f64, f64)| ((y + slope * (p.0 - x)) - p.1).abs() / p.1;
+    Line { slope, residual: points.iter().map(deviation).fold(0.0, f64::max) }
 }
 
-/// Lines through what should grow with one thing only.
-fn fits(figures: &[Figure]) -> Vec<Figure> {
+/// Linear fits of the quantities that should be proportional to one parameter.
+fn fit_all(figures: &[Figure]) -> Vec<Figure> {
     let nodes: fn(&Size) -> usize = |s| s.nodes;
     let objects: fn(&Size) -> usize = |s| s.accounts + s.runners;
     let cases = [
@@ -192,7 +192,7 @@
     fitted
 }
 
-/// The figures.
+/// The figures about sizes.
 pub fn measure() -> Vec<Figure> {
     let mut figures = Vec::new();
     for size in SIZES {
@@ -204,10 +204,10 @@
         add("loads_bytes_per_s_most", most);
         add("runners_used_most", used);
         let table = table(size.nodes);
-        let stored = serde_json::to_vec(&table).expect("a table is JSON").len();
+        let stored = serde_json::to_vec(&table).expect("a table is serializable as JSON").len();
         add("table_bytes", stored as f64);
         let newest = table.after(sardinepick_lib::id::Version(KEPT as u64 - 1));
-        let delta = serde_json::to_vec(&newest).expect("a table is JSON").len();
+        let delta = serde_json::to_vec(&newest).expect("a table is serializable as JSON").len();
         add("table_step_bytes", delta as f64);
         let (root, chunks) = split(&records(size));
         let sizes = chunks.iter().map(|c| c.bytes.len());
@@ -215,7 +215,7 @@
         add("config_chunk_bytes_most", sizes.max().unwrap_or(0) as f64);
         add("config_root_bytes", Chunk::write(&root).bytes.len() as f64);
     }
-    let fitted = fits(&figures);
+    let fitted = fit_all(&figures);
     figures.extend(fitted);
     figures
 }
--- a/testutils/src/measure/races.rs
+++ b/testutils/src/measure/write_conflicts.rs
@@ -1,4 +1,5 @@
-//! Operators who race one another: whole-head compare against conflicts by footprint.
+//! A simulation of concurrent configuration changes by operators, which compares conflict detection on
+//! the whole head with detection by footprint.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -18,14 +19,14 @@
 use super::figure::Figure;
 
 const ACCOUNTS: usize = 200;
-const SPAN: Duration = Duration::from_secs(60);
-/// How long one call to the store takes.
-const CALL: Duration = Duration::from_millis(5);
-/// How long an operator looks before it commands.
-const LOOK: Duration = Duration::from_millis(1500);
+const SIMULATED_TIME: Duration = Duration::from_secs(60);
+/// The duration of one call to the store.
+const CALL_TIME: Duration = Duration::from_millis(5);
+/// The time that an operator looks at the configuration before issuing a command.
+const THINK_TIME: Duration = Duration::from_millis(1500);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum ConflictCheck {
     WholeHead,
     Footprint,
 }
@@ -45,7 +46,7 @@
 
 #[derive(Default)]
 struct Counts {
-    landed: u64,
+    applied: u64,
     refused: u64,
     calls: u64,
     rebased: u64,
@@ -60,14 +61,14 @@
     format!("operator-{at}").parse().expect("letters and digits make a name")
 }
 
-fn first() -> Snapshot {
+fn initial_snapshot() -> Snapshot {
     let key = Digest::of(b"key").to_smolstr();
     let create = |at| Edit::Create {
         key: account(at),
         fields: vec![Assignment { field: Field::Key, value: key.clone() }],
     };
     let edits: Vec<Edit> = (0..ACCOUNTS).map(create).collect();
-    prepare(&Snapshot::default(), &edits).expect("the accounts are right").snapshot
+    prepare(&Snapshot::default(), &edits).expect("the accounts are valid").snapshot
 }
 
 fn edits(rng: &mut StdRng) -> Vec<Edit> {
@@ -76,14 +77,14 @@
     vec![Edit::Set { key: account(at), fields: vec![Assignment { field: Field::Rate, value }] }]
 }
 
-/// The head that follows, without the chunks: they are written beside and never conflict.
-fn follow(head: &Head, prepared: &Prepared, who: usize, change: u64) -> Head {
+/// The next head. Chunks are left out, since their writes never conflict.
+fn next_head(head: &Head, prepared: &Prepared, operator: usize, change: u64) -> Head {
     let operation = Operation {
         generation: prepared.snapshot.generation,
         parent: None,
         root: Digest::default(),
-        change: format!("{}.c{change}", head.generation).parse().expect("a right change id"),
-        author: author(who),
+        change: format!("{}.c{change}", head.generation).parse().expect("a valid change id"),
+        author: author(operator),
         at: 0,
         text: SmolStr::default(),
         wrote: prepared.footprint.wrote.iter().cloned().collect(),
@@ -92,83 +93,86 @@
     head.advance(&operation, digest)
 }
 
-fn run(way: Way, count: usize) -> Counts {
+fn run(check: ConflictCheck, count: usize) -> Counts {
     let mut rng = StdRng::seed_from_u64(3);
-    let mut snapshot = first();
+    let mut snapshot = initial_snapshot();
     let mut head = Head { generation: snapshot.generation, ..Head::default() };
     let mut writers: Vec<Writer> = (0..count)
         .map(|_| Writer { base: head.generation, edits: Vec::new(), read: None })
         .collect();
     let mut counts = Counts::default();
     let mut queue: BinaryHeap<Reverse<(Duration, usize, Step)>> = BinaryHeap::new();
-    for who in 0..count {
-        let at = LOOK.mul_f64(rng.random());
-        queue.push(Reverse((at, who, Step::Look)));
+    for operator in 0..count {
+        let at = THINK_TIME.mul_f64(rng.random());
+        queue.push(Reverse((at, operator, Step::Look)));
     }
-    while let Some(Reverse((now, who, step))) = queue.pop() {
-        if now > SPAN {
+    while let Some(Reverse((now, operator, step))) = queue.pop() {
+        if now > SIMULATED_TIME {
             break;
         }
-        let writer = &mut writers[who];
+        let writer = &mut writers[operator];
         let next = match step {
             Step::Look => {
                 writer.base = head.generation;
                 writer.edits = edits(&mut rng);
-                (LOOK, Step::Read)
+                (THINK_TIME, Step::Read)
             }
             Step::Read => {
                 counts.calls += 1;
-                let moved = head.generation > writer.base;
-                let prepared = prepare(&snapshot, &writer.edits).expect("the edits are right");
-                let refused = match way {
-                    Way::WholeHead => moved,
-                    Way::Footprint => {
-                        moved && check_conflict(&prepared.footprint, writer.base, &head).is_err()
+                let head_changed = head.generation > writer.base;
+                let prepared = prepare(&snapshot, &writer.edits).expect("the edits are valid");
+                let refused = match check {
+                    ConflictCheck::WholeHead => head_changed,
+                    ConflictCheck::Footprint => {
+                        head_changed
+                            && check_conflict(&prepared.footprint, writer.base, &head).is_err()
                     }
                 };
                 if refused {
                     counts.refused += 1;
-                    (CALL, Step::Look)
+                    (CALL_TIME, Step::Look)
                 } else {
-                    counts.rebased += u64::from(moved);
-                    // The changed chunk, the root and the operation are written at once.
+                    counts.rebased += u64::from(head_changed);
+                    // The changed chunk, the root and the operation are written concurrently.
                     counts.calls += 3;
                     writer.read = Some((head.clone(), prepared));
-                    (CALL * 2, Step::Update)
+                    (CALL_TIME * 2, Step::Update)
                 }
             }
             Step::Update => {
                 counts.calls += 1;
                 let (read, prepared) = writer.read.take().expect("a head was read");
                 if read.generation == head.generation {
-                    head = follow(&head, &prepared, who, counts.landed);
+                    head = next_head(&head, &prepared, operator, counts.applied);
                     snapshot = prepared.snapshot;
-                    counts.landed += 1;
-                    (CALL, Step::Look)
+                    counts.applied += 1;
+                    (CALL_TIME, Step::Look)
                 } else {
-                    (CALL, Step::Read)
+                    (CALL_TIME, Step::Read)
                 }
             }
         };
-        queue.push(Reverse((now + next.0, who, next.1)));
+        queue.push(Reverse((now + next.0, operator, next.1)));
     }
     counts
 }
 
-/// The figures.
+/// The figures about concurrent changes.
 pub fn measure() -> Vec<Figure> {
     let mut figures = Vec::new();
-    for (label, way) in [("whole_head", Way::WholeHead), ("footprint", Way::Footprint)] {
+    for (label, check) in
+        [("whole_head", ConflictCheck::WholeHead), ("footprint", ConflictCheck::Footprint)]
+    {
         for count in [2, 8, 32, 64] {
-            let counts = run(way, count);
+            let counts = run(check, count);
             let base = format!("config.race.{count}.{label}");
-            let commands = (counts.landed + counts.refused) as f64;
+            let commands = (counts.applied + counts.refused) as f64;
             let mut add = |name: &str, value| {
                 figures.push(Figure::new(format!("{base}.{name}"), value));
             };
-            add("changes_per_s", counts.landed as f64 / SPAN.as_secs_f64());
+            add("changes_per_s", counts.applied as f64 / SIMULATED_TIME.as_secs_f64());
             add("refused_part", counts.refused as f64 / commands);
-            add("calls_per_change", counts.calls as f64 / counts.landed as f64);
+            add("calls_per_change", counts.calls as f64 / counts.applied as f64);
         }
     }
     figures
