--- a/testutils/src/fleet/soak.rs
+++ b/testutils/src/fleet/soak.rs
@@ -474,7 +474,7 @@
                 report.violations.push(format!("route: {} at {}", request.path, runner.id));
             }
             if &request.body[..] != b"a brief" {
-                report.violations.push(format!("unasked: {} has another body", request.id));
+                report.violations.push(format!("body: {} has an unexpected body", request.id));
             }
             *runs.entry(request.id).or_default() += u64::from(request.ran);
         }
@@ -489,7 +489,7 @@
         let ran = runs.get(id).copied().unwrap_or(0);
         let once = matches!(*path, "/eggs/a" | "/tally/a");
         if once && ran > 1 {
-            report.violations.push(format!("twice: {id} {path} ran {ran} times"));
+            report.violations.push(format!("duplicate: {id} {path} ran {ran} times"));
         }
         let status = reply.status.map_or(0, |status| status.as_u16());
         if once && ran > 0 && matches!(status, 408 | 421 | 429 | 503) {
@@ -521,7 +521,7 @@
     if !valid || reply.header("response-signature").is_none() {
         report
             .violations
-            .push(format!("mixed: {id} {path} complete {} got {text:?}", reply.complete));
+            .push(format!("content: {id} {path} complete {} got {text:?}", reply.complete));
     }
     if reply.complete { "answered" } else { "cut" }
 }
