--- a/testutils/src/fleet/crash_soak.rs
+++ b/testutils/src/fleet/crash_soak.rs
@@ -98,8 +98,8 @@
             }
             3 => self.store.compact(),
             4 | 5 => {
-                let third = rng.random_range(0..3);
-                self.runners.iter().skip(third).step_by(3).for_each(CrashingRunner::crash);
+                let offset = rng.random_range(0..3);
+                self.runners.iter().skip(offset).step_by(3).for_each(CrashingRunner::crash);
             }
             _ => {
                 let runner = rng.random_range(0..self.runners.len());
@@ -110,9 +110,9 @@
 
     /// The start times of runs of the crashing request on a path, across all runner instances.
     fn run_starts(&self, path: &str) -> Vec<Instant> {
-        let lives = self.runners.iter().flat_map(CrashingRunner::instances);
-        let seen = lives.flat_map(|life| life.received());
-        let mut run_starts: Vec<Instant> = seen
+        let instances = self.runners.iter().flat_map(CrashingRunner::instances);
+        let requests = instances.flat_map(|instance| instance.received());
+        let mut run_starts: Vec<Instant> = requests
             .filter(|s| s.ran && s.path == path && s.body == CRASHING_BODY)
             .filter_map(|s| s.at)
             .collect();
--- a/testutils/src/fleet/soak.rs
+++ b/testutils/src/fleet/soak.rs
@@ -117,7 +117,7 @@
     /// The number of times that a runner's signals were set.
     signals: u64,
     /// Backups from before the most recent faults, oldest first.
-    copies: VecDeque<Backup>,
+    backups: VecDeque<Backup>,
     /// Runners that announced that they are leaving, and when.
     leaving: Vec<(Runner, Instant)>,
 }
@@ -160,7 +160,7 @@
             version: 1,
             next_runner: 0,
             signals: 0,
-            copies: VecDeque::new(),
+            backups: VecDeque::new(),
             leaving: Vec::new(),
         };
         for (service, stage, count) in [
@@ -206,7 +206,7 @@
         Ok(())
     }
 
-    /// Injects one fault, which lasts until the next fault of its kind or until [`Soak::heal`].
+    /// Injects one fault, which lasts until the next fault of its kind or until [`Soak::clear_faults`].
     async fn inject_fault(&mut self, exe: &Path, rng: &mut StdRng) {
         let node = rng.random_range(0..self.nodes.len());
         let runner = rng.random_range(0..self.runners.len());
@@ -254,18 +254,18 @@
 
     /// Takes a backup of the store, and restores the oldest one periodically. It draws no random number,
     /// so that the fault sequence of a seed stays the same.
-    fn copy(&mut self, faults: u64) {
-        self.copies.push_back(self.store.backup());
-        if self.copies.len() > MAX_BACKUPS {
-            self.copies.pop_front();
+    fn back_up_and_restore(&mut self, faults: u64) {
+        self.backups.push_back(self.store.backup());
+        if self.backups.len() > MAX_BACKUPS {
+            self.backups.pop_front();
         }
         if !faults.is_multiple_of(FAULTS_PER_RESTORE) {
             return;
         }
-        let Some(copy) = self.copies.front() else { return };
-        let lost = self.store.restore(copy);
+        let Some(backup) = self.backups.front() else { return };
+        let lost = self.store.restore(backup);
         // The other backups hold revisions that later writes will reuse.
-        self.copies.clear();
+        self.backups.clear();
         let store = self.store.clone();
         tokio::spawn(async move { store.replay_shuffled(&lost, faults, REPLAY_TIME).await });
     }
@@ -289,10 +289,10 @@
         sleep(Duration::from_millis(50)).await;
     }
 
-    async fn pause(&mut self, node: usize, span: Duration) {
+    async fn pause(&mut self, node: usize, duration: Duration) {
         let Some(daemon) = &self.nodes[node].daemon else { return };
         daemon.pause();
-        sleep(span).await;
+        sleep(duration).await;
         daemon.resume();
     }
 
@@ -316,8 +316,8 @@
     }
 
     fn all_runners(&self) -> Vec<Runner> {
-        let here = self.runners.iter().map(|(runner, _)| runner);
-        here.chain(self.leaving.iter().map(|(runner, _)| runner)).cloned().collect()
+        let active = self.runners.iter().map(|(runner, _)| runner);
+        active.chain(self.leaving.iter().map(|(runner, _)| runner)).cloned().collect()
     }
 }
 
@@ -387,7 +387,7 @@
         soak.inject_fault(exe, &mut rng).await;
         report.faults += 1;
         if options.copies {
-            soak.copy(report.faults);
+            soak.back_up_and_restore(report.faults);
         }
         sleep(Duration::from_millis(rng.random_range(50..700))).await;
     }
--- a/testutils/src/measure/workloads.rs
+++ b/testutils/src/measure/workloads.rs
@@ -389,7 +389,7 @@
     }
 }
 
-/// The ratio of the queues per engine above which [`Way::Threshold`] moves an engine.
+/// The ratio of the queues per engine above which [`Strategy::Threshold`] moves an engine.
 const QUEUE_RATIO: f64 = 1.5;
 
 fn threshold(fleet: &mut Fleet, away: f64) {
