--- a/node/benches/soak.rs
+++ b/node/benches/soak.rs
@@ -43,7 +43,7 @@
             duration: Duration::from_secs(number("seconds", 20)),
             nodes: number("nodes", 6) as usize,
             callers: number("callers", 12) as usize,
-            copies: matches.opt_present("copies"),
+            restore_backups: matches.opt_present("copies"),
         };
         let exe = Path::new(env!("CARGO_BIN_EXE_sardinepickd"));
         let ending = matches.opt_present("ending");
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -18,7 +18,7 @@
             duration: Duration::from_secs(8),
             nodes: 4,
             callers: 8,
-            copies: false,
+            restore_backups: false,
         };
         let exe = Path::new(env!("CARGO_BIN_EXE_sardinepickd"));
         let report = run(exe, plan).await.expect("the stand-ins have addresses");
@@ -32,7 +32,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn soak_copies_no_promise_broken() {
     let duration = Duration::from_secs(10);
-    let plan = SoakOptions { seed: 3, duration, nodes: 4, callers: 8, copies: true };
+    let plan = SoakOptions { seed: 3, duration, nodes: 4, callers: 8, restore_backups: true };
     let exe = Path::new(env!("CARGO_BIN_EXE_sardinepickd"));
     let report = run(exe, plan).await.expect("the stand-ins have addresses");
     println!("{report}");
@@ -49,7 +49,7 @@
         duration: Duration::from_secs(12),
         nodes: 4,
         callers: 8,
-        copies: false,
+        restore_backups: false,
     };
     let exe = Path::new(env!("CARGO_BIN_EXE_sardinepickd"));
     let report = crash_soak::run(exe, plan).await.expect("the stand-ins have addresses");
--- a/testutils/src/fleet/soak.rs
+++ b/testutils/src/fleet/soak.rs
@@ -43,7 +43,7 @@
     /// The number of callers.
     pub callers: usize,
     /// Whether the store is restored from backups.
-    pub copies: bool,
+    pub restore_backups: bool,
 }
 
 /// The number of additional routes in a configuration version. Every third version is large, so that
@@ -386,7 +386,7 @@
     while Instant::now() < until {
         soak.inject_fault(exe, &mut rng).await;
         report.faults += 1;
-        if options.copies {
+        if options.restore_backups {
             soak.back_up_and_restore(report.faults);
         }
         sleep(Duration::from_millis(rng.random_range(50..700))).await;
