--- a/node/examples/trial.rs
+++ b/node/examples/trial.rs
@@ -8,12 +8,12 @@
 
 use sardinepick_lib::config::object::Role;
 use sardinepick_lib::hash::Digest;
-use sardinepick_testutils::caller::{Caller, Keyed, Told};
+use sardinepick_testutils::caller::{Caller, KeyedAttempt, Reply};
 use sardinepick_testutils::cluster::{Cluster, free_address, own_ip, wait_until};
 use sardinepick_testutils::engine::{Engine, Speed};
 use sardinepick_testutils::fleet::{caller as fleet_caller, deployment as fleet};
-use sardinepick_testutils::invariant::{Seen, Violation, check_call, check_completion};
-use sardinepick_testutils::plain::Plain;
+use sardinepick_testutils::invariant::{Observation, Violation, check_call, check_completion};
+use sardinepick_testutils::plain::PlainService;
 use tokio::task::JoinSet;
 
 const CALLER_KEY: &str = "night-manager-key";
@@ -33,11 +33,11 @@
 }
 
 impl Tally {
-    fn count(&mut self, seen: &Seen, violation: Option<Violation>) {
+    fn count(&mut self, seen: &Observation, violation: Option<Violation>) {
         match seen {
-            Seen::Answer(_) => self.answered += 1,
-            Seen::RefusedNotRun | Seen::RefusedUnknown => self.refused += 1,
-            Seen::Cut => self.cut += 1,
+            Observation::Answer(_) => self.answered += 1,
+            Observation::RefusedNotRun | Observation::RefusedUnknown => self.refused += 1,
+            Observation::Truncated => self.cut += 1,
         }
         self.violations.extend(violation);
     }
@@ -60,7 +60,7 @@
 struct Deployment {
     cluster: Cluster,
     engines: Arc<Vec<Engine>>,
-    plain: Arc<Plain>,
+    plain: Arc<PlainService>,
     caller: Caller,
 }
 
@@ -71,7 +71,7 @@
         let engine = Engine::start(address, Role::Mixed, Speed::default()).await;
         engines.push(engine.expect("the address is free"));
     }
-    let plain = Plain::start(free_address(own_ip())).await.expect("the address is free");
+    let plain = PlainService::start(free_address(own_ip())).await.expect("the address is free");
     let mut config = String::from(
         "begin; create model telraad-7b version = 3, weights = \"telraad/3\"; \
          create service telraad model = telraad-7b, deadline = 20s; \
@@ -102,7 +102,7 @@
 }
 
 /// Starts streaming completions. Each caller looks up an address first, as real ones do.
-async fn start_completions(deployment: &Deployment, name: &str) -> JoinSet<(String, String, Told)> {
+async fn start_completions(deployment: &Deployment, name: &str) -> JoinSet<(String, String, Reply)> {
     let mut tasks = JoinSet::new();
     let entry = deployment.cluster.front(0);
     for n in 0..COMPLETIONS {
@@ -121,17 +121,17 @@
 
 async fn check_completions(
     deployment: &Deployment,
-    mut tasks: JoinSet<(String, String, Told)>,
+    mut tasks: JoinSet<(String, String, Reply)>,
 ) -> Tally {
     let mut tally = Tally::default();
     while let Some(done) = tasks.join_next().await {
         let (id, prompt, response) = done.expect("the caller task does not panic");
-        let starts = deployment.engines.iter().map(|e| e.started(&id)).sum();
-        let violation = check_completion(&id, &prompt, TOKENS, &response.seen, starts);
-        if !matches!(response.seen, Seen::Answer(_)) {
+        let starts = deployment.engines.iter().map(|e| e.start_count(&id)).sum();
+        let violation = check_completion(&id, &prompt, TOKENS, &response.observation, starts);
+        if !matches!(response.observation, Observation::Answer(_)) {
             println!("  {id}: status {}: {}", response.status, response.body);
         }
-        tally.count(&response.seen, violation);
+        tally.count(&response.observation, violation);
     }
     tally
 }
@@ -147,18 +147,18 @@
         let key = format!("order-{n}");
         let mut seen = Vec::new();
         for attempt in 1..=2 {
-            let keyed = Keyed { key: &key, attempt, epoch };
+            let keyed = KeyedAttempt { key: &key, attempt, epoch };
             let front = deployment.cluster.front((n + attempt as usize) % NODES);
             let response = deployment.caller.post(front, "ontbijtbord", &body, Some(&keyed)).await;
-            if !matches!(response.seen, Seen::Answer(_)) {
+            if !matches!(response.observation, Observation::Answer(_)) {
                 println!(
                     "  {key} attempt {attempt}: status {}: {}",
                     response.status, response.body
                 );
             }
-            seen.push(response.seen);
+            seen.push(response.observation);
         }
-        let effects = deployment.plain.effects(&body);
+        let effects = deployment.plain.effect_count(&body);
         let violation = check_call(&key, &seen, effects);
         for one in &seen {
             tally.count(one, None);
@@ -203,7 +203,7 @@
     passed &= stopped.cut == 0;
     passed &=
         check_completions(&deployment, tasks).await.report("completions while a node was stopped");
-    let duplicates = deployment.plain.doubled();
+    let duplicates = deployment.plain.duplicates();
     println!("orders that ran more than once: {}", duplicates.len());
     passed &= check_usage_reports().await;
     passed && duplicates.is_empty()
@@ -217,7 +217,10 @@
     let set = set.with_plain(2).await.with_engines(1, 2).await.with_nodes(NODES).await;
     let ask = async |id: &str, key| {
         let headers = [("credential", key), ("token-count", "1460,80")];
-        let ask = fleet_caller::Ask { headers: &headers, ..fleet_caller::Ask::new("/count/a", id) };
+        let ask = fleet_caller::RequestSpec {
+            headers: &headers,
+            ..fleet_caller::RequestSpec::new("/count/a", id)
+        };
         set.send(0, &ask).await.status.map_or(0, |status| status.as_u16())
     };
     let (platform, _) = set.platform.as_ref().expect("the deployment has a platform");
--- a/node/tests/explain.rs
+++ b/node/tests/explain.rs
@@ -11,7 +11,7 @@
 use sardinepick_node::logging::{queue, start_to};
 use sardinepick_node::settings::LogFormat;
 use sardinepick_testutils::cluster::wait_until;
-use sardinepick_testutils::fleet::caller::Ask;
+use sardinepick_testutils::fleet::caller::RequestSpec;
 use sardinepick_testutils::fleet::deployment::Deployment;
 use sardinepick_testutils::fleet::runner::Faults;
 use sardinepick_testutils::fleet::store::Fault;
@@ -65,7 +65,7 @@
         ("token-count", "900000,80"),
         ("prompt-prefix", "5c1e:400000,91bd:500000"),
     ];
-    let ask = Ask { headers: &headers, ..Ask::new("/count/a", "burst-1") };
+    let ask = RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", "burst-1") };
     let reply = deployment.send(0, &ask).await;
     assert_eq!(reply.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     let explanation = explain(log_buffer, "burst-1").await;
@@ -74,9 +74,9 @@
 
 async fn check_cut_when_runner_died(log_buffer: &LogBuffer) {
     let deployment = Deployment::new().await.with_engines(1, 1).await.with_nodes(1).await;
-    deployment.runners[1].set_faults(Faults { cut_after: Some(3), ..Faults::default() });
-    let ask = Ask { headers: &GENERATION, ..Ask::new("/tally/a", "cut-1") };
-    assert!(!deployment.send(0, &ask).await.whole);
+    deployment.runners[1].set_faults(Faults { abort_after: Some(3), ..Faults::default() });
+    let ask = RequestSpec { headers: &GENERATION, ..RequestSpec::new("/tally/a", "cut-1") };
+    assert!(!deployment.send(0, &ask).await.complete);
     let explanation = explain(log_buffer, "cut-1").await;
     assert_contains(
         &explanation,
@@ -88,10 +88,10 @@
     let mut deployment = Deployment::new().await.with_plain(1).await;
     deployment.store.set_fault(Fault::Busy);
     deployment.add_node("edge-0", Vec::new()).await;
-    let reply = deployment.ask("/board/a", "away-1").await;
+    let reply = deployment.send_default("/board/a", "away-1").await;
     assert_eq!(reply.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     wait_until("the loss is logged", async || log_buffer.text().contains("store lost")).await;
-    let reply = deployment.ask("/board/a", "away-2").await;
+    let reply = deployment.send_default("/board/a", "away-2").await;
     assert_eq!(reply.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     let explanation = explain(log_buffer, "away-2").await;
     assert_contains(&explanation, &["reason=no_configuration", "store lost"]);
--- a/node/tests/failures.rs
+++ b/node/tests/failures.rs
@@ -5,11 +5,13 @@
 use http::Method;
 use sardinepick_lib::config::object::Role;
 use sardinepick_lib::hash::Digest;
-use sardinepick_testutils::caller::{Caller, Keyed};
-use sardinepick_testutils::cluster::{Cluster, Plan, free_address, own_ip, wait_ready, wait_until};
-use sardinepick_testutils::engine::{Engine, Faults, Speed, expected};
-use sardinepick_testutils::invariant::{Seen, check_call, check_completion};
-use sardinepick_testutils::plain::{self, Plain};
+use sardinepick_testutils::caller::{Caller, KeyedAttempt};
+use sardinepick_testutils::cluster::{
+    Cluster, NodeOptions, free_address, own_ip, wait_ready, wait_until,
+};
+use sardinepick_testutils::engine::{Engine, Faults, Speed, expected_output};
+use sardinepick_testutils::invariant::{Observation, check_call, check_completion};
+use sardinepick_testutils::plain::{self, PlainService};
 use sardinepick_testutils::platform;
 
 const KEY: &str = "clerk-key";
@@ -19,12 +21,12 @@
 struct Fixture {
     cluster: Cluster,
     engines: Vec<Engine>,
-    plain: Plain,
+    plain: PlainService,
     caller: Caller,
 }
 
 async fn start(nodes: usize, engines: usize) -> Fixture {
-    let plain = Plain::start(free_address(own_ip())).await.expect("a free address");
+    let plain = PlainService::start(free_address(own_ip())).await.expect("a free address");
     let key = Digest::of(KEY.as_bytes());
     let mut config = format!(
         "begin; create model telraad-7b version = 3; \
@@ -51,13 +53,13 @@
 
 impl Fixture {
     /// Requests one completion, checks the guarantees and returns what the client saw.
-    async fn complete(&self, id: &str) -> Seen {
+    async fn complete(&self, id: &str) -> Observation {
         let front = self.cluster.front(0);
         let reply = self.caller.complete(front, "telraad", id, PROMPT, TOKENS).await;
-        let starts = self.engines.iter().map(|e| e.started(id)).sum();
-        let violation = check_completion(id, PROMPT, TOKENS, &reply.seen, starts);
+        let starts = self.engines.iter().map(|e| e.start_count(id)).sum();
+        let violation = check_completion(id, PROMPT, TOKENS, &reply.observation, starts);
         assert_eq!(violation, None);
-        reply.seen
+        reply.observation
     }
 
     fn set_all_faults(&self, faults: Faults) {
@@ -67,8 +69,8 @@
     }
 }
 
-fn is_complete(seen: &Seen) -> bool {
-    matches!(seen, Seen::Answer(text) if *text == expected(PROMPT, TOKENS))
+fn is_complete(seen: &Observation) -> bool {
+    matches!(seen, Observation::Answer(text) if *text == expected_output(PROMPT, TOKENS))
 }
 
 /// A runner that crashes cuts its stream after five tokens. The response must be resumed at another
@@ -76,7 +78,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_cut_resumed_elsewhere() {
     let fixture = start(1, 2).await;
-    fixture.engines[0].set_faults(Faults { cut_after: Some(5), ..Faults::default() });
+    fixture.engines[0].set_faults(Faults { abort_after: Some(5), ..Faults::default() });
     for n in 0..6 {
         assert!(is_complete(&fixture.complete(&format!("cut-{n}")).await));
     }
@@ -88,7 +90,7 @@
 async fn stream_without_closing_frame_no_success() {
     let fixture = start(1, 1).await;
     fixture.set_all_faults(Faults { end_after: Some(5), ..Faults::default() });
-    assert!(matches!(fixture.complete("short").await, Seen::Cut));
+    assert!(matches!(fixture.complete("short").await, Observation::Truncated));
 }
 
 /// A runner mixes up two streams and responds with the events of another request. None of them may
@@ -96,7 +98,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_of_other_request_not_forwarded() {
     let fixture = start(1, 2).await;
-    fixture.engines[0].set_faults(Faults { cross: true, ..Faults::default() });
+    fixture.engines[0].set_faults(Faults { answer_other_request: true, ..Faults::default() });
     for n in 0..6 {
         assert!(is_complete(&fixture.complete(&format!("cross-{n}")).await));
     }
@@ -120,10 +122,12 @@
 async fn refusal_not_run_only_if_unstarted() {
     let fixture = start(1, 2).await;
     fixture.set_all_faults(Faults { refuse: true, ..Faults::default() });
-    assert!(matches!(fixture.complete("refused").await, Seen::RefusedNotRun));
+    assert!(matches!(fixture.complete("refused").await, Observation::RefusedNotRun));
     tokio::time::sleep(Duration::from_secs(1)).await;
-    fixture.set_all_faults(Faults { cut_after: Some(0), ..Faults::default() });
-    assert!(matches!(fixture.complete("broken").await, Seen::RefusedUnknown | Seen::Cut));
+    fixture.set_all_faults(Faults { abort_after: Some(0), ..Faults::default() });
+    assert!(matches!(fixture.complete("broken").await,
+        Observation::RefusedUnknown | Observation::Truncated
+    ));
 }
 
 /// The platform's lists lag behind, so a runner that refuses requests because it is leaving may
@@ -161,14 +165,17 @@
     for n in 0..30 {
         let (caller, front) = (fixture.caller.clone(), fixture.cluster.front(n % 2));
         calls.spawn(async move {
-            caller.complete(front, "telraad", &format!("role-{n}"), PROMPT, 400).await.seen
+            caller.complete(front, "telraad", &format!("role-{n}"), PROMPT, 400).await.observation
         });
     }
     wait_until("the engine works", || async { fixture.engines[0].running() > 4 }).await;
     fixture.cluster.change("set runner telraad-0 role = decode").await;
     while let Some(seen) = calls.join_next().await {
         let seen = seen.expect("clients do not panic");
-        assert!(matches!(&seen, Seen::Answer(text) if *text == expected(PROMPT, 400)), "{seen:?}");
+        assert!(
+            matches!(&seen, Observation::Answer(text) if *text == expected_output(PROMPT, 400)),
+            "{seen:?}"
+        );
     }
     wait_until("the engine has its role", || async { fixture.engines[0].role() == Role::Decode })
         .await;
@@ -186,18 +193,18 @@
 async fn order_cut_after_effect_not_repeated() {
     let fixture = start(2, 1).await;
     let listing = fixture.caller.look_up(fixture.cluster.front(0)).await.expect("a listing");
-    fixture.plain.set_faults(plain::Faults { cut_after_effect: true, ..plain::Faults::default() });
+    fixture.plain.set_faults(plain::Faults { drop_response: true, ..plain::Faults::default() });
     let mut seen = Vec::new();
     for attempt in 1..=3 {
-        let keyed = Keyed { key: "bread-1", attempt, epoch: listing.epoch };
+        let keyed = KeyedAttempt { key: "bread-1", attempt, epoch: listing.epoch };
         let front = fixture.cluster.front(attempt as usize % 2);
         let reply = fixture.caller.post(front, "ontbijtbord", "bread", Some(&keyed)).await;
-        seen.push(reply.seen);
+        seen.push(reply.observation);
         fixture.plain.set_faults(plain::Faults::default());
     }
-    assert_eq!(check_call("bread-1", &seen, fixture.plain.effects("bread")), None);
-    assert_eq!(fixture.plain.effects("bread"), 1);
-    assert!(seen.iter().all(|s| matches!(s, Seen::RefusedUnknown)), "{seen:?}");
+    assert_eq!(check_call("bread-1", &seen, fixture.plain.effect_count("bread")), None);
+    assert_eq!(fixture.plain.effect_count("bread"), 1);
+    assert!(seen.iter().all(|s| matches!(s, Observation::RefusedUnknown)), "{seen:?}");
 }
 
 /// All nodes but one are killed after an order, and with them the records of the keys that they
@@ -209,10 +216,10 @@
     let listing = fixture.caller.look_up(fixture.cluster.front(0)).await.expect("a listing");
     for n in 0..6 {
         let (key, body) = (format!("k{n}"), format!("bread {n}"));
-        let keyed = Keyed { key: &key, attempt: 1, epoch: listing.epoch };
+        let keyed = KeyedAttempt { key: &key, attempt: 1, epoch: listing.epoch };
         let reply =
             fixture.caller.post(fixture.cluster.front(0), "ontbijtbord", &body, Some(&keyed)).await;
-        assert!(matches!(reply.seen, Seen::Answer(_)), "{reply:?}");
+        assert!(matches!(reply.observation, Observation::Answer(_)), "{reply:?}");
     }
     for at in 1..3 {
         fixture.cluster.nodes[at].take().expect("the node runs").kill();
@@ -220,12 +227,12 @@
     let mut unknown = 0;
     for n in 0..6 {
         let (key, body) = (format!("k{n}"), format!("bread {n}"));
-        let keyed = Keyed { key: &key, attempt: 2, epoch: listing.epoch };
+        let keyed = KeyedAttempt { key: &key, attempt: 2, epoch: listing.epoch };
         let reply =
             fixture.caller.post(fixture.cluster.front(0), "ontbijtbord", &body, Some(&keyed)).await;
-        unknown += u32::from(matches!(reply.seen, Seen::RefusedUnknown));
-        assert!(!matches!(reply.seen, Seen::RefusedNotRun), "{reply:?}");
-        assert_eq!(fixture.plain.effects(&body), 1);
+        unknown += u32::from(matches!(reply.observation, Observation::RefusedUnknown));
+        assert!(!matches!(reply.observation, Observation::RefusedNotRun), "{reply:?}");
+        assert_eq!(fixture.plain.effect_count(&body), 1);
     }
     assert!(unknown > 0, "the owner of at least one key must have been killed");
 }
@@ -243,11 +250,11 @@
     let (status, value) = answer.expect("the node answers");
     assert_eq!(status.as_u16(), 503, "{value}");
 
-    let mut plan = Plan::new("entry-9", "zaal-dom", fixture.cluster.platform.address());
+    let mut plan = NodeOptions::new("entry-9", "zaal-dom", fixture.cluster.platform.address());
     plan.extra = String::new();
     let ini = plan.ini().replace(
         &format!("peer = {}", plan.peer),
-        &format!("peer = {}\nseeds = {}", plan.peer, fixture.cluster.plans[0].peer),
+        &format!("peer = {}\nseeds = {}", plan.peer, fixture.cluster.node_options[0].peer),
     );
     let settings = sardinepick_node::settings::Settings::parse("entry-9", &ini);
     let clock = std::sync::Arc::new(sardinepick_node::clock::BootClock::default());
@@ -275,7 +282,7 @@
         fixture
             .cluster
             .platform
-            .set_faults(platform::Faults { lose_answers: lost, ..Default::default() });
+            .set_faults(platform::Faults { drop_responses: lost, ..Default::default() });
         let text = format!("set service telraad deadline = {lost}s");
         let answer = fixture.cluster.operator.command(fixture.cluster.front(1), &text).await;
         let (status, _) = answer.expect("the node answers");
@@ -305,7 +312,7 @@
         let body = serde_json::json!({ "text": text, "base": base }).to_string();
         let operator = fixture.cluster.operator.clone();
         let front = fixture.cluster.front(at);
-        async move { operator.ask(front, Method::POST, "/admin/v1/command", &[], body).await }
+        async move { operator.fetch(front, Method::POST, "/admin/v1/command", &[], body).await }
     };
     let (first, _) = command(0, "drain runner telraad-0").await.expect("an answer");
     assert!(first.is_success());
@@ -338,13 +345,13 @@
         ("/v1/completions", oversized.as_str(), 413, "more than"),
     ];
     for (path, body, status, says) in cases {
-        let answer = fixture.caller.ask(front, Method::POST, path, &[], body.to_owned()).await;
+        let answer = fixture.caller.fetch(front, Method::POST, path, &[], body.to_owned()).await;
         let (got, text) = answer.expect("an answer");
         assert_eq!((got.as_u16(), text.contains(says)), (status, true), "{path}: {text}");
     }
     let stranger = Caller::new("not-a-key");
     let (status, _) =
-        stranger.ask(front, Method::GET, "/v1/models", &[], "").await.expect("an answer");
+        stranger.fetch(front, Method::GET, "/v1/models", &[], "").await.expect("an answer");
     assert_eq!(status.as_u16(), 401);
     assert!(is_complete(&fixture.complete("after").await));
 }
@@ -373,7 +380,7 @@
     assert!(refused.is_err(), "the paused writer must start over");
 
     // A node without peers can only read the configuration from the store.
-    let plan = Plan::new("entry-9", "elsewhere", fixture.cluster.platform.address());
+    let plan = NodeOptions::new("entry-9", "elsewhere", fixture.cluster.platform.address());
     fixture.cluster.platform.set_vms(vec![plan.vm()]);
     let late = plan.start().await;
     wait_ready(plan.front).await;
@@ -414,12 +421,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn http2_cleartext_served() {
     let fixture = start(1, 1).await;
-    let (caller, front) = (Caller::over_http2(KEY), fixture.cluster.front(0));
+    let (caller, front) = (Caller::with_http2(KEY), fixture.cluster.front(0));
     let listing = caller.look_up(front).await.expect("a listing");
     assert!(listing.addresses.contains(&front));
     let reply = caller.complete(front, "telraad", "h2", PROMPT, TOKENS).await;
-    assert!(is_complete(&reply.seen), "{reply:?}");
+    assert!(is_complete(&reply.observation), "{reply:?}");
     let reply = caller.post(front, "ontbijtbord", "eggs", None).await;
-    assert!(matches!(reply.seen, Seen::Answer(_)), "{reply:?}");
-    assert_eq!(fixture.plain.effects("eggs"), 1);
+    assert!(matches!(reply.observation, Observation::Answer(_)), "{reply:?}");
+    assert_eq!(fixture.plain.effect_count("eggs"), 1);
 }
--- a/node/tests/lives.rs
+++ b/node/tests/lives.rs
@@ -10,7 +10,7 @@
 use sardinepick_node::serve::shared::Shared;
 use sardinepick_platform::store::{Change, Object};
 use sardinepick_testutils::cluster::{free_address, own_ip, wait_until};
-use sardinepick_testutils::fleet::caller::Ask;
+use sardinepick_testutils::fleet::caller::RequestSpec;
 use sardinepick_testutils::fleet::deployment::Deployment;
 use sardinepick_testutils::fleet::runner::{Faults, Runner};
 use serde_json::{Value, json};
@@ -29,7 +29,7 @@
 
 async fn restart(set: &mut Deployment, at: usize) {
     let address = free_address(own_ip());
-    let restarted = set.runners[at].start_again(address).await.expect("a free address");
+    let restarted = set.runners[at].restart(address).await.expect("a free address");
     set.runners[at] = restarted;
     let (node, runner) = (&set.nodes[0].shared, &set.runners[at]);
     wait_until("the node knows the new incarnation", async || address_known(node, runner)).await;
@@ -41,7 +41,7 @@
 #[tokio::test]
 async fn restarted_runner_has_empty_cache() {
     let mut set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
-    let ask = Ask { headers: &GENERATION, ..Ask::new("/count/a", "s1") };
+    let ask = RequestSpec { headers: &GENERATION, ..RequestSpec::new("/count/a", "s1") };
     assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::OK));
     let shared = set.nodes[0].shared.clone();
     let cached_tokens =
@@ -49,7 +49,7 @@
     assert!(cached_tokens(&set.runners[0]).is_some_and(|tokens| tokens >= 1_460));
     restart(&mut set, 0).await;
     assert_eq!(cached_tokens(&set.runners[0]), Some(0));
-    let ask = Ask { headers: &GENERATION, ..Ask::new("/count/a", "s2") };
+    let ask = RequestSpec { headers: &GENERATION, ..RequestSpec::new("/count/a", "s2") };
     assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::OK));
 }
 
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn previous_incarnation_does_not_affect_new_one() {
     let mut set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { hangs: true, ..Faults::default() });
+    set.runners[0].set_faults(Faults { hang: true, ..Faults::default() });
     let shared = set.nodes[0].shared.clone();
     let previous = set.runners[0].clone();
     let front = set.front(0);
@@ -67,10 +67,12 @@
         .map(|n| {
             let caller = set.caller.clone();
             let name = format!("egg-{n}");
-            tokio::spawn(async move { caller.send(front, &Ask::new("/eggs/order", &name)).await })
+            tokio::spawn(async move {
+                caller.send(front, &RequestSpec::new("/eggs/order", &name)).await
+            })
         })
         .collect();
-    wait_until("all requests hang", async || previous.seen().len() == 4).await;
+    wait_until("all requests hang", async || previous.received().len() == 4).await;
     // The entry of the new incarnation is written before the connections to the previous one break.
     let address = free_address(own_ip());
     let mut entry = previous.entry();
@@ -81,7 +83,7 @@
         shared.register().get(&id(&previous)).is_some_and(|r| r.entry.address == address)
     })
     .await;
-    set.runners[0] = previous.start_again(address).await.expect("a free address");
+    set.runners[0] = previous.restart(address).await.expect("a free address");
     for ask in asks {
         let answer = ask.await.expect("the request ends");
         assert_eq!(answer.status, Some(StatusCode::BAD_GATEWAY), "the request may have run");
@@ -91,8 +93,8 @@
         let runner = register.get(&id(&previous)).expect("known");
         assert!(runner.own.is_empty() && runner.health.failing() == 0.0);
     }
-    assert_eq!(set.ask("/eggs/order", "egg-9").await.status, Some(StatusCode::OK));
-    assert_eq!(set.runners[0].ran("egg-9"), 1);
+    assert_eq!(set.send_default("/eggs/order", "egg-9").await.status, Some(StatusCode::OK));
+    assert_eq!(set.runners[0].run_count("egg-9"), 1);
 }
 
 /// Guards against requests to an address where no runner listens. A runner restarts at another
@@ -115,8 +117,8 @@
     assert!(address_known(&shared, &set.runners[0]));
     for n in 0..4 {
         let name = format!("r{n}");
-        assert_eq!(set.ask("/board/a", &name).await.status, Some(StatusCode::OK));
-        assert_eq!(set.runners[0].ran(&name), 1);
+        assert_eq!(set.send_default("/board/a", &name).await.status, Some(StatusCode::OK));
+        assert_eq!(set.runners[0].run_count(&name), 1);
     }
 }
 
@@ -128,7 +130,7 @@
     let mut set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let headers =
         [("model", "m"), ("token-count", "9400,80"), ("prompt-prefix", "5c1e:9000,e440:400")];
-    let ask = Ask { headers: &headers, ..Ask::new("/count/a", "s1") };
+    let ask = RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", "s1") };
     assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::OK));
     set.nodes.remove(0).stop().await;
     set.add_node("edge-7", Vec::new()).await;
@@ -193,8 +195,12 @@
         })
         .await;
         let name = format!("r{n}");
-        assert_eq!(set.ask("/board/a", &name).await.status, Some(StatusCode::OK), "{entry:.80}");
-        assert_eq!(set.runners[1].ran(&name), 1);
+        assert_eq!(
+            set.send_default("/board/a", &name).await.status,
+            Some(StatusCode::OK),
+            "{entry:.80}"
+        );
+        assert_eq!(set.runners[1].run_count(&name), 1);
         replaced.write_entry();
         wait_until("its own entry is used again", async || address_known(&shared, &replaced)).await;
     }
@@ -218,7 +224,7 @@
         set.store.put("servers", name, &json!({"state": "ready"}));
     }
     set = set.with_nodes(1).await;
-    assert_eq!(set.ask("/board/a", "r1").await.status, Some(StatusCode::OK));
+    assert_eq!(set.send_default("/board/a", "r1").await.status, Some(StatusCode::OK));
 }
 
 /// Guards against an order to a runner that may still carry out another one. An order gets no
@@ -228,14 +234,15 @@
 async fn order_in_doubt_outlasts_incarnation() {
     let mut set = Deployment::new().await.with_engines(1, 5).await.with_nodes(1).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { mute_orders: true, ..Faults::default() });
+        runner.set_faults(Faults { drop_order_response: true, ..Faults::default() });
     }
     let headers =
         [("model", "m"), ("token-count", "90000,80"), ("prompt-prefix", "5c1e:40000,91bd:50000")];
     wait_until("an order is given", async || {
         for n in 0..6 {
             let name = format!("big-{n}");
-            set.send(0, &Ask { headers: &headers, ..Ask::new("/count/a", &name) }).await;
+            set.send(0, &RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", &name) })
+                .await;
         }
         set.runners.iter().any(|runner| !runner.orders().is_empty())
     })
@@ -251,7 +258,7 @@
             break;
         }
         let name = format!("more-{n}");
-        let ask = Ask { headers: &headers, ..Ask::new("/count/a", &name) };
+        let ask = RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", &name) };
         set.send(0, &ask).await;
     }
     assert_eq!(set.runners[at].orders(), []);
--- a/node/tests/roles.rs
+++ b/node/tests/roles.rs
@@ -15,7 +15,8 @@
 /// roles although the mix of requests has shifted.
 #[tokio::test(flavor = "multi_thread")]
 async fn demand_estimate_covers_all_nodes() {
-    let speed = Speed { prefill: 20_000, decode: 400, away: Duration::from_millis(200) };
+    let speed =
+        Speed { prefill: 20_000, decode: 400, role_change_time: Duration::from_millis(200) };
     let engine = Engine::start(free_address(own_ip()), Role::Mixed, speed).await;
     let engine = engine.expect("a free address");
     let key = Digest::of(KEY.as_bytes());
--- a/node/tests/scheduler.rs
+++ b/node/tests/scheduler.rs
@@ -13,8 +13,8 @@
 use sardinepick_lib::id::{ConfigVersion, NodeId, RunnerId, ServiceId};
 use sardinepick_testutils::cluster::{free_address, own_ip, wait_until};
 use sardinepick_testutils::fleet::beat;
-use sardinepick_testutils::fleet::caller::Ask;
-use sardinepick_testutils::fleet::deployment::{Deployment, MODEL, PLAIN};
+use sardinepick_testutils::fleet::caller::RequestSpec;
+use sardinepick_testutils::fleet::deployment::{Deployment, MODEL_SERVICE, PLAIN_SERVICE};
 use sardinepick_testutils::fleet::runner::Runner;
 use sardinepick_testutils::fleet::signal::Signals;
 use sardinepick_wire::schedule::Schedule;
@@ -47,7 +47,8 @@
 /// A node id that makes the faulty scheduler, and not the node, the scheduler of all services'
 /// pools.
 fn id_of_scheduler(node: &NodeId) -> NodeId {
-    let services = [MODEL, PLAIN].map(|name| name.parse::<ServiceId>().expect("an id"));
+    let services =
+        [MODEL_SERVICE, PLAIN_SERVICE].map(|name| name.parse::<ServiceId>().expect("an id"));
     let is_scheduler = |name: &NodeId| {
         let schedules = |service| holder(service, Pool(0), [node, name].into_iter()) == Some(name);
         services.iter().all(schedules)
@@ -133,11 +134,11 @@
         // One of the two routes is resumable.
         for path in ["/count/a", "/tally/a"] {
             let id = format!("s{n}{path}");
-            let ask = Ask { headers: &GENERATION, ..Ask::new(path, &id) };
+            let ask = RequestSpec { headers: &GENERATION, ..RequestSpec::new(path, &id) };
             let answer = set.send(0, &ask).await;
             assert_eq!(answer.status, Some(StatusCode::OK), "{behaviour:?}");
-            assert!(answer.whole, "{behaviour:?}");
-            assert_eq!(set.ran(&id), 1, "{behaviour:?}");
+            assert!(answer.complete, "{behaviour:?}");
+            assert_eq!(set.run_count(&id), 1, "{behaviour:?}");
         }
     }
     let mut count = 0;
@@ -207,9 +208,11 @@
     .await;
     for n in 0..6 {
         let id = format!("s{n}");
-        let answer = set.send(0, &Ask { headers: &GENERATION, ..Ask::new("/count/a", &id) }).await;
+        let answer = set
+            .send(0, &RequestSpec { headers: &GENERATION, ..RequestSpec::new("/count/a", &id) })
+            .await;
         assert_eq!(answer.status, Some(StatusCode::OK));
-        assert_eq!(set.runners[1].ran(&id), 0, "the runner is leaving");
+        assert_eq!(set.runners[1].run_count(&id), 0, "the runner is leaving");
     }
 }
 
@@ -244,15 +247,15 @@
     })
     .await;
     sleep(Duration::from_millis(80)).await;
-    let before = limited.each_ref().map(|runner| runner.seen().len());
+    let before = limited.each_ref().map(|runner| runner.received().len());
     for n in 0..6 {
         for (path, headers) in [("/count/a", &GENERATION[..]), ("/board/a", &[])] {
             let id = format!("s{n}{path}");
-            let answer = set.send(0, &Ask { headers, ..Ask::new(path, &id) }).await;
-            assert_eq!((answer.status, set.ran(&id)), (Some(StatusCode::OK), 1), "{path}");
+            let answer = set.send(0, &RequestSpec { headers, ..RequestSpec::new(path, &id) }).await;
+            assert_eq!((answer.status, set.run_count(&id)), (Some(StatusCode::OK), 1), "{path}");
         }
         // Longer than a token bucket of this node would need to gain a token.
         sleep(Duration::from_millis(60)).await;
     }
-    assert_eq!(limited.each_ref().map(|runner| runner.seen().len()), before);
+    assert_eq!(limited.each_ref().map(|runner| runner.received().len()), before);
 }
--- a/node/tests/serve.rs
+++ b/node/tests/serve.rs
@@ -6,8 +6,8 @@
 use http::{Method, StatusCode};
 use sardinepick_lib::history::{Era, Point};
 use sardinepick_testutils::cluster::{own_ip, wait_until};
-use sardinepick_testutils::fleet::caller::Ask;
-use sardinepick_testutils::fleet::deployment::{Deployment, MODEL, configuration};
+use sardinepick_testutils::fleet::caller::RequestSpec;
+use sardinepick_testutils::fleet::deployment::{Deployment, MODEL_SERVICE, configuration};
 use sardinepick_testutils::fleet::runner::{Faults, Kind, Runner, event};
 use sardinepick_testutils::fleet::store::Fault;
 
@@ -18,21 +18,22 @@
 const GENERATION: [(&str, &str); 3] =
     [("model", "m"), ("token-count", "1460,80"), ("prompt-prefix", "5c1e:800,91bd:410,e440:250")];
 
-fn generation_request<'a>(path: &'a str, id: &'a str) -> Ask<'a> {
-    Ask { headers: &GENERATION, ..Ask::new(path, id) }
+fn generation_request<'a>(path: &'a str, id: &'a str) -> RequestSpec<'a> {
+    RequestSpec { headers: &GENERATION, ..RequestSpec::new(path, id) }
 }
 
 #[tokio::test]
 async fn plain_request_served() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    let response = set.ask("/board/today?room=4", "r1").await;
+    let response = set.send_default("/board/today?room=4", "r1").await;
     assert_eq!(response.status, Some(StatusCode::OK));
     assert_eq!(response.text(), "answer to r1");
-    assert!(response.whole && response.header("response-signature").is_some());
-    let seen = set
+    assert!(response.complete && response.header("response-signature").is_some());
+    let seen =
+        set
         .runners
         .iter()
-        .flat_map(Runner::seen)
+        .flat_map(Runner::received)
         .find(|s| s.id == "r1")
         .expect("a runner saw the request");
     assert_eq!((seen.path.as_str(), &seen.body[..]), ("/board/today?room=4", &b"a brief"[..]));
@@ -54,9 +55,10 @@
         ("x-mine", "1"),
         ("x-kept", "2"),
     ];
-    let response = set.send(0, &Ask { headers: &headers, ..Ask::new("/board/a", "r1") }).await;
+    let response =
+        set.send(0, &RequestSpec { headers: &headers, ..RequestSpec::new("/board/a", "r1") }).await;
     assert_eq!(response.status, Some(StatusCode::OK));
-    let seen = &set.runners[0].seen()[0];
+    let seen = &set.runners[0].received()[0];
     for name in ["kv-source", "kv-hold", "pin-ms", "stage", "request-priority", "x-mine"] {
         assert!(!seen.headers.contains_key(name), "{name} was forwarded");
     }
@@ -69,17 +71,18 @@
 #[tokio::test]
 async fn unknown_route_not_found() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    assert_eq!(set.ask("/nowhere/", "r1").await.status, Some(StatusCode::NOT_FOUND));
-    let other = Ask { host: "other.example", ..Ask::new("/board/a", "r2") };
+    assert_eq!(set.send_default("/nowhere/", "r1").await.status, Some(StatusCode::NOT_FOUND));
+    let other = RequestSpec { host: "other.example", ..RequestSpec::new("/board/a", "r2") };
     assert_eq!(set.send(0, &other).await.status, Some(StatusCode::NOT_FOUND));
 }
 
 #[tokio::test]
 async fn oversized_body_refused() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    let ask = Ask { body: Bytes::from(vec![7; 65_537]), ..Ask::new("/board/a", "r1") };
+    let ask =
+        RequestSpec { body: Bytes::from(vec![7; 65_537]), ..RequestSpec::new("/board/a", "r1") };
     assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::PAYLOAD_TOO_LARGE));
-    assert_eq!(set.ran("r1"), 0);
+    assert_eq!(set.run_count("r1"), 0);
 }
 
 /// Guards against a node that has just started and answers 404 for an existing route because it has
@@ -89,12 +92,12 @@
     let mut set = Deployment::new().await.with_plain(1).await;
     set.store.set_fault(Fault::Busy);
     set.add_node("edge-0", Vec::new()).await;
-    let response = set.ask("/board/a", "r1").await;
+    let response = set.send_default("/board/a", "r1").await;
     assert_eq!(response.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     assert!(response.header("retry-after").is_some());
     set.store.set_fault(Fault::None);
     set.wait_ready().await;
-    assert_eq!(set.ask("/board/a", "r2").await.status, Some(StatusCode::OK));
+    assert_eq!(set.send_default("/board/a", "r2").await.status, Some(StatusCode::OK));
 }
 
 /// Guards against a non-idempotent request that runs twice. The runner runs it, but its response is
@@ -103,24 +106,24 @@
 async fn non_idempotent_request_not_retried_after_lost_response() {
     let set = Deployment::new().await.with_plain(3).await.with_nodes(1).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { loses_answers: true, ..Faults::default() });
+        runner.set_faults(Faults { drop_response: true, ..Faults::default() });
     }
     for n in 0..8 {
         let id = format!("egg-{n}");
-        let response = set.ask("/eggs/order", &id).await;
+        let response = set.send_default("/eggs/order", &id).await;
         assert_eq!(response.status, Some(StatusCode::BAD_GATEWAY), "the request may have run");
-        assert_eq!(set.ran(&id), 1);
+        assert_eq!(set.run_count(&id), 1);
     }
 }
 
 #[tokio::test]
 async fn non_idempotent_request_retried_after_shedding() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { sheds: true, ..Faults::default() });
+    set.runners[0].set_faults(Faults { refuse: true, ..Faults::default() });
     for n in 0..6 {
         let id = format!("egg-{n}");
-        let response = set.ask("/eggs/order", &id).await;
-        assert_eq!((response.status, set.ran(&id)), (Some(StatusCode::OK), 1));
+        let response = set.send_default("/eggs/order", &id).await;
+        assert_eq!((response.status, set.run_count(&id)), (Some(StatusCode::OK), 1));
     }
 }
 
@@ -128,20 +131,20 @@
 async fn non_idempotent_request_refused_when_all_runners_shed() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { sheds: true, ..Faults::default() });
+        runner.set_faults(Faults { refuse: true, ..Faults::default() });
     }
-    let response = set.ask("/eggs/order", "egg").await;
+    let response = set.send_default("/eggs/order", "egg").await;
     assert_eq!(response.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     assert!(response.header("retry-after").is_some());
-    assert_eq!(set.ran("egg"), 0);
+    assert_eq!(set.run_count("egg"), 0);
 }
 
 #[tokio::test]
 async fn idempotent_request_retried_after_lost_response() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { loses_answers: true, ..Faults::default() });
+    set.runners[0].set_faults(Faults { drop_response: true, ..Faults::default() });
     for n in 0..6 {
-        let response = set.ask("/board/a", &format!("r{n}")).await;
+        let response = set.send_default("/board/a", &format!("r{n}")).await;
         assert_eq!(response.status, Some(StatusCode::OK));
     }
 }
@@ -151,9 +154,9 @@
 #[tokio::test]
 async fn idempotent_request_retried_when_runner_hangs() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { hangs: true, ..Faults::default() });
+    set.runners[0].set_faults(Faults { hang: true, ..Faults::default() });
     for n in 0..4 {
-        let response = set.ask("/board/a", &format!("r{n}")).await;
+        let response = set.send_default("/board/a", &format!("r{n}")).await;
         assert_eq!(response.status, Some(StatusCode::OK));
     }
 }
@@ -163,8 +166,8 @@
 #[tokio::test]
 async fn mismatched_response_not_forwarded() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { crosses: true, ..Faults::default() });
-    let response = set.ask("/eggs/order", "egg").await;
+    set.runners[0].set_faults(Faults { wrong_request_id: true, ..Faults::default() });
+    let response = set.send_default("/eggs/order", "egg").await;
     assert_eq!(response.status, Some(StatusCode::BAD_GATEWAY));
     assert!(response.header("response-signature").is_none());
 }
@@ -172,10 +175,10 @@
 #[tokio::test]
 async fn runner_error_forwarded_with_signature() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { fails: true, ..Faults::default() });
-    let response = set.ask("/eggs/order", "egg").await;
+    set.runners[0].set_faults(Faults { respond_500: true, ..Faults::default() });
+    let response = set.send_default("/eggs/order", "egg").await;
     assert_eq!(response.status, Some(StatusCode::INTERNAL_SERVER_ERROR));
-    assert_eq!((response.text().as_str(), response.whole), ("failed", true));
+    assert_eq!((response.text().as_str(), response.complete), ("failed", true));
     assert!(response.header("response-signature").is_some());
 }
 
@@ -184,10 +187,13 @@
     let set = Deployment::new().await.with_engines(1, 1).await.with_nodes(1).await;
     let response = set.send(0, &generation_request("/count/a", "s1")).await;
     assert_eq!(response.status, Some(StatusCode::OK));
-    assert_eq!((response.text(), response.whole), (stream_text(12), true));
+    assert_eq!((response.text(), response.complete), (stream_text(12), true));
     let (prefill, decode) = (&set.runners[0], &set.runners[1]);
-    assert_eq!((prefill.seen().len(), prefill.ran("s1"), decode.ran("s1")), (1, 0, 1));
-    let source = decode.seen()[0].headers["kv-source"].to_str().unwrap().to_owned();
+    assert_eq!(
+        (prefill.received().len(), prefill.run_count("s1"), decode.run_count("s1")),
+        (1, 0, 1)
+    );
+    let source = decode.received()[0].headers["kv-source"].to_str().unwrap().to_owned();
     assert_eq!(source, format!("{}/h1", prefill.address()));
 }
 
@@ -198,11 +204,11 @@
 async fn broken_stream_resumed_on_another_runner() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let broken = &set.runners[1];
-    broken.set_faults(Faults { cut_after: Some(5), ..Faults::default() });
-    set.runners[2].set_faults(Faults { cut_after: Some(5), ..Faults::default() });
+    broken.set_faults(Faults { abort_after: Some(5), ..Faults::default() });
+    set.runners[2].set_faults(Faults { abort_after: Some(5), ..Faults::default() });
     let response = set.send(0, &generation_request("/count/a", "s1")).await;
     assert_eq!(
-        (response.text(), response.whole),
+        (response.text(), response.complete),
         (stream_text(5), false),
         "the streams of both runners broke off"
     );
@@ -210,7 +216,7 @@
     for n in 0..4 {
         let id = format!("t{n}");
         let response = set.send(0, &generation_request("/count/a", &id)).await;
-        assert_eq!((response.text(), response.whole), (stream_text(12), true));
+        assert_eq!((response.text(), response.complete), (stream_text(12), true));
     }
 }
 
@@ -220,10 +226,10 @@
 async fn broken_stream_not_resumed_if_not_resumable() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     for runner in &set.runners {
-        runner.set_faults(Faults { cut_after: Some(3), ..Faults::default() });
+        runner.set_faults(Faults { abort_after: Some(3), ..Faults::default() });
     }
     let response = set.send(0, &generation_request("/tally/a", "s1")).await;
-    assert_eq!((response.text(), response.whole, set.ran("s1")), (stream_text(3), false, 1));
+    assert_eq!((response.text(), response.complete, set.run_count("s1")), (stream_text(3), false, 1));
 }
 
 /// Guards against a runner that keeps generating after the caller has closed its connection in the
@@ -231,10 +237,10 @@
 #[tokio::test]
 async fn stream_cancelled_when_caller_disconnects() {
     let set = Deployment::new().await.with_engines(0, 1).await.with_nodes(1).await;
-    let pause = Duration::from_millis(100);
-    set.runners[0].set_faults(Faults { pause, ..Faults::default() });
+    let event_interval = Duration::from_millis(100);
+    set.runners[0].set_faults(Faults { event_interval, ..Faults::default() });
     let ask = generation_request("/count/a", "s1");
-    let sent = tokio::time::timeout(pause * 3, set.send(0, &ask)).await;
+    let sent = tokio::time::timeout(event_interval * 3, set.send(0, &ask)).await;
     assert!(sent.is_err(), "the caller disconnects before the stream ends");
     wait_until("the runner has stopped", async || set.runners[0].running() == 0).await;
 }
@@ -244,9 +250,9 @@
 #[tokio::test]
 async fn kv_cache_freed_without_decode_runner() {
     let set = Deployment::new().await.with_engines(1, 1).await.with_nodes(1).await;
-    set.runners[1].set_faults(Faults { sheds: true, ..Faults::default() });
+    set.runners[1].set_faults(Faults { refuse: true, ..Faults::default() });
     let response = set.send(0, &generation_request("/tally/a", "s1")).await;
-    assert_eq!((response.status, set.ran("s1")), (Some(StatusCode::SERVICE_UNAVAILABLE), 0));
+    assert_eq!((response.status, set.run_count("s1")), (Some(StatusCode::SERVICE_UNAVAILABLE), 0));
     wait_until("the KV cache is freed", async || set.runners[0].handles().0 == 0).await;
     assert!(set.runners[0].handles().1 >= 1);
 }
@@ -266,8 +272,8 @@
     .await;
     for n in 0..6 {
         let id = format!("r{n}");
-        set.ask("/board/a", &id).await;
-        assert_eq!(set.runners[2].ran(&id), 1);
+        set.send_default("/board/a", &id).await;
+        assert_eq!(set.runners[2].run_count(&id), 1);
     }
 }
 
@@ -276,14 +282,15 @@
 #[tokio::test]
 async fn decode_runner_draining_during_prefill_not_used() {
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { takes: Duration::from_millis(300), ..Faults::default() });
+    set.runners[0]
+        .set_faults(Faults { response_delay: Duration::from_millis(300), ..Faults::default() });
     let leave = async {
         wait_until("prefill is in progress", async || set.runners[0].running() == 1).await;
         set.runners[1].drain();
     };
     let ask = generation_request("/count/a", "s1");
     let (response, ()) = tokio::join!(set.send(0, &ask), leave);
-    assert_eq!((response.text(), set.runners[1].ran("s1")), (stream_text(12), 0));
+    assert_eq!((response.text(), set.runners[1].run_count("s1")), (stream_text(12), 0));
 }
 
 /// Guards against a request that runs on a runner of another service because a runner has died and
@@ -296,7 +303,7 @@
     wait_until("the address is free again", async || std::net::TcpListener::bind(address).is_ok())
         .await;
     let kind = Kind {
-        service: MODEL.to_owned(),
+        service: MODEL_SERVICE.to_owned(),
         data_centre: "zaal-dom".to_owned(),
         stage: Some("decode"),
         events: 1,
@@ -306,10 +313,10 @@
     set.runners.push(new);
     for n in 0..6 {
         let id = format!("egg-{n}");
-        let response = set.ask("/eggs/order", &id).await;
-        assert_eq!((response.status, set.runners[1].ran(&id)), (Some(StatusCode::OK), 1));
+        let response = set.send_default("/eggs/order", &id).await;
+        assert_eq!((response.status, set.runners[1].run_count(&id)), (Some(StatusCode::OK), 1));
     }
-    assert!(set.runners[2].seen().is_empty());
+    assert!(set.runners[2].received().is_empty());
 }
 
 /// Guards against a configuration that is in force on some nodes only because the store refuses the
@@ -321,7 +328,7 @@
     let seed = set.nodes[0].shared.me.peer;
     set.add_node("edge-1", vec![seed]).await;
     set.wait_ready().await;
-    assert_eq!(set.send(1, &Ask::new("/board/a", "r1")).await.status, Some(StatusCode::OK));
+    assert_eq!(set.send(1, &RequestSpec::new("/board/a", "r1")).await.status, Some(StatusCode::OK));
 }
 
 /// Guards against dropping all runners when the store returns after an outage during which their
@@ -344,7 +351,7 @@
         shared.knowledge().entries() == 2 && shared.register().expire(shared.clock.now()).is_empty()
     })
     .await;
-    assert_eq!(set.ask("/board/a", "r1").await.status, Some(StatusCode::OK));
+    assert_eq!(set.send_default("/board/a", "r1").await.status, Some(StatusCode::OK));
     set.runners[0].write_entry();
     wait_until("one runner is removed", async || shared.register().runners().count() == 1).await;
     assert!(shared.register().runners().all(|r| r.entry.id.as_str() == set.runners[0].id));
@@ -383,7 +390,8 @@
 async fn stop_waits_for_requests_in_progress() {
     let mut set =
         Deployment::new().await.with_engines(0, 1).await.with_plain(1).await.with_nodes(2).await;
-    set.runners[0].set_faults(Faults { pause: Duration::from_millis(60), ..Faults::default() });
+    set.runners[0]
+        .set_faults(Faults { event_interval: Duration::from_millis(60), ..Faults::default() });
     let node = set.nodes.remove(0);
     let front = node.shared.me.front;
     let caller = set.caller.clone();
@@ -396,14 +404,14 @@
     let stop = tokio::spawn(node.stop());
     wait_until("the other node knows about the stop", async || other.roster().ready_contacts().is_empty())
         .await;
-    let late = set.caller.send(front, &Ask::new("/board/a", "r1")).await;
+    let late = set.caller.send(front, &RequestSpec::new("/board/a", "r1")).await;
     assert_eq!(
         late.status,
         Some(StatusCode::OK),
         "a caller with an outdated lookup result is served"
     );
     let response = stream.await.expect("the caller task does not panic");
-    assert_eq!((response.text(), response.whole), (stream_text(12), true));
+    assert_eq!((response.text(), response.complete), (stream_text(12), true));
     assert_eq!(stop.await.expect("the stop task does not panic"), 0);
 }
 
@@ -411,10 +419,10 @@
 async fn lookup_returns_all_ready_nodes() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(3).await;
     let lookup = set.nodes[0].shared.settings.lookup;
-    let ask = Ask {
+    let ask = RequestSpec {
         method: Method::GET,
         body: Bytes::new(),
-        ..Ask::new("/api/lookup?name=kitchen.example&region=r&zone=zaal-dom", "l1")
+        ..RequestSpec::new("/api/lookup?name=kitchen.example&region=r&zone=zaal-dom", "l1")
     };
     let response = set.caller.send(lookup, &ask).await;
     let answer: serde_json::Value = serde_json::from_slice(&response.body).expect("valid JSON");
@@ -437,11 +445,11 @@
         set.add_node(&format!("edge-{at}"), Vec::new()).await;
     }
     set.wait_ready().await;
-    let (before, _) = set.store.calls();
+    let (before, _) = set.store.call_counts();
     for n in 0..50 {
-        set.send(n % 10, &Ask::new("/board/a", &format!("r{n}"))).await;
+        set.send(n % 10, &RequestSpec::new("/board/a", &format!("r{n}"))).await;
     }
-    let (after, _) = set.store.calls();
+    let (after, _) = set.store.call_counts();
     assert!(after - before < 50, "{} store calls for 50 requests", after - before);
 }
 
@@ -457,7 +465,7 @@
         for n in 0..6 {
             let headers = &headers;
             let id = format!("big-{n}");
-            let ask = Ask { headers, ..Ask::new("/count/a", &id) };
+            let ask = RequestSpec { headers, ..RequestSpec::new("/count/a", &id) };
             set.send(n % 3, &ask).await;
         }
         !orders().is_empty()
@@ -487,12 +495,12 @@
     let order = serde_json::json!({"operation": "stage", "stage": "decode", "holder": "h",
         "fencingToken": 1});
     let body = Bytes::from(order.to_string());
-    let ask = Ask { body, ..Ask::new("/api/order", "o1") };
+    let ask = RequestSpec { body, ..RequestSpec::new("/api/order", "o1") };
     set.caller.send(set.runners[0].address(), &ask).await;
     for n in 0..3 {
         let id = format!("s{n}");
         let response = set.send(0, &generation_request("/count/a", &id)).await;
-        assert_eq!((response.text(), response.whole), (stream_text(12), true));
+        assert_eq!((response.text(), response.complete), (stream_text(12), true));
     }
     assert!(shared.register().runners().all(|r| !r.health.is_gone()));
 }
@@ -523,7 +531,7 @@
     .await;
     let deadline = Duration::from_millis(300);
     let body = Bytes::from(vec![7; 60_000]);
-    let ask = Ask { deadline, body, ..Ask::new("/eggs/order", "egg") };
+    let ask = RequestSpec { deadline, body, ..RequestSpec::new("/eggs/order", "egg") };
     let front = shared.me.front;
     let (response, accepted) = tokio::join!(set.caller.send(front, &ask), listener.accept());
     assert_ne!(response.status, Some(StatusCode::OK));
@@ -537,7 +545,7 @@
 #[tokio::test]
 async fn request_counted_in_metrics() {
     let set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    set.ask("/board/a", "r1").await;
+    set.send_default("/board/a", "r1").await;
     let text = String::from_utf8(set.nodes[0].shared.metrics.text()).expect("metrics are text");
     assert!(text.contains("sardinepick_requests_total"), "{text}");
 }
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use sardinepick_testutils::fleet::ending;
-use sardinepick_testutils::fleet::soak::{Plan, run};
+use sardinepick_testutils::fleet::crash_soak;
+use sardinepick_testutils::fleet::soak::{SoakOptions, run};
 
 /// Seed 1 is arbitrary. Seed 2 reported streams that ran twice, because a hanging test runner counted
 /// prefill as a run.
@@ -14,37 +14,47 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn soak_with_fixed_seeds_keeps_invariants() {
     for seed in SEEDS {
-        let plan =
-            Plan { seed, lasts: Duration::from_secs(8), nodes: 4, callers: 8, copies: false };
+        let plan = SoakOptions {
+            seed,
+            duration: Duration::from_secs(8),
+            nodes: 4,
+            callers: 8,
+            restore_backups: false,
+        };
         let exe = Path::new(env!("CARGO_BIN_EXE_sardinepickd"));
         let report = run(exe, plan).await.expect("free addresses");
         println!("seed {seed}: {report}");
-        assert!(report.broken.is_empty(), "seed {seed}: {report}");
-        assert!(report.ends.get("answered").copied().unwrap_or(0) > 0, "no request was served");
+        assert!(report.violations.is_empty(), "seed {seed}: {report}");
+        assert!(report.outcomes.get("answered").copied().unwrap_or(0) > 0, "no request was served");
     }
 }
 
 /// Among the other faults, the store is restored from backups.
 #[tokio::test(flavor = "multi_thread")]
 async fn soak_with_store_restores_keeps_invariants() {
-    let lasts = Duration::from_secs(10);
-    let plan = Plan { seed: 3, lasts, nodes: 4, callers: 8, copies: true };
+    let duration = Duration::from_secs(10);
+    let plan = SoakOptions { seed: 3, duration, nodes: 4, callers: 8, restore_backups: true };
     let exe = Path::new(env!("CARGO_BIN_EXE_sardinepickd"));
     let report = run(exe, plan).await.expect("free addresses");
     println!("{report}");
-    assert!(report.broken.is_empty(), "{report}");
-    assert!(report.ends.get("answered").copied().unwrap_or(0) > 0, "no request was served");
+    assert!(report.violations.is_empty(), "{report}");
+    assert!(report.outcomes.get("answered").copied().unwrap_or(0) > 0, "no request was served");
 }
 
 /// A request that crashes the runners it runs on is sent repeatedly among other requests, while nodes
 /// and runners are also killed at random.
 #[tokio::test(flavor = "multi_thread")]
 async fn soak_with_crashing_request_keeps_invariants() {
-    let plan =
-        Plan { seed: 1, lasts: Duration::from_secs(12), nodes: 4, callers: 8, copies: false };
+    let plan = SoakOptions {
+        seed: 1,
+        duration: Duration::from_secs(12),
+        nodes: 4,
+        callers: 8,
+        restore_backups: false,
+    };
     let exe = Path::new(env!("CARGO_BIN_EXE_sardinepickd"));
-    let report = ending::run(exe, plan).await.expect("free addresses");
+    let report = crash_soak::run(exe, plan).await.expect("free addresses");
     println!("{report}");
-    assert!(report.broken.is_empty(), "{report}");
-    assert!(report.ends.get("answered").copied().unwrap_or(0) > 0, "no request was served");
+    assert!(report.violations.is_empty(), "{report}");
+    assert!(report.outcomes.get("answered").copied().unwrap_or(0) > 0, "no request was served");
 }
--- a/node/tests/store_copy.rs
+++ b/node/tests/store_copy.rs
@@ -7,7 +7,7 @@
 use sardinepick_lib::fleet::outage::DOUBT;
 use sardinepick_lib::id::RunnerId;
 use sardinepick_testutils::cluster::wait_until;
-use sardinepick_testutils::fleet::caller::Ask;
+use sardinepick_testutils::fleet::caller::RequestSpec;
 use sardinepick_testutils::fleet::deployment::{Deployment, configuration, with_accounts};
 use sardinepick_testutils::fleet::runner::Runner;
 use sardinepick_testutils::fleet::store::Fault;
@@ -45,18 +45,18 @@
 async fn restored_deployment_with_era(writer: usize, era: Option<&[&str]>) -> Deployment {
     let set = Deployment::new().await;
     if let Some(era) = era {
-        set.store.show_era(era);
+        set.store.override_era(era);
     }
     let set = set.with_plain(3).await.with_nodes(NODES).await;
-    let backup = set.store.copy();
+    let backup = set.store.backup();
     for _ in 0..ENTRY_WRITES {
         set.runners[writer].write_entry();
     }
     wait_entry_known(&set, &set.runners[writer]).await;
     set.store.set_fault(Fault::Reset);
-    let lost = set.store.come_back(&backup);
+    let lost = set.store.restore(&backup);
     set.store.set_fault(Fault::None);
-    set.store.write_again(&lost);
+    set.store.replay(&lost);
     set
 }
 
@@ -69,11 +69,11 @@
         })
     })
     .await;
-    let before = runner.seen().len();
+    let before = runner.received().len();
     for n in 0..NODES * 4 {
-        set.send(n % NODES, &Ask::new("/board/a", &format!("r{n}"))).await;
+        set.send(n % NODES, &RequestSpec::new("/board/a", &format!("r{n}"))).await;
     }
-    assert_eq!(runner.seen().len(), before);
+    assert_eq!(runner.received().len(), before);
 }
 
 /// Guards against nodes that miss changes after a restore because the store reports no era.
@@ -103,14 +103,14 @@
 #[tokio::test]
 async fn change_at_reused_revision_noticed() {
     let set = Deployment::new().await.with_plain(3).await.with_nodes(NODES).await;
-    let backup = set.store.copy();
+    let backup = set.store.backup();
     set.runners[1].write_entry();
     wait_entry_known(&set, &set.runners[1]).await;
     set.store.set_fault(Fault::Reset);
-    let lost = set.store.come_back(&backup);
+    let lost = set.store.restore(&backup);
     // The draining entry gets a reused revision, and later ones follow at once.
     set.runners[0].drain();
-    set.store.write_again(&lost);
+    set.store.replay(&lost);
     for _ in 0..ENTRY_WRITES {
         set.runners[2].write_entry();
     }
@@ -125,7 +125,7 @@
     let eras: [&[&str]; 6] =
         [&[], &["x"], &["1", "2"], &["99999999999999999999"], &["-1"], &["4096"]];
     for (at, values) in eras.into_iter().enumerate() {
-        set.store.show_era(values);
+        set.store.override_era(values);
         let version = 10 + at as u64;
         set.store.put("config", "main", &configuration(version));
         wait_until("the configuration is in force", async || {
@@ -133,7 +133,7 @@
         })
         .await;
     }
-    set.store.show_own_era();
+    set.store.clear_era_override();
     assert!(set.nodes.iter().all(|node| node.shared.history.era().0 == 1));
 }
 
@@ -142,13 +142,13 @@
 #[tokio::test]
 async fn responses_of_earlier_era_ignored() {
     let set = Deployment::new().await.with_plain(2).await.with_nodes(2).await;
-    set.store.show_era(&["0"]);
+    set.store.override_era(&["0"]);
     set.store.put("config", "main", &configuration(20));
     let earlier = set.nodes[0].shared.metrics.store_eras.with_label_values(&["former"]);
     wait_until("a response is ignored", async || earlier.get() > 0).await;
-    assert_eq!(set.ask("/board/a", "r1").await.status, Some(StatusCode::OK));
+    assert_eq!(set.send_default("/board/a", "r1").await.status, Some(StatusCode::OK));
     assert_eq!(set.nodes[0].shared.status().version.0, 1);
-    set.store.show_own_era();
+    set.store.clear_era_override();
     wait_until("the configuration is in force", async || {
         set.nodes.iter().all(|node| node.shared.status().version.0 == 20)
     })
@@ -156,7 +156,12 @@
 }
 
 async fn send_with_key(set: &Deployment, id: &str, key: &str) -> Option<StatusCode> {
-    set.send(0, &Ask { headers: &[("credential", key)], ..Ask::new("/board/a", id) }).await.status
+    set.send(
+        0,
+        &RequestSpec { headers: &[("credential", key)], ..RequestSpec::new("/board/a", id) },
+    )
+    .await
+    .status
 }
 
 async fn wait_in_force(set: &Deployment, version: u64) {
@@ -173,10 +178,10 @@
     let set = Deployment::new().await.with_plain(2).await.with_nodes(2).await;
     set.store.put("config", "main", &with_accounts(2, &[("kitchen", &["key-1", "key-2"], None)]));
     wait_in_force(&set, 2).await;
-    let backup = set.store.copy();
+    let backup = set.store.backup();
     set.store.put("config", "main", &with_accounts(3, &[("kitchen", &["key-1"], None)]));
     wait_in_force(&set, 3).await;
-    set.store.come_back(&backup);
+    set.store.restore(&backup);
     let eras = || set.nodes.iter().map(|node| node.shared.history.era().0);
     wait_until("all nodes know the era", async || eras().all(|era| era == 2)).await;
     assert_eq!(send_with_key(&set, "r1", "key-1").await, Some(StatusCode::OK));
@@ -195,32 +200,36 @@
 #[tokio::test]
 async fn nodes_rewrite_own_objects_after_restore() {
     let mut set = Deployment::new().await.with_plain(2).await;
-    let backup = set.store.copy();
+    let backup = set.store.backup();
     set = set.with_nodes(NODES).await;
     wait_until("nodes have written their entries", async || {
         set.store.count("sardinepick-nodes") >= 3
     })
     .await;
-    let before = set.store.calls().0;
-    let lost = set.store.come_back(&backup);
-    set.store.write_again(&lost);
+    let before = set.store.call_counts().0;
+    let lost = set.store.restore(&backup);
+    set.store.replay(&lost);
     wait_until("the entries are back", async || set.store.count("sardinepick-nodes") >= 3).await;
     // Two lists, two watches and one entry per node that follows the store, with room for one round
     // of retries.
-    assert!(set.store.calls().0 - before <= 60, "{} calls", set.store.calls().0 - before);
+    assert!(
+        set.store.call_counts().0 - before <= 60,
+        "{} calls",
+        set.store.call_counts().0 - before
+    );
 }
 
 /// Counts the calls to the store during `span`, after a restore if `restore` is set. Returns also the
 /// time until all nodes had the register of the new era.
 async fn count_calls(set: &Deployment, span: Duration, restore: bool) -> (u64, Duration) {
-    let before = set.store.calls().0;
+    let before = set.store.call_counts().0;
     let start = Instant::now();
     if restore {
-        let backup = set.store.copy();
+        let backup = set.store.backup();
         set.runners[0].write_entry();
         wait_entry_known(set, &set.runners[0]).await;
-        let lost = set.store.come_back(&backup);
-        set.store.write_again(&lost);
+        let lost = set.store.restore(&backup);
+        set.store.replay(&lost);
         let era = set.store.era();
         wait_until("all nodes have the register of the new era", async || {
             let known = set.nodes.iter().map(|node| node.shared.status().register.era.0);
@@ -230,7 +239,7 @@
     }
     let recovery = start.elapsed();
     sleep(span.saturating_sub(recovery)).await;
-    (set.store.calls().0 - before, recovery)
+    (set.store.call_counts().0 - before, recovery)
 }
 
 /// Guards against all nodes calling the store when it has been restored, instead of the few that
@@ -255,14 +264,14 @@
 #[tokio::test]
 async fn draining_known_after_repeated_restores() {
     let set = restored_deployment(0).await;
-    let backup = set.store.copy();
+    let backup = set.store.backup();
     for _ in 0..ENTRY_WRITES {
         set.runners[1].write_entry();
     }
-    let lost = set.store.come_back(&backup);
-    let lost_again = set.store.come_back(&set.store.copy());
-    set.store.write_again(&lost);
-    set.store.write_again(&lost_again);
+    let lost = set.store.restore(&backup);
+    let lost_again = set.store.restore(&set.store.backup());
+    set.store.replay(&lost);
+    set.store.replay(&lost_again);
     assert_draining_known(&set, &set.runners[0]).await;
     let era = set.store.era();
     assert_eq!(era, 4);
@@ -277,16 +286,16 @@
 #[tokio::test]
 async fn runners_missing_from_backup_still_used() {
     let mut set = Deployment::new().await;
-    let backup = set.store.copy();
+    let backup = set.store.backup();
     set = set.with_plain(3).await.with_nodes(3).await;
-    let lost = set.store.come_back(&backup);
+    let lost = set.store.restore(&backup);
     let eras = || set.nodes.iter().map(|node| node.shared.history.era().0);
     wait_until("all nodes know the era", async || eras().all(|era| era == 2)).await;
     for n in 0..30 {
-        let response = set.send(n % 3, &Ask::new("/board/a", &format!("r{n}"))).await;
+        let response = set.send(n % 3, &RequestSpec::new("/board/a", &format!("r{n}"))).await;
         assert_eq!(response.status, Some(StatusCode::OK), "r{n}");
     }
-    set.store.write_again_drawn(&lost, 7, Duration::from_millis(500)).await;
+    set.store.replay_shuffled(&lost, 7, Duration::from_millis(500)).await;
     sleep(DOUBT + Duration::from_millis(500)).await;
     for node in &set.nodes {
         assert_eq!(node.shared.register().runners().count(), 3);
--- a/node/tests/thin_links.rs
+++ b/node/tests/thin_links.rs
@@ -5,7 +5,9 @@
 use sardinepick_node::serve::pack::compress;
 use sardinepick_node::serve::run::Running;
 use sardinepick_testutils::cluster::wait_until;
-use sardinepick_testutils::fleet::deployment::{Deployment, HOME, PLAIN, large_configuration};
+use sardinepick_testutils::fleet::deployment::{
+    DEFAULT_DATA_CENTRE, Deployment, PLAIN_SERVICE, large_configuration,
+};
 use sardinepick_testutils::fleet::link::Link;
 use sardinepick_testutils::fleet::store::Fault;
 use serde_json::json;
@@ -23,7 +25,7 @@
 async fn add_nodes(mut set: Deployment, rate: f64) -> (Deployment, Vec<Link>) {
     let mut links = Vec::with_capacity(NODES);
     for at in 0..NODES {
-        links.push(set.add_node_behind(&format!("edge-{at}"), rate).await);
+        links.push(set.add_node_with_peer_link(&format!("edge-{at}"), rate).await);
     }
     set.wait_ready().await;
     for kind in ["config", "servers"] {
@@ -45,7 +47,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn large_configuration_sent_once_to_each_node() {
     let (set, links) = add_nodes(Deployment::new().await, LINK_RATE).await;
-    let carried = || links.iter().map(Link::carried).sum::<u64>();
+    let carried = || links.iter().map(Link::bytes_sent).sum::<u64>();
     let before = carried();
     let next = large_configuration(2, ADDED_ROUTES);
     set.store.put("config", "main", &next);
@@ -60,7 +62,7 @@
         sent_bytes <= max_bytes,
         "{sent_bytes} bytes were sent between nodes, more than one copy to each ({max_bytes})"
     );
-    let most = links.iter().map(Link::carried).max().unwrap_or_default();
+    let most = links.iter().map(Link::bytes_sent).max().unwrap_or_default();
     println!(
         "{sent_bytes} bytes between nodes, at most {most} by one node; {max_bytes} for a copy to each"
     );
@@ -109,7 +111,7 @@
     const ROUTES: usize = 4_000;
     let mut set = Deployment::new().await;
     set.store.put("config", "main", &large_configuration(2, ROUTES));
-    set.add_node_far("edge-0", LINK_RATE).await;
+    set.add_node_with_store_link("edge-0", LINK_RATE).await;
     set.wait_ready().await;
 }
 
@@ -127,12 +129,12 @@
     for at in 0..RUNNERS {
         let address = format!("10.1.{}.{}:8482", at >> 8, at & 255);
         let entry = json!({
-            "service": PLAIN, "address": address, "zone": HOME, "version": "v1", "slots": 8,
+            "service": PLAIN_SERVICE, "address": address, "zone": DEFAULT_DATA_CENTRE, "version": "v1", "slots": 8,
             "state": "ready", "coldRemainingMs": 0, "models": [], "seq": 1, "born": 1,
         });
         set.store.put("servers", &format!("i-{at}"), &entry);
     }
-    set.add_node_behind("edge-0", LINK_RATE).await;
+    set.add_node_with_peer_link("edge-0", LINK_RATE).await;
     let wait_ready = async |set: &Deployment| {
         wait_until("all nodes are ready", async || set.nodes.iter().all(|n| n.shared.is_ready()))
             .await;
@@ -140,7 +142,7 @@
     wait_ready(&set).await;
     set.store.set_fault(Fault::Busy);
     for at in 1..=STARTING_NODES {
-        set.add_node_behind(&format!("edge-{at}"), LINK_RATE).await;
+        set.add_node_with_peer_link(&format!("edge-{at}"), LINK_RATE).await;
     }
     wait_ready(&set).await;
     let known = set.nodes.iter().map(|node| node.shared.register().runners().count());
--- a/testutils/src/fleet/beat.rs
+++ b/testutils/src/fleet/beat.rs
@@ -1,4 +1,4 @@
-//! The beat of a node that is none of ours: it says that it is ready, and nothing more.
+//! A minimal beat as another implementation of a node may send it: ready, with no optional content.
 
 use std::net::SocketAddr;
 
@@ -7,14 +7,15 @@
 use sardinepick_lib::id::{ConfigVersion, Incarnation, NodeId};
 use sardinepick_wire::beat::Heartbeat;
 
-use crate::fleet::deployment::HOME;
+use crate::fleet::deployment::DEFAULT_DATA_CENTRE;
 
-/// The beat of a node that is reached at `address` for everything and has a configuration of `version`.
+/// The beat of a ready node that uses `address` both for callers and for nodes and has the
+/// configuration `version`.
 pub fn ready(id: NodeId, address: SocketAddr, version: ConfigVersion) -> Heartbeat {
     let contact = Contact {
         id,
         incarnation: Incarnation(1),
-        data_centre: HOME.parse().expect("a data centre"),
+        data_centre: DEFAULT_DATA_CENTRE.parse().expect("a data centre"),
         front: address,
         peer: address,
     };
--- a/testutils/src/fleet/deployment.rs
+++ b/testutils/src/fleet/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment: a store, runners and nodes in one process, for tests.
+//! A whole deployment in one process for tests: a store, runners and nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,36 +17,36 @@
 use tokio::net::TcpListener;
 
 use crate::cluster::{any_address, free_address, own_ip, wait_until};
-use crate::fleet::caller::{Ask, Caller, Told};
+use crate::fleet::caller::{Caller, Reply, RequestSpec};
+use crate::fleet::crashing_runner::CrashingRunner;
 use crate::fleet::link::Link;
 use crate::fleet::platform::Platform;
 use crate::fleet::runner::{Kind, Runner};
 use crate::fleet::store::Store;
-use crate::fleet::supervised::Supervised;
 
-/// The data centre of nodes and runners that a test does not place itself.
-pub const HOME: &str = "zaal-dom";
-/// The service of model engines.
-pub const MODEL: &str = "telraad";
-/// The plain service.
-pub const PLAIN: &str = "ontbijtbord";
+/// The data centre of nodes and runners unless a test sets another.
+pub const DEFAULT_DATA_CENTRE: &str = "zaal-dom";
+/// The service that model engines run.
+pub const MODEL_SERVICE: &str = "telraad";
+/// The service that plain runners run.
+pub const PLAIN_SERVICE: &str = "ontbijtbord";
 
-/// How many nodes a node is told of by its settings, as on the platform.
-const MOST_SEEDS: usize = 3;
+/// The number of seed nodes in a node's settings, as on the platform.
+const MAX_SEEDS: usize = 3;
 
 /// A deployment.
 pub struct Deployment {
     /// The store.
     pub store: Store,
-    /// The runners, in the order of their start.
+    /// The runners, in order of their start.
     pub runners: Vec<Runner>,
-    /// Runners that end under a certain request.
-    pub supervised: Vec<Supervised>,
-    /// The nodes.
+    /// Runners that crash on one particular request.
+    pub crashing_runners: Vec<CrashingRunner>,
+    /// The nodes, in order of their start.
     pub nodes: Vec<Running>,
-    /// A caller.
+    /// The client for sending requests.
     pub caller: Caller,
-    /// What takes the platform's calls, and the length of the windows of usage.
+    /// The fake platform endpoint, and the length of usage windows.
     pub platform: Option<(Platform, Duration)>,
 }
 
@@ -59,34 +59,34 @@
     })
 }
 
-/// The configuration with the usual routes: `/board/` idempotent, `/eggs/` not, `/count/` a stream
-/// that may be gone on with, `/tally/` one that may not.
+/// The default configuration. Its routes are `/board/` (idempotent), `/eggs/` (not idempotent),
+/// `/count/` (a resumable stream) and `/tally/` (a stream that is not resumable).
 pub fn configuration(version: u64) -> Value {
     json!({
         "version": version,
         "routes": [
-            route("board", "/board/", "idempotent", PLAIN, 3),
-            route("eggs", "/eggs/", "non_idempotent", PLAIN, 1),
-            route("count", "/count/", "streaming", MODEL, 3),
-            route("tally", "/tally/", "streaming", MODEL, 1),
+            route("board", "/board/", "idempotent", PLAIN_SERVICE, 3),
+            route("eggs", "/eggs/", "non_idempotent", PLAIN_SERVICE, 1),
+            route("count", "/count/", "streaming", MODEL_SERVICE, 3),
+            route("tally", "/tally/", "streaming", MODEL_SERVICE, 1),
         ],
         "services": [
-            {"name": MODEL, "healthPath": "/health", "maxConns": 100, "engine": {
+            {"name": MODEL_SERVICE, "healthPath": "/health", "maxConns": 100, "engine": {
                 "slots": 64, "kvTokens": 800_000, "kvTokenBytes": 18_432, "linkMbps": 350_000.0,
                 "handleTtlS": 5.0, "switchS": 3.0}},
-            {"name": PLAIN, "healthPath": "/health", "maxConns": 96},
+            {"name": PLAIN_SERVICE, "healthPath": "/health", "maxConns": 96},
         ],
         "limits": {"maxHeaderBytes": 16_384, "maxBodyBytes": 65_536, "headerTimeoutMs": 3_000,
             "idleTimeoutMs": 15_000},
     })
 }
 
-/// An account for [`with_accounts`]: its name, its keys and its rank.
+/// A client account for [`with_accounts`]: its name, its API keys and its priority.
 pub type AccountLine<'a> = (&'a str, &'a [&'a str], Option<u8>);
 
-/// The usual configuration with client accounts.
+/// The default configuration with client accounts.
 pub fn with_accounts(version: u64, accounts: &[AccountLine<'_>]) -> Value {
-    let mut whole = configuration(version);
+    let mut config = configuration(version);
     let line = |(name, keys, rank): &AccountLine<'_>| {
         let mut line = json!({"name": name, "apiKeys": keys});
         if let Some(rank) = rank {
@@ -94,31 +94,31 @@
         }
         line
     };
-    whole["tenants"] = accounts.iter().map(line).collect();
-    whole
+    config["tenants"] = accounts.iter().map(line).collect();
+    config
 }
 
-/// The usual configuration with so many routes besides, each of a host and a path of its own.
+/// The default configuration with additional routes, each with its own host and path.
 pub fn large_configuration(version: u64, routes: usize) -> Value {
-    let mut whole = configuration(version);
-    let more = (0..routes).map(|n| {
-        let mut route = route(&format!("tenant-{n}"), "/", "idempotent", PLAIN, 3);
-        // Names as hashes give them, which no code shortens.
+    let mut config = configuration(version);
+    let additional = (0..routes).map(|n| {
+        let mut route = route(&format!("tenant-{n}"), "/", "idempotent", PLAIN_SERVICE, 3);
+        // Hashes as names keep the configuration from compressing well.
         let name = stable_hash(n as u64, b"tenant");
         route["host"] = json!(format!("{name:x}.example"));
         route["pathPrefix"] = json!(format!("/{:x}/", name.rotate_left(17)));
         route
     });
-    whole["routes"].as_array_mut().expect("it has routes").extend(more);
-    whole
+    config["routes"].as_array_mut().expect("it has routes").extend(additional);
+    config
 }
 
-/// The settings of a node.
+/// Settings for a node at free addresses.
 pub fn settings(name: &str, store: SocketAddr, seeds: Vec<SocketAddr>) -> Settings {
     let address = || free_address(own_ip());
     Settings {
         name: name.parse().expect("a name"),
-        data_centre: HOME.parse().expect("a data centre"),
+        data_centre: DEFAULT_DATA_CENTRE.parse().expect("a data centre"),
         front: address(),
         ready: address(),
         lookup: address(),
@@ -138,29 +138,29 @@
 }
 
 impl Deployment {
-    /// A store with a configuration, and no runners or nodes yet.
+    /// Starts a store with the default configuration, without runners or nodes.
     ///
     /// # Panics
-    /// No address is free.
+    /// No free address.
     pub async fn new() -> Self {
         let store = Store::start(any_address()).await.expect("a free address");
         store.put("config", "main", &configuration(1));
-        let (runners, supervised, nodes) = (Vec::new(), Vec::new(), Vec::new());
+        let (runners, crashing_runners, nodes) = (Vec::new(), Vec::new(), Vec::new());
         let platform = None;
-        Self { store, runners, supervised, nodes, caller: Caller::default(), platform }
+        Self { store, runners, crashing_runners, nodes, caller: Caller::default(), platform }
     }
 
-    /// Has usage reported to the platform in windows of `window`.
+    /// Starts a fake platform, to which nodes report usage in windows of `window`.
     ///
     /// # Panics
-    /// No address is free.
+    /// No free address.
     pub async fn with_platform(mut self, window: Duration) -> Self {
         let platform = Platform::start(any_address()).await.expect("a free address");
         self.platform = Some((platform, window));
         self
     }
 
-    /// The settings of a node of this deployment.
+    /// Settings for a node of this deployment.
     pub fn settings(&self, name: &str, seeds: Vec<SocketAddr>) -> Settings {
         let settings = settings(name, self.store.address(), seeds);
         let platform = self.platform.as_ref();
@@ -171,10 +171,10 @@
         }
     }
 
-    /// Adds runners of the plain service.
+    /// Adds plain runners.
     pub async fn with_plain(mut self, count: usize) -> Self {
         for _ in 0..count {
-            self.add_runner(PLAIN, None).await;
+            self.add_runner(PLAIN_SERVICE, None).await;
         }
         self
     }
@@ -182,15 +182,15 @@
     /// Adds model engines by stage.
     pub async fn with_engines(mut self, prefill: usize, decode: usize) -> Self {
         for _ in 0..prefill {
-            self.add_runner(MODEL, Some("prefill")).await;
+            self.add_runner(MODEL_SERVICE, Some("prefill")).await;
         }
         for _ in 0..decode {
-            self.add_runner(MODEL, Some("decode")).await;
+            self.add_runner(MODEL_SERVICE, Some("decode")).await;
         }
         self
     }
 
-    /// Adds nodes, and waits until all take callers and know each other.
+    /// Adds nodes and waits until all are ready and know each other.
     ///
     /// # Panics
     /// A node does not start.
@@ -206,44 +206,49 @@
     /// Starts a runner.
     ///
     /// # Panics
-    /// No address is free.
+    /// No free address.
     pub async fn add_runner(&mut self, service: &str, stage: Option<&'static str>) -> Runner {
         let id = format!("i-{}", self.runners.len());
-        let kind =
-            Kind { service: service.to_owned(), data_centre: HOME.to_owned(), stage, events: 12 };
+        let kind = Kind {
+            service: service.to_owned(),
+            data_centre: DEFAULT_DATA_CENTRE.to_owned(),
+            stage,
+            events: 12,
+        };
         let runner =
             Runner::start(&id, any_address(), kind, &self.store).await.expect("a free address");
         self.runners.push(runner.clone());
         runner
     }
 
-    /// Adds runners that end under a request with `body` and are back after `pause`. They are not
-    /// among [`Deployment::runners`], as each of their lives is a runner.
+    /// Adds runners that crash on a request with `body` and restart after `pause`. They are not part of
+    /// [`Deployment::runners`], since each of their instances is a runner.
     ///
     /// # Panics
-    /// No address is free.
-    pub async fn add_supervised(
+    /// No free address.
+    pub async fn add_crashing_runners(
         &mut self,
         stage: Option<&'static str>,
         count: usize,
         body: &Bytes,
         pause: Duration,
     ) {
-        let service = if stage.is_some() { MODEL } else { PLAIN }.to_owned();
+        let service = if stage.is_some() { MODEL_SERVICE } else { PLAIN_SERVICE }.to_owned();
         for _ in 0..count {
-            let id = format!("s-{}", self.supervised.len());
-            let (service, data_centre) = (service.clone(), HOME.to_owned());
+            let id = format!("s-{}", self.crashing_runners.len());
+            let (service, data_centre) = (service.clone(), DEFAULT_DATA_CENTRE.to_owned());
             let kind = Kind { service, data_centre, stage, events: 12 };
             let runner =
-                Supervised::start(&id, any_address(), kind, &self.store, body.clone(), pause).await;
-            self.supervised.push(runner.expect("a free address"));
+                CrashingRunner::start(&id, any_address(), kind, &self.store, body.clone(), pause)
+                    .await;
+            self.crashing_runners.push(runner.expect("a free address"));
         }
     }
 
-    /// How many lives of supervised runners have begun to read or run a request with `body`.
-    pub fn ended_under(&self, body: &Bytes) -> usize {
-        let lives = self.supervised.iter().flat_map(Supervised::lives);
-        lives.filter(|life| life.seen().iter().any(|s| s.body == *body)).count()
+    /// The number of instances of crashing runners that have received a request with `body`.
+    pub fn crash_count(&self, body: &Bytes) -> usize {
+        let lives = self.crashing_runners.iter().flat_map(CrashingRunner::instances);
+        lives.filter(|life| life.received().iter().any(|s| s.body == *body)).count()
     }
 
     /// Starts a node.
@@ -251,24 +256,29 @@
     /// # Panics
     /// It does not start.
     pub async fn add_node(&mut self, name: &str, seeds: Vec<SocketAddr>) {
-        self.add_node_by(name, seeds, Arc::new(System)).await;
+        self.add_node_with_clock(name, seeds, Arc::new(System)).await;
     }
 
-    /// Starts a node that goes by a clock of its own.
+    /// Starts a node with the given clock.
     ///
     /// # Panics
     /// It does not start.
-    pub async fn add_node_by(&mut self, name: &str, seeds: Vec<SocketAddr>, clock: Arc<dyn Clock>) {
+    pub async fn add_node_with_clock(
+        &mut self,
+        name: &str,
+        seeds: Vec<SocketAddr>,
+        clock: Arc<dyn Clock>,
+    ) {
         let settings = self.settings(name, seeds);
         let node = run::start(settings, clock, Metrics::default()).await.expect("free addresses");
         self.nodes.push(node);
     }
 
-    /// Starts a node that reaches the store through a link of `rate` bytes a second.
+    /// Starts a node that reaches the store through a link of `rate` bytes per second.
     ///
     /// # Panics
     /// It does not start.
-    pub async fn add_node_far(&mut self, name: &str, rate: f64) {
+    pub async fn add_node_with_store_link(&mut self, name: &str, rate: f64) {
         let listener = TcpListener::bind(any_address()).await.expect("a free address");
         let address = listener.local_addr().expect("a listener has an address");
         Link::start(listener, self.store.address(), rate);
@@ -277,26 +287,26 @@
         self.nodes.push(node.expect("free addresses"));
     }
 
-    /// Starts a node whose answers to other nodes go through a link of `rate` bytes a second.
+    /// Starts a node whose responses to other nodes go through a link of `rate` bytes per second.
     ///
     /// # Panics
     /// It does not start.
-    pub async fn add_node_behind(&mut self, name: &str, rate: f64) -> Link {
-        let seeds = self.nodes.iter().map(|node| node.shared.me.peer).take(MOST_SEEDS).collect();
+    pub async fn add_node_with_peer_link(&mut self, name: &str, rate: f64) -> Link {
+        let seeds = self.nodes.iter().map(|node| node.shared.me.peer).take(MAX_SEEDS).collect();
         let settings = settings(name, self.store.address(), seeds);
         let mut sockets = Sockets::bind(&settings).await.expect("free addresses");
-        // Others reach the link at the node's address, and the link alone reaches the node.
-        let behind = TcpListener::bind(any_address()).await.expect("a free address");
-        let server = behind.local_addr().expect("a listener has an address");
-        let link = Link::start(std::mem::replace(&mut sockets.peers, behind), server, rate);
+        // The link takes over the node's address; the node listens on an address that only the link knows.
+        let listener = TcpListener::bind(any_address()).await.expect("a free address");
+        let server = listener.local_addr().expect("a listener has an address");
+        let link = Link::start(std::mem::replace(&mut sockets.peers, listener), server, rate);
         self.nodes.push(run::start_at(settings, Arc::new(System), Metrics::default(), sockets));
         link
     }
 
-    /// Waits until all nodes take callers, hear each other, and know all runners.
+    /// Waits until all nodes are ready and know all other nodes and all runners.
     pub async fn wait_ready(&self) {
         let others = self.nodes.len().saturating_sub(1);
-        let runners = self.runners.len() + self.supervised.len();
+        let runners = self.runners.len() + self.crashing_runners.len();
         wait_until("all nodes are ready", async || {
             self.nodes.iter().all(|node| {
                 let shared = &node.shared;
@@ -309,23 +319,23 @@
         .await;
     }
 
-    /// Where callers reach a node.
+    /// The address of a node for callers.
     pub fn front(&self, at: usize) -> SocketAddr {
         self.nodes[at].shared.me.front
     }
 
-    /// Sends a request to a node.
-    pub async fn send(&self, at: usize, ask: &Ask<'_>) -> Told {
-        self.caller.send(self.front(at), ask).await
+    /// Sends a request to the node at index `at`.
+    pub async fn send(&self, at: usize, request: &RequestSpec<'_>) -> Reply {
+        self.caller.send(self.front(at), request).await
     }
 
-    /// Sends a request without anything unusual about it.
-    pub async fn ask(&self, path: &str, id: &str) -> Told {
-        self.send(0, &Ask::new(path, id)).await
+    /// Sends a request with default parameters to the first node.
+    pub async fn send_default(&self, path: &str, id: &str) -> Reply {
+        self.send(0, &RequestSpec::new(path, id)).await
     }
 
-    /// How often a request ran, over all runners.
-    pub fn ran(&self, id: &str) -> usize {
-        self.runners.iter().map(|runner| runner.ran(id)).sum()
+    /// How often a request ran across all runners.
+    pub fn run_count(&self, id: &str) -> usize {
+        self.runners.iter().map(|runner| runner.run_count(id)).sum()
     }
 }
--- a/testutils/src/fleet/mod.rs
+++ b/testutils/src/fleet/mod.rs
@@ -1,16 +1,16 @@
-//! Stand-ins for the users' platform in its published protocol: the store of objects, runners of
-//! plain services and model engines, callers, and a node among them.
+//! Fakes of the users' platform, which speak its published protocol: the object store, runners of
+//! plain services and model engines, callers, and the beat of a node.
 
 pub mod beat;
 pub mod caller;
+pub mod crash_soak;
+pub mod crashing_runner;
 pub mod deployment;
-pub mod ending;
 pub mod link;
 pub mod platform;
 pub mod proxy;
-pub mod rule;
+pub mod rate_limit;
 pub mod runner;
 pub mod signal;
 pub mod soak;
 pub mod store;
-pub mod supervised;
