--- a/node/examples/trial.rs
+++ b/node/examples/trial.rs
@@ -102,7 +102,10 @@
 }
 
 /// Starts streaming completions. Each caller looks up an address first, as real ones do.
-async fn start_completions(deployment: &Deployment, name: &str) -> JoinSet<(String, String, Reply)> {
+async fn start_completions(
+    deployment: &Deployment,
+    name: &str,
+) -> JoinSet<(String, String, Reply)> {
     let mut tasks = JoinSet::new();
     let entry = deployment.cluster.front(0);
     for n in 0..COMPLETIONS {
--- a/node/src/front/plain.rs
+++ b/node/src/front/plain.rs
@@ -348,7 +348,10 @@
     async fn send(&self, runner_attempt: &RunnerAttempt) -> Result<BufferedResponse, Failure> {
         let peer = Peer { name: runner_attempt.runner.clone(), address: runner_attempt.address };
         let interrupted = |detail: String| Failure {
-            fault: AttemptFault::Interrupted { peer: peer.name.clone(), detail: SmolStr::new(detail) },
+            fault: AttemptFault::Interrupted {
+                peer: peer.name.clone(),
+                detail: SmolStr::new(detail),
+            },
             leaving: false,
         };
         let response = self.node.http.request(self.request(&peer)).await.map_err(|error| {
--- a/node/src/serve/beat.rs
+++ b/node/src/serve/beat.rs
@@ -236,8 +236,7 @@
     quarantine::gossip::apply(shared, &received.quarantined, received.sender.contact.id.as_str());
     shared.limiter.apply_gossip(&received.limits, received.sender.contact.id.as_str());
     shared.drains.apply_gossip(&received.leaving, received.sender.contact.id.as_str());
-    let differs =
-        quarantine::gossip::note_digest(
+    let differs = quarantine::gossip::note_digest(
         shared,
         &received.sender.contact.id,
         received.quarantine_digest,
--- a/node/tests/failures.rs
+++ b/node/tests/failures.rs
@@ -125,7 +125,8 @@
     assert!(matches!(fixture.complete("refused").await, Observation::RefusedNotRun));
     tokio::time::sleep(Duration::from_secs(1)).await;
     fixture.set_all_faults(Faults { abort_after: Some(0), ..Faults::default() });
-    assert!(matches!(fixture.complete("broken").await,
+    assert!(matches!(
+        fixture.complete("broken").await,
         Observation::RefusedUnknown | Observation::Truncated
     ));
 }
--- a/node/tests/serve.rs
+++ b/node/tests/serve.rs
@@ -29,8 +29,7 @@
     assert_eq!(response.status, Some(StatusCode::OK));
     assert_eq!(response.text(), "answer to r1");
     assert!(response.complete && response.header("response-signature").is_some());
-    let seen =
-        set
+    let seen = set
         .runners
         .iter()
         .flat_map(Runner::received)
@@ -229,7 +228,10 @@
         runner.set_faults(Faults { abort_after: Some(3), ..Faults::default() });
     }
     let response = set.send(0, &generation_request("/tally/a", "s1")).await;
-    assert_eq!((response.text(), response.complete, set.run_count("s1")), (stream_text(3), false, 1));
+    assert_eq!(
+        (response.text(), response.complete, set.run_count("s1")),
+        (stream_text(3), false, 1)
+    );
 }
 
 /// Guards against a runner that keeps generating after the caller has closed its connection in the
@@ -402,8 +404,10 @@
     wait_until("the stream is in progress", async || set.runners[0].running() == 1).await;
     let other = set.nodes[0].shared.clone();
     let stop = tokio::spawn(node.stop());
-    wait_until("the other node knows about the stop", async || other.roster().ready_contacts().is_empty())
-        .await;
+    wait_until("the other node knows about the stop", async || {
+        other.roster().ready_contacts().is_empty()
+    })
+    .await;
     let late = set.caller.send(front, &RequestSpec::new("/board/a", "r1")).await;
     assert_eq!(
         late.status,
