--- a/lib/src/fleet/health.rs
+++ b/lib/src/fleet/health.rs
@@ -101,7 +101,7 @@
     }
 
     /// The rate of failures in recent work, from 0 to 1.
-    pub fn failing(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 }
--- a/lib/src/fleet/limit.rs
+++ b/lib/src/fleet/limit.rs
@@ -105,7 +105,7 @@
 
 /// An announcement of a runner, as exchanged between nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Announced {
+pub struct LimitReport {
     /// The incarnation of the runner.
     pub runner: Tag,
     /// The rate; `None` if the limit was lifted.
--- a/lib/src/fleet/load.rs
+++ b/lib/src/fleet/load.rs
@@ -39,7 +39,8 @@
     /// Prompt tokens that were sent and are not known to be prefilled yet, by class.
     pub backlog: [u64; CLASSES],
     /// The number of prompts that `backlog` consists of, by class.
-    pub unread: [u32; CLASSES],
+    #[serde(rename = "unread")]
+    pub prompts: [u32; CLASSES],
     /// The memory that the requests take, in tokens.
     pub tokens: u64,
 }
@@ -67,14 +68,14 @@
 
     /// Prompts that are prefilled before new work of `class`.
     pub fn prompts_ahead(&self, class: Class) -> u32 {
-        self.unread[..=class.index()].iter().sum()
+        self.prompts[..=class.index()].iter().sum()
     }
 
     /// The expected prompt tokens of less urgent work that are prefilled before new work of
     /// `class`: a runner finishes the prompt it has started, and on average half of it remains.
     pub fn residual_prefill(&self, class: Class) -> u64 {
         let behind = class.index() + 1;
-        let prompts: u32 = self.unread[behind..].iter().sum();
+        let prompts: u32 = self.prompts[behind..].iter().sum();
         let tokens: u64 = self.backlog[behind..].iter().sum();
         tokens / u64::from(prompts.max(1)) / 2
     }
@@ -85,7 +86,7 @@
         for (mine, more) in self.backlog.iter_mut().zip(other.backlog) {
             *mine += more;
         }
-        for (mine, more) in self.unread.iter_mut().zip(other.unread) {
+        for (mine, more) in self.prompts.iter_mut().zip(other.prompts) {
             *mine += more;
         }
         for (mine, more) in self.requests.iter_mut().zip(other.requests) {
@@ -150,7 +151,7 @@
             }
         }
         let tokens: u64 = sum.backlog.iter().sum();
-        let prompts: u32 = sum.unread.iter().sum();
+        let prompts: u32 = sum.prompts.iter().sum();
         let at_most = tokens as f64 / f64::from(prompts.max(1)) * PREFILLED_FRACTION;
         let since = oldest.as_secs_f64() * rate;
         let mut read = since.min(at_most) as u64;
--- a/lib/src/fleet/placement.rs
+++ b/lib/src/fleet/placement.rs
@@ -137,7 +137,7 @@
         } else {
             CROSS_DATA_CENTRE_COST
         };
-        self.runner.health.failing() * FAILURE_COST + distance + draw * TIE_BREAK_JITTER
+        self.runner.health.failure_rate() * FAILURE_COST + distance + draw * TIE_BREAK_JITTER
     }
 
     /// Whether the queue is short enough for more work of `class`.
--- a/lib/src/fleet/quarantine/mod.rs
+++ b/lib/src/fleet/quarantine/mod.rs
@@ -62,7 +62,7 @@
 
 /// What a node does with a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum Disposition {
     /// It may run.
     Free,
     /// It waits for a decision.
@@ -83,11 +83,11 @@
 
 impl Quarantine {
     /// What to do with a request.
-    pub fn standing(&self, request: &Fingerprint, now: Instant) -> Standing {
+    pub fn disposition(&self, request: &Fingerprint, now: Instant) -> Disposition {
         match self.get(request).filter(|entry| entry.is_active(now)) {
-            None => Standing::Free,
-            Some(entry) if entry.stage == Stage::Confirmed => Standing::Refused,
-            Some(_) => Standing::Undecided,
+            None => Disposition::Free,
+            Some(entry) if entry.stage == Stage::Confirmed => Disposition::Refused,
+            Some(_) => Disposition::Undecided,
         }
     }
 
@@ -264,7 +264,7 @@
     /// Records that a request was answered completely. Returns whether it is proposed or refused.
     pub fn note_answered(&mut self, request: Fingerprint, now: Instant) -> bool {
         self.answered.note(request, now);
-        self.standing(&request, now) != Standing::Free
+        self.disposition(&request, now) != Disposition::Free
     }
 
     /// Whether this node objects to an entry: it has answered the request since the first end.
--- a/lib/src/fleet/register.rs
+++ b/lib/src/fleet/register.rs
@@ -283,8 +283,8 @@
         let Some(runner) = self.registered_mut(registration) else { return };
         let backlog = &mut runner.own.backlog[cost.class.index()];
         *backlog = backlog.saturating_sub(cost.prefill_tokens);
-        let unread = &mut runner.own.unread[cost.class.index()];
-        *unread = unread.saturating_sub(1);
+        let prompts = &mut runner.own.prompts[cost.class.index()];
+        *prompts = prompts.saturating_sub(1);
     }
 
     /// Records that work has ended.
@@ -351,7 +351,7 @@
         let mut load = Load { tokens: self.footprint, ..Load::default() };
         load.requests[self.class.index()] = 1;
         load.backlog[self.class.index()] = self.prefill_tokens;
-        load.unread[self.class.index()] = 1;
+        load.prompts[self.class.index()] = 1;
         load
     }
 }
--- a/lib/src/fleet/register_version.rs
+++ b/lib/src/fleet/register_version.rs
@@ -26,7 +26,7 @@
 
     /// At least the version of a store without any change, which is later than the version of an
     /// unknown register.
-    pub fn at_least_first(self) -> Self {
+    pub fn or_first(self) -> Self {
         Self { order: self.order.max(1), ..self }
     }
 
--- a/lib/src/fleet/scheduler.rs
+++ b/lib/src/fleet/scheduler.rs
@@ -260,7 +260,7 @@
 
 /// The node that schedules a pool: the one of highest rendezvous weight. All nodes that know the
 /// same nodes choose the same one.
-pub fn holder<'a>(
+pub fn choose_scheduler<'a>(
     service: &ServiceId,
     pool: Pool,
     nodes: impl Iterator<Item = &'a NodeId>,
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -241,7 +241,7 @@
         record.note(if n % 7 == 0 { Outcome::Failed } else { Outcome::Answered }, now);
         assert!(record.takes_work(now));
     }
-    assert!(record.failing() < 0.3);
+    assert!(record.failure_rate() < 0.3);
 }
 
 #[test]
@@ -352,7 +352,7 @@
     let mut others = RemoteLoads::default();
     let mut backlog = [0; CLASSES];
     backlog[0] = 10_000;
-    let load = Load { requests: [2, 0, 0, 0], backlog, unread: [1, 0, 0, 0], tokens: 1 };
+    let load = Load { requests: [2, 0, 0, 0], backlog, prompts: [1, 0, 0, 0], tokens: 1 };
     let node = "edge-1".parse().expect("an id");
     others.replace(&node, load, start);
     assert_eq!(others.sum(start, 50_000.0).backlog[0], 10_000);
--- a/lib/tests/quarantine.rs
+++ b/lib/tests/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
-use sardinepick_lib::fleet::quarantine::{DECISION_DELAY, Entry, Quarantine, Stage, Standing};
+use sardinepick_lib::fleet::quarantine::{DECISION_DELAY, Disposition, Entry, Quarantine, Stage};
 use sardinepick_lib::fleet::runner::Tag;
 use sardinepick_lib::fleet::suspect::{RunProgress, RunnerEnd, Suspects};
 use sardinepick_lib::hash::stable_hash;
@@ -57,16 +57,16 @@
 fn propose_three_ends_waits_then_confirmed() {
     let (mut node, now) = (Node::default(), Instant::now());
     assert_eq!(node.ended(1, &[1, 2], true, now), None);
-    assert_eq!(node.quarantine.standing(&request(1), now), Standing::Free);
+    assert_eq!(node.quarantine.disposition(&request(1), now), Disposition::Free);
     assert!(node.ended(1, &[3], true, now).is_some());
-    assert_eq!(node.quarantine.standing(&request(1), now), Standing::Undecided);
+    assert_eq!(node.quarantine.disposition(&request(1), now), Disposition::Undecided);
     assert!(node.quarantine.due(now + DECISION_DELAY - MS).is_empty());
     let then = now + DECISION_DELAY;
     assert_eq!(node.quarantine.due(then), [request(1)]);
     assert_eq!(node.decided(1, then), Some(Stage::Confirmed));
     node.quarantine.set(&request(1), Stage::Confirmed, then);
-    assert_eq!(node.quarantine.standing(&request(1), then), Standing::Refused);
-    assert_eq!(node.quarantine.standing(&request(2), then), Standing::Free);
+    assert_eq!(node.quarantine.disposition(&request(1), then), Disposition::Refused);
+    assert_eq!(node.quarantine.disposition(&request(2), then), Disposition::Free);
 }
 
 /// Two requests were at the same three runners when these ended, but one of them was only queued:
@@ -104,7 +104,7 @@
     }
     for n in [1, 2] {
         node.quarantine.set(&request(n), Stage::Withdrawn, now);
-        assert_eq!(node.quarantine.standing(&request(n), now), Standing::Free);
+        assert_eq!(node.quarantine.disposition(&request(n), now), Disposition::Free);
     }
     let again = node.ended(1, &[4], true, now + SECOND).expect("proposed again");
     assert_eq!(again.serial, 2);
@@ -154,7 +154,7 @@
     let (mut node, now) = (Node::default(), Instant::now());
     node.ended(1, &[1, 2, 3], true, now);
     let late = now + 2 * SECOND;
-    assert_eq!(node.quarantine.standing(&request(1), late), Standing::Free);
+    assert_eq!(node.quarantine.disposition(&request(1), late), Disposition::Free);
     assert_eq!(node.decided(1, late), None);
     assert!(node.quarantine.due(late).is_empty());
     assert!(node.ended(1, &[4], true, late).is_some());
@@ -221,7 +221,7 @@
     assert!(!other.apply_entry(confirmed, now));
     let cleared = other.set(&request(1), Stage::Cleared, now).expect("new");
     assert!(node.quarantine.apply_entry(cleared, now));
-    assert_eq!(node.quarantine.standing(&request(1), now), Standing::Free);
+    assert_eq!(node.quarantine.disposition(&request(1), now), Disposition::Free);
 }
 
 /// After a request was cleared, only new ends count, and its next proposal has a new serial.
@@ -264,7 +264,7 @@
         node.quarantine.apply_entry(entry, at);
     }
     assert!(node.quarantine.entries().count() <= 1_024);
-    assert_eq!(node.quarantine.standing(&request(1), now), Standing::Refused);
+    assert_eq!(node.quarantine.disposition(&request(1), now), Disposition::Refused);
 }
 
 #[test]
@@ -307,7 +307,7 @@
     /// The number of nodes that refuse the request.
     fn refusing(&self) -> usize {
         let refuses =
-            |node: &&Quarantine| node.standing(&request(1), self.began) == Standing::Refused;
+            |node: &&Quarantine| node.disposition(&request(1), self.began) == Disposition::Refused;
         self.nodes.iter().filter(refuses).count()
     }
 
--- a/lib/tests/scheduler.rs
+++ b/lib/tests/scheduler.rs
@@ -300,7 +300,9 @@
     let nodes: Vec<NodeId> = (0..300).map(node).collect();
     let service = service();
     let of = |nodes: &[NodeId], pool| {
-        scheduler::holder(&service, Pool(pool), nodes.iter()).expect("there are nodes").clone()
+        scheduler::choose_scheduler(&service, Pool(pool), nodes.iter())
+            .expect("there are nodes")
+            .clone()
     };
     let backwards: Vec<NodeId> = nodes.iter().rev().cloned().collect();
     let held: BTreeSet<NodeId> = (0..8).map(|pool| of(&nodes, pool)).collect();
--- a/node/src/limit/gossip.rs
+++ b/node/src/limit/gossip.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use sardinepick_lib::fleet::limit::{Announced, Announcement};
+use sardinepick_lib::fleet::limit::{Announcement, LimitReport};
 use sardinepick_lib::fleet::runner::Tag;
 
 use super::{Limiter, log_change};
@@ -14,7 +14,7 @@
 impl Limiter {
     /// The limits to send with the next heartbeat; with `again` also those that earlier heartbeats
     /// have sent.
-    pub fn next_gossip(&self, again: bool) -> Vec<Announced> {
+    pub fn next_gossip(&self, again: bool) -> Vec<LimitReport> {
         let now = self.clock.now();
         let mut outbox = lock(&self.outbox);
         let register = lock(&self.register);
@@ -30,7 +30,7 @@
     }
 
     /// All limits in force.
-    pub fn all(&self) -> Vec<Announced> {
+    pub fn all(&self) -> Vec<LimitReport> {
         let now = self.clock.now();
         let register = lock(&self.register);
         let limited = register.runners().filter_map(|runner| {
@@ -46,9 +46,9 @@
     }
 
     /// Applies gossip of another node.
-    pub fn apply_gossip(&self, limits: &[Announced], from: &str) {
+    pub fn apply_gossip(&self, limits: &[LimitReport], from: &str) {
         let now = self.clock.now();
-        for Announced { runner: tag, rate, age } in limits {
+        for LimitReport { runner: tag, rate, age } in limits {
             let Some(at) = now.checked_sub(*age) else { continue };
             let mut register = lock(&self.register);
             let Some(runner) = register.by_tag_mut(*tag) else { continue };
@@ -69,6 +69,6 @@
     }
 }
 
-fn announced(runner: Tag, notice: &Announcement, now: Instant) -> Announced {
-    Announced { runner, rate: notice.rate, age: now.saturating_duration_since(notice.at) }
+fn announced(runner: Tag, notice: &Announcement, now: Instant) -> LimitReport {
+    LimitReport { runner, rate: notice.rate, age: now.saturating_duration_since(notice.at) }
 }
--- a/node/src/limit/mod.rs
+++ b/node/src/limit/mod.rs
@@ -12,7 +12,7 @@
 
 use sardinepick_lib::clock::Clock;
 use sardinepick_lib::decimal::DecimalError;
-use sardinepick_lib::fleet::limit::{Announced, Announcement, Change, Limit, Rate};
+use sardinepick_lib::fleet::limit::{Announcement, Change, Limit, LimitReport, Rate};
 use sardinepick_lib::fleet::outbox::Outbox;
 use sardinepick_lib::fleet::pool::Pool;
 use sardinepick_lib::fleet::register::Register;
@@ -92,7 +92,7 @@
         let (me, others) = (roster.me(), roster.ready_contacts());
         let mine = (me.standing == Standing::Ready).then_some(&me.contact.id);
         let ids = others.iter().map(|contact| &contact.id).chain(mine);
-        let first = scheduler::holder(service, pool, ids);
+        let first = scheduler::choose_scheduler(service, pool, ids);
         match others.iter().find(|contact| Some(&contact.id) == first) {
             Some(contact) => Grantor::Remote(contact.peer),
             None => Grantor::Local(roster.present_fraction()),
@@ -159,7 +159,7 @@
     ) -> Option<Result<(), Duration>> {
         let (number, answer) = lock(&self.requests).register();
         let age = self.clock.now().saturating_duration_since(notice.at);
-        let limit = Announced { runner, rate: notice.rate, age };
+        let limit = LimitReport { runner, rate: notice.rate, age };
         self.transmit(peer, &Schedule::Acquire { number, limit }).await;
         let answer = timeout(PERMIT_TIMEOUT, answer).await;
         lock(&self.requests).cancel(number);
@@ -176,7 +176,7 @@
     }
 
     /// Answers another node's permit request.
-    pub async fn handle_request(&self, from: SocketAddr, number: u64, limit: Announced) {
+    pub async fn handle_request(&self, from: SocketAddr, number: u64, limit: LimitReport) {
         let entry = lock(&self.register).by_tag(limit.runner).map(service_and_pool);
         let wait = match entry.map(|(service, pool)| self.grantor(&service, pool)) {
             Some(Grantor::Local(part)) => {
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/follow.rs
@@ -233,7 +233,7 @@
     // A node that knows that there are no runners must count as newer than one that knows nothing.
     // Otherwise nodes of a deployment without runners never receive the register and never become
     // ready.
-    let mark = RegisterVersion::of(if misses { as_of } else { newest }).at_least_first();
+    let mark = RegisterVersion::of(if misses { as_of } else { newest }).or_first();
     Difference { whole: true, entries, mark, ..Difference::default() }
 }
 
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -194,7 +194,7 @@
                 "data_centre": runner.entry.data_centre,
                 "state": runner.entry.state.to_string(),
                 "stage": runner.entry.stage.map(|s| s.to_string()),
-                "takes_work": runner.takes_work(now), "failing": runner.health.failing(),
+                "takes_work": runner.takes_work(now), "failing": runner.health.failure_rate(),
                 "pace": runner.pace.factor(), "own_requests": runner.own.requests,
                 "all_requests": load.requests, "backlog": load.backlog,
                 "cached_tokens": runner.cache.tokens(),
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sardinepick_lib::fleet::limit::Announced;
+use sardinepick_lib::fleet::limit::LimitReport;
 use sardinepick_lib::fleet::register_version::RegisterVersion;
 use sardinepick_lib::fleet::roster::{Contact, Status as RosterStatus};
 use sardinepick_lib::fleet::runner::Tag;
@@ -311,7 +311,7 @@
 struct ReceivedRegister {
     difference: Difference,
     /// Rate limits that runners have announced.
-    limits: Vec<Announced>,
+    limits: Vec<LimitReport>,
     leaving: Vec<Tag>,
 }
 
--- a/node/src/serve/quarantine/mod.rs
+++ b/node/src/serve/quarantine/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
-use sardinepick_lib::fleet::quarantine::{Entry, Quarantine, Stage, Standing};
+use sardinepick_lib::fleet::quarantine::{Disposition, Entry, Quarantine, Stage};
 use sardinepick_lib::fleet::suspect::{QUARANTINE_ENDS, Suspects};
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
@@ -81,13 +81,14 @@
 pub async fn admit(shared: &Shared, request: &Request) -> Admission {
     loop {
         let now = shared.clock.now();
-        let standing = shared.quarantine.state().quarantine.standing(&request.fingerprint, now);
-        match standing {
-            Standing::Free => return Admission::Free,
-            Standing::Refused => return refuse(shared, request),
+        let disposition =
+            shared.quarantine.state().quarantine.disposition(&request.fingerprint, now);
+        match disposition {
+            Disposition::Free => return Admission::Free,
+            Disposition::Refused => return refuse(shared, request),
             // The deadline has passed; later stages report that.
-            Standing::Undecided if request.time_left(now).is_zero() => return Admission::Free,
-            Standing::Undecided => {
+            Disposition::Undecided if request.time_left(now).is_zero() => return Admission::Free,
+            Disposition::Undecided => {
                 // A timeout is handled like a change: proposals expire with time.
                 let mut changed = shared.quarantine.changed.subscribe();
                 let _ = timeout(DECISION_POLL, changed.changed()).await;
@@ -128,8 +129,8 @@
 /// Whether a request is refused, without waiting for a pending decision.
 pub fn is_refused(shared: &Shared, request: &Request) -> bool {
     let now = shared.clock.now();
-    let standing = shared.quarantine.state().quarantine.standing(&request.fingerprint, now);
-    standing == Standing::Refused
+    let disposition = shared.quarantine.state().quarantine.disposition(&request.fingerprint, now);
+    disposition == Disposition::Refused
 }
 
 /// Records that a runner answered a request completely, which clears the request if it is proposed
@@ -145,8 +146,8 @@
 /// Releases a request from quarantine on an operator's command. Returns whether it was quarantined.
 pub fn release(shared: &Shared, request: &Fingerprint) -> bool {
     let now = shared.clock.now();
-    let standing = shared.quarantine.state().quarantine.standing(request, now);
-    standing != Standing::Free
+    let disposition = shared.quarantine.state().quarantine.disposition(request, now);
+    disposition != Disposition::Free
         && set_stage(shared, request, Stage::Cleared, "released by an operator")
 }
 
--- a/node/src/serve/scheduler.rs
+++ b/node/src/serve/scheduler.rs
@@ -170,7 +170,8 @@
         let others = fronts.iter().filter(|contact| !passed_over.contains(&contact.id));
         let me = shared.is_ready().then_some(&shared.me);
         let nodes = others.copied().chain(me);
-        let first = scheduler::holder(service, pool, nodes.clone().map(|contact| &contact.id));
+        let first =
+            scheduler::choose_scheduler(service, pool, nodes.clone().map(|contact| &contact.id));
         nodes.into_iter().find(|contact| Some(&contact.id) == first).cloned()
     };
     let holder = match found {
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 use sardinepick_lib::fleet::limit::Rate;
 use sardinepick_lib::fleet::pool::Pool;
-use sardinepick_lib::fleet::scheduler::holder;
+use sardinepick_lib::fleet::scheduler::choose_scheduler;
 use sardinepick_lib::id::{NodeId, RunnerId, ServiceId};
 use sardinepick_testutils::cluster::{any_address, wait_until};
 use sardinepick_testutils::fleet::caller::{Ask, Caller};
@@ -257,7 +257,8 @@
         .await;
     let service: ServiceId = PLAIN.parse().expect("valid ID");
     let names: Vec<NodeId> = set.nodes.iter().map(|n| n.shared.me.id.clone()).collect();
-    let first = holder(&service, Pool(0), names.iter()).expect("at least one node").clone();
+    let first =
+        choose_scheduler(&service, Pool(0), names.iter()).expect("at least one node").clone();
     let at = names.iter().position(|name| *name == first).expect("the holder is one of the nodes");
     let node = set.nodes.remove(at);
     let stopping = tokio::spawn(node.stop());
--- a/node/tests/lives.rs
+++ b/node/tests/lives.rs
@@ -89,7 +89,7 @@
     {
         let register = shared.register();
         let runner = register.get(&id(&previous)).expect("known");
-        assert!(runner.own.is_empty() && runner.health.failing() == 0.0);
+        assert!(runner.own.is_empty() && runner.health.failure_rate() == 0.0);
     }
     assert_eq!(set.ask("/eggs/order", "egg-9").await.status, Some(StatusCode::OK));
     assert_eq!(set.runners[0].ran("egg-9"), 1);
--- a/node/tests/scheduler.rs
+++ b/node/tests/scheduler.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use sardinepick_lib::fleet::limit::{Announced, Rate};
+use sardinepick_lib::fleet::limit::{LimitReport, Rate};
 use sardinepick_lib::fleet::load::Class;
 use sardinepick_lib::fleet::placement::{Placement, Plan};
 use sardinepick_lib::fleet::pool::Pool;
-use sardinepick_lib::fleet::scheduler::{Decision, Step, holder};
+use sardinepick_lib::fleet::scheduler::{Decision, Step, choose_scheduler};
 use sardinepick_lib::id::{ConfigVersion, NodeId, RunnerId, ServiceId};
 use sardinepick_testutils::cluster::{free_address, own_ip, wait_until};
 use sardinepick_testutils::fleet::beat;
@@ -49,7 +49,8 @@
 fn id_of_scheduler(node: &NodeId) -> NodeId {
     let services = [MODEL, PLAIN].map(|name| name.parse::<ServiceId>().expect("an id"));
     let is_scheduler = |name: &NodeId| {
-        let schedules = |service| holder(service, Pool(0), [node, name].into_iter()) == Some(name);
+        let schedules =
+            |service| choose_scheduler(service, Pool(0), [node, name].into_iter()) == Some(name);
         services.iter().all(schedules)
     };
     let names = (0..100).map(|n| format!("false-{n}").parse::<NodeId>().expect("an id"));
@@ -234,7 +235,7 @@
     let announced = limited.each_ref().map(|runner| {
         let id: RunnerId = runner.id.parse().expect("an id");
         let runner = shared.register().get(&id).expect("it is known").entry.tag();
-        Announced { runner, rate: Rate::new(5.0), age: Duration::ZERO }
+        LimitReport { runner, rate: Rate::new(5.0), age: Duration::ZERO }
     });
     shared.limiter.apply_gossip(&announced, "another node");
     let behaviour = Behaviour::FixedRunner(decoder(&set.runners));
--- a/wire/src/beat.rs
+++ b/wire/src/beat.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use prost::Message as _;
-use sardinepick_lib::fleet::limit::Announced;
+use sardinepick_lib::fleet::limit::LimitReport;
 use sardinepick_lib::fleet::roster::{Contact, Record, Standing, Status};
 use sardinepick_lib::fleet::runner::Tag;
 use sardinepick_lib::history::Era;
@@ -42,7 +42,7 @@
     /// The sender's estimate of the true time since the Unix epoch, if any.
     pub time: Option<Duration>,
     /// Rate limits announced by runners.
-    pub limits: Vec<Announced>,
+    pub limits: Vec<LimitReport>,
     /// Runners that have announced in a response that they are leaving.
     pub leaving: Vec<Tag>,
 }
--- a/wire/src/limit.rs
+++ b/wire/src/limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sardinepick_lib::fleet::limit::{Announced, Rate};
+use sardinepick_lib::fleet::limit::{LimitReport, Rate};
 use sardinepick_lib::fleet::runner::Tag;
 
 use crate::error::WireError;
@@ -12,7 +12,7 @@
 const MAX_AGE: Duration = Duration::from_secs(86_400);
 
 /// Encodes an announced rate limit.
-pub fn encode_limit(announced: &Announced) -> pb::RateLimit {
+pub fn encode_limit(announced: &LimitReport) -> pb::RateLimit {
     pb::RateLimit {
         runner: announced.runner.0,
         rate: announced.rate.map(Rate::per_second),
@@ -24,9 +24,9 @@
 ///
 /// # Errors
 /// The rate is invalid.
-pub fn decode_limit(limit: &pb::RateLimit) -> Result<Announced, WireError> {
+pub fn decode_limit(limit: &pb::RateLimit) -> Result<LimitReport, WireError> {
     let rate = |per_second| Rate::new(per_second).ok_or(WireError::Value("rate"));
-    Ok(Announced {
+    Ok(LimitReport {
         runner: Tag(limit.runner),
         rate: limit.rate.map(rate).transpose()?,
         age: Duration::from_millis(limit.age_ms).min(MAX_AGE),
@@ -37,6 +37,6 @@
 ///
 /// # Errors
 /// A rate is invalid.
-pub fn decode_limits(limits: &[pb::RateLimit]) -> Result<Vec<Announced>, WireError> {
+pub fn decode_limits(limits: &[pb::RateLimit]) -> Result<Vec<LimitReport>, WireError> {
     limits.iter().map(decode_limit).collect()
 }
--- a/wire/src/schedule.rs
+++ b/wire/src/schedule.rs
@@ -12,7 +12,7 @@
 use sardinepick_lib::fleet::engine::Work;
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
 use sardinepick_lib::fleet::health::Outcome;
-use sardinepick_lib::fleet::limit::Announced;
+use sardinepick_lib::fleet::limit::LimitReport;
 use sardinepick_lib::fleet::load::{CLASSES, Class, Load};
 use sardinepick_lib::fleet::placement::{Placement, Plan};
 use sardinepick_lib::fleet::register::PrefillReport;
@@ -76,7 +76,7 @@
         /// The number of the question, unique at the asking node.
         number: u64,
         /// The limit as the asking node knows it.
-        limit: Announced,
+        limit: LimitReport,
     },
     /// Answers a [`Schedule::Acquire`].
     Acquired {
@@ -408,7 +408,7 @@
         requests: load.requests.to_vec(),
         backlog: load.backlog.to_vec(),
         tokens: load.tokens,
-        unread: load.unread.to_vec(),
+        unread: load.prompts.to_vec(),
     }
 }
 
@@ -426,8 +426,8 @@
     for (into, from) in backlog.iter_mut().zip(&load.backlog) {
         *into = (*from).min(MAX_TOKENS);
     }
-    let mut unread = [0; CLASSES];
-    for (into, from) in unread.iter_mut().zip(&load.unread) {
+    let mut prompts = [0; CLASSES];
+    for (into, from) in prompts.iter_mut().zip(&load.unread) {
         *into = (*from).min(MAX_REQUESTS);
     }
     let mut requests = [0; CLASSES];
@@ -435,7 +435,7 @@
         *into = (*from).min(MAX_REQUESTS);
     }
     let tokens = load.tokens.min(MAX_TOKENS);
-    Ok((Tag(load.runner), Load { requests, backlog, unread, tokens }))
+    Ok((Tag(load.runner), Load { requests, backlog, prompts, tokens }))
 }
 
 fn encode_reading(reading: &PrefillReport) -> pb::Reading {
--- a/wire/tests/beat.rs
+++ b/wire/tests/beat.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use prost::Message as _;
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
-use sardinepick_lib::fleet::limit::{Announced, Rate};
+use sardinepick_lib::fleet::limit::{LimitReport, Rate};
 use sardinepick_lib::fleet::quarantine::{Entry, MAX_ENTRIES_PER_MESSAGE, Stage};
 use sardinepick_lib::fleet::register_version::RegisterVersion;
 use sardinepick_lib::fleet::roster::{Contact, MAX_RECORDS, Record, Standing, Status};
@@ -118,7 +118,7 @@
 /// The maximum number of rate limits and leaving runners fits into a heartbeat without records.
 #[test]
 fn decode_max_limits_and_leaving_round_trip() {
-    let limit = |n: u64| Announced {
+    let limit = |n: u64| LimitReport {
         runner: Tag(u64::MAX - n),
         rate: Rate::new(6.7).filter(|_| n.is_multiple_of(2)),
         age: Duration::from_millis(80_000_000),
--- a/wire/tests/schedule.rs
+++ b/wire/tests/schedule.rs
@@ -8,7 +8,7 @@
 use sardinepick_lib::fleet::engine::Work;
 use sardinepick_lib::fleet::fingerprint::Fingerprint;
 use sardinepick_lib::fleet::health::Outcome;
-use sardinepick_lib::fleet::limit::{Announced, Rate};
+use sardinepick_lib::fleet::limit::{LimitReport, Rate};
 use sardinepick_lib::fleet::load::{Class, Load};
 use sardinepick_lib::fleet::placement::{Placement, Plan};
 use sardinepick_lib::fleet::register::PrefillReport;
@@ -56,7 +56,7 @@
 }
 
 fn full_report() -> Report {
-    let load = Load { requests: [90; 4], backlog: [9_000; 4], unread: [9; 4], tokens: 700_000 };
+    let load = Load { requests: [90; 4], backlog: [9_000; 4], prompts: [9; 4], tokens: 700_000 };
     let part = Part { key: ChainKey(u64::MAX), standalone_key: ChainKey(u64::MAX), tokens: 40_000 };
     let reading = |n| PrefillReport { runner: Tag(n), part, progress: Progress::Prefilled };
     let lesson = Observation::Prefill { predicted: 0.5, prefill: 0.125, seen: 0.25 };
@@ -138,7 +138,7 @@
 #[test]
 fn decode_permit_round_trip() {
     let rate = Rate::new(6.7);
-    let limit = Announced { runner: Tag(u64::MAX), rate, age: Duration::from_secs(80_000) };
+    let limit = LimitReport { runner: Tag(u64::MAX), rate, age: Duration::from_secs(80_000) };
     round_trip(&Schedule::Acquire { number: 1 << 40, limit });
     for wait in [None, Some(Duration::ZERO), Some(Duration::from_millis(250))] {
         round_trip(&Schedule::Acquired { number: 1 << 40, wait });
