--- a/lib/src/fleet/cache.rs
+++ b/lib/src/fleet/cache.rs
@@ -7,8 +7,8 @@
 //!
 //! A part counts as cached from the moment it is sent for prefill. Requests with a long common part
 //! arrive close together; one that is sent to the runner that is prefilling the part waits for it
-//! there and repeats nothing, while another runner would prefill it again. Only parts whose prefill
-//! is complete can be fetched by other runners.
+//! there, while another runner would prefill it a second time. Only parts whose prefill is complete
+//! can be fetched by other runners.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -32,7 +32,7 @@
 impl Part {
     /// A part as a runner that has it cached names it, without the parts before it.
     pub fn standalone(model: &str, id: &str, tokens: u64) -> Self {
-        let standalone_key = ChainKey::alone(model, id);
+        let standalone_key = ChainKey::standalone(model, id);
         Self { key: standalone_key, standalone_key, tokens }
     }
 }
@@ -46,7 +46,7 @@
 
 impl ChainKey {
     /// The hash of a part without the parts before it.
-    fn alone(model: &str, id: &str) -> Self {
+    fn standalone(model: &str, id: &str) -> Self {
         Self(stable_hash(stable_hash(1, model.as_bytes()), id.as_bytes()))
     }
 }
@@ -61,7 +61,7 @@
         let mut key = stable_hash(0, model.as_bytes());
         let parts = parts.map(|(id, tokens)| {
             key = stable_hash(key, id.as_bytes());
-            Part { key: ChainKey(key), standalone_key: ChainKey::alone(model, id), tokens }
+            Part { key: ChainKey(key), standalone_key: ChainKey::standalone(model, id), tokens }
         });
         Self(parts.collect())
     }
@@ -77,8 +77,8 @@
     /// The number of tokens in the parts that other requests may share: all but the last part,
     /// which is specific to the request.
     pub fn shared(&self) -> u64 {
-        let own = self.0.len().saturating_sub(1);
-        self.0[..own].iter().map(|part| part.tokens).sum()
+        let shared = self.0.len().saturating_sub(1);
+        self.0[..shared].iter().map(|part| part.tokens).sum()
     }
 }
 
--- a/lib/src/fleet/engine.rs
+++ b/lib/src/fleet/engine.rs
@@ -1,9 +1,9 @@
 //! Model engines and the time their work takes.
 //!
-//! The model is that of a batch engine: each step generates one token for every running request and
-//! prefills one chunk of a waiting prompt. The constants are those of the reference sheets for both
-//! deployments. The deviation of a runner from them (its hardware, contention, temporary slowness)
-//! is learned from its answers as a single factor, [`Pace`].
+//! The model is that of an engine with continuous batching: each step generates one token for every
+//! running request and prefills one chunk of a waiting prompt. The constants are those of the
+//! reference specifications of both deployments. The deviation of a runner from them (its hardware,
+//! contention, temporary slowness) is learned from its answers as a single factor, [`Pace`].
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use super::cache::Chain;
 
-/// What a model runner does with a prompt.
+/// The stage of inference that a model runner serves.
 #[derive(Clone, Copy, Debug, Display, EnumString, Eq, Hash, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Stage {
@@ -38,14 +38,14 @@
     pub switch: Duration,
 }
 
-/// The shortest step of an engine, in seconds (reference sheets: 3.41 ms).
+/// The shortest step of an engine, in seconds (reference specification: 3.41 ms).
 const MIN_STEP: f64 = 0.003_41;
 /// The time that each running request adds to a step, in seconds (from the pauses under light
 /// load).
 const STEP_PER_REQUEST: f64 = 0.000_1;
-/// Prefill rate, in tokens per second (reference sheets: 112 per millisecond).
+/// Prefill rate, in tokens per second (reference specification: 112 per millisecond).
 const PREFILL_RATE: f64 = 112_000.0;
-/// The size of a prefill chunk, in tokens (reference sheets).
+/// The size of a prefill chunk, in tokens (reference specification).
 const CHUNK: f64 = 1_024.0;
 /// The time that attention over a long context adds, in seconds per million token pairs (from
 /// the times to first token under light load).
@@ -91,8 +91,8 @@
     /// The time to transfer the KV cache of `tokens` between runners, in seconds.
     pub fn transfer_time(&self, tokens: u64, same_data_centre: bool) -> f64 {
         let bits = tokens as f64 * f64::from(self.token_bytes) * 8.0;
-        let distance = if same_data_centre { 1.0 } else { 2.0 };
-        TRANSFER_SETUP + bits / self.link_rate.max(1.0) * distance
+        let distance_factor = if same_data_centre { 1.0 } else { 2.0 };
+        TRANSFER_SETUP + bits / self.link_rate.max(1.0) * distance_factor
     }
 }
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// How much slower a runner is than the model, learned from its answers.
+/// The slowdown of a runner relative to the engine model, learned from its answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace(f64);
 
@@ -122,9 +122,9 @@
 /// after seven answers. The gain of a shorter prefill is reduced in proportion to
 /// [`FULL_GAIN_PREFILL`], as most of its error stems from the wait and the startup latency. With
 /// the same gain for all, a runner that had stalled once counted as slow and its neighbours were
-/// overloaded (a worth of 0.42 instead of 0.58 on a fleet of 20 runners that lost a third of them);
-/// with a low gain for all, long prompts were started on slow engines where no caller could wait
-/// for them.
+/// overloaded (on a fleet of 20 runners that lost a third of them, the value of the answers was
+/// 0.42 instead of 0.58); with a low gain for all, long prompts were started on slow engines where
+/// no caller could wait for them.
 const PACE_GAIN: f64 = 0.1;
 /// The prefill time from which an answer has the full gain, in seconds: several times the startup
 /// latency and a usual wait.
@@ -142,7 +142,7 @@
 }
 
 impl Pace {
-    /// The factor.
+    /// The factor by which work takes longer than the model predicts.
     pub fn factor(self) -> f64 {
         self.0
     }
--- a/lib/src/fleet/load.rs
+++ b/lib/src/fleet/load.rs
@@ -152,13 +152,13 @@
         }
         let tokens: u64 = sum.backlog.iter().sum();
         let prompts: u32 = sum.prompts.iter().sum();
-        let at_most = tokens as f64 / f64::from(prompts.max(1)) * PREFILLED_FRACTION;
-        let since = oldest.as_secs_f64() * rate;
-        let mut read = since.min(at_most) as u64;
+        let max_progress = tokens as f64 / f64::from(prompts.max(1)) * PREFILLED_FRACTION;
+        let possible = oldest.as_secs_f64() * rate;
+        let mut prefilled = possible.min(max_progress) as u64;
         for backlog in &mut sum.backlog {
-            let taken = read.min(*backlog);
+            let taken = prefilled.min(*backlog);
             *backlog -= taken;
-            read -= taken;
+            prefilled -= taken;
         }
         sum
     }
--- a/lib/src/fleet/placement.rs
+++ b/lib/src/fleet/placement.rs
@@ -78,8 +78,8 @@
 }
 
 /// The weight of the prefill time in the cost of a placement, for the delay that the work causes
-/// for other requests. With 2 instead of 1, one fifth fewer tokens are prefilled again, and 0.03
-/// more worth is earned on the second of the two reference sites.
+/// for other requests. With 2 instead of 1, one fifth fewer tokens are prefilled again, and the
+/// value of the answers on the second of the two reference deployments rises by 0.03.
 const QUEUEING_WEIGHT: f64 = 2.0;
 /// The cost of a runner at a failure rate of 1, in seconds: a failure counts as one lost second.
 const FAILURE_COST: f64 = 1.0;
@@ -140,26 +140,26 @@
         self.runner.health.failure_rate() * FAILURE_COST + distance + draw * TIE_BREAK_JITTER
     }
 
-    /// Whether the queue is short enough for more work of `class`.
+    /// Whether the runner's queue is short enough for more work of `class`.
     fn has_queue_room(&self, class: Class, engine: &Engine) -> bool {
-        let most = if class == Class::LATE { QUEUE_LIMITS.0 } else { QUEUE_LIMITS.1 };
-        f64::from(self.load.total()) < most * f64::from(engine.slots)
+        let limit = if class == Class::LATE { QUEUE_LIMITS.0 } else { QUEUE_LIMITS.1 };
+        f64::from(self.load.total()) < limit * f64::from(engine.slots)
     }
 
-    /// Whether no prompt is waiting or being prefilled there.
+    /// Whether no prompt is waiting or being prefilled on the runner.
     fn is_idle(&self) -> bool {
         self.load.tokens_ahead(Class::LATE) == 0
     }
 
     /// The time from a prefilled prompt to the first event, in seconds: one step, plus one prefill
-    /// chunk if prompts are prefilled there too.
+    /// chunk if the runner also prefills prompts.
     fn first_event(&self) -> f64 {
-        let piece = if self.is_idle() {
+        let interleaved = if self.is_idle() {
             0.0
         } else {
             prefill_time(Stage::Decode, INTERLEAVED_TOKENS, 0, 0)
         };
-        self.runner.step(&self.load) + piece
+        self.runner.step(&self.load) + interleaved
     }
 }
 
@@ -206,10 +206,10 @@
     now: Instant,
 ) -> Option<CacheHolder<'b>> {
     let in_pool = |r: &&Runner| criteria.pool.is_none_or(|pool| r.pool == pool);
-    let sound = register.of(criteria.service).filter(in_pool).filter(|r| r.takes_work(now));
-    let kept =
-        sound.map(|runner| CacheHolder { runner, tokens: runner.cache.fetchable(&work.chain) });
-    kept.filter(|holder| holder.tokens > 0).max_by_key(|holder| holder.tokens)
+    let eligible = register.of(criteria.service).filter(in_pool).filter(|r| r.takes_work(now));
+    let holders =
+        eligible.map(|runner| CacheHolder { runner, tokens: runner.cache.fetchable(&work.chain) });
+    holders.filter(|holder| holder.tokens > 0).max_by_key(|holder| holder.tokens)
 }
 
 /// The inputs of a prefill estimate that are the same for all candidates.
@@ -310,8 +310,10 @@
         let count = (of_decode.max(of_all) as usize).min(whole.len());
         whole.truncate(whole.len() - count);
     }
-    let reads_whole = whole.len() as f64 * DECODE_PREFILL_SPEED;
-    let for_late = (prefill.len() as f64 + reads_whole) * LATE_PREFILL_SHARE - reads_whole;
+    // The decode runners that also prefill, expressed as a number of prefill runners.
+    let whole_equivalent = whole.len() as f64 * DECODE_PREFILL_SPEED;
+    let for_late =
+        (prefill.len() as f64 + whole_equivalent) * LATE_PREFILL_SHARE - whole_equivalent;
     let count = (for_late.max(0.0).round() as usize).min(prefill.len().saturating_sub(1));
     let late = prefill.split_off(prefill.len() - count);
     let room = |c: &&Candidate<'_>| c.runner.has_room(&c.load, engine, work.footprint());
@@ -491,14 +493,14 @@
 ) -> f64 {
     let id = &estimate.at.runner.entry.id;
     let Some(at) = affinity_runners.iter().position(|r| *r == id) else { return 0.0 };
-    let kept = inputs.cache_holder.as_ref().map_or(0, |holder| holder.tokens);
-    let missing = inputs.work.chain.shared().saturating_sub(kept);
-    let time = prefill_time(Stage::Prefill, missing, kept, 0);
-    let whole = AFFINITY_BONUS.0 + AFFINITY_BONUS.1 * time;
-    whole * (1.0 - at as f64 / AFFINITY_RUNNERS as f64)
+    let cached = inputs.cache_holder.as_ref().map_or(0, |holder| holder.tokens);
+    let missing = inputs.work.chain.shared().saturating_sub(cached);
+    let time = prefill_time(Stage::Prefill, missing, cached, 0);
+    let full_bonus = AFFINITY_BONUS.0 + AFFINITY_BONUS.1 * time;
+    full_bonus * (1.0 - at as f64 / AFFINITY_RUNNERS as f64)
 }
 
-/// The runner chosen for a plain request.
+/// The runner chosen for a plain request, which is one that does not generate tokens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plain {
     /// The runner.
--- a/lib/src/fleet/pool.rs
+++ b/lib/src/fleet/pool.rs
@@ -44,7 +44,7 @@
 }
 
 /// Assigns runners to the pools of their services and returns the number of pools of each service.
-pub(super) fn divide(runners: &mut HashMap<RunnerId, Runner>) -> HashMap<ServiceId, u16> {
+pub(super) fn assign(runners: &mut HashMap<RunnerId, Runner>) -> HashMap<ServiceId, u16> {
     type Order<'a> = BTreeMap<(Option<bool>, u64, RunnerId), &'a mut Runner>;
     let mut services: HashMap<ServiceId, Order<'_>> = HashMap::new();
     for runner in runners.values_mut() {
@@ -53,7 +53,7 @@
         let key = (stage, stable_hash(0, entry.id.as_str().as_bytes()), entry.id.clone());
         services.entry(entry.service.clone()).or_default().insert(key, runner);
     }
-    let divided = services.into_iter().map(|(service, order)| {
+    let pool_counts = services.into_iter().map(|(service, order)| {
         let pools = count(order.len());
         let mut sizes: BTreeMap<Option<bool>, usize> = BTreeMap::new();
         for (stage, ..) in order.keys() {
@@ -67,5 +67,5 @@
         }
         (service, pools)
     });
-    divided.collect()
+    pool_counts.collect()
 }
--- a/lib/src/fleet/register.rs
+++ b/lib/src/fleet/register.rs
@@ -10,8 +10,8 @@
 //! as a runner of which only the entry is known. A late entry of a former incarnation is ignored,
 //! and work that started in one incarnation ends in it ([`Registration`]).
 //!
-//! A store that was restored from a copy shows older entries in a later era. The runners' own write
-//! counts tell them from new ones.
+//! A store that was restored from a backup returns older entries in a later era. The runners' own
+//! write counts distinguish them from new ones.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
@@ -32,7 +32,7 @@
     Added,
     /// A runner has restarted under its id.
     Restarted,
-    /// A runner accepts no new work any more.
+    /// A runner no longer accepts new work.
     Leaving,
     /// The entry of a runner is missing; the runner is kept for a while.
     Missing,
@@ -46,8 +46,8 @@
     Outdated,
 }
 
-/// The maximum number of departed runners that are remembered, to recognize them in a store that
-/// was restored from a copy.
+/// The maximum number of departed runners that are remembered, to recognize their entries in a
+/// store that was restored from a backup.
 const MAX_DEPARTED: usize = 512;
 
 /// The known runners.
@@ -55,7 +55,7 @@
 pub struct Register {
     runners: HashMap<RunnerId, Runner>,
     tags: HashMap<Tag, RunnerId>,
-    doubted: HashMap<RunnerId, Instant>,
+    doubtful: HashMap<RunnerId, Instant>,
     /// The last entries of departed runners, oldest first.
     departed: VecDeque<Entry>,
     /// The number of registrations so far.
@@ -84,9 +84,9 @@
             return Change::None;
         }
         if entry.is_replay_of(&runner.entry) {
-            let was_doubted = self.doubted.remove(&entry.id).is_some();
+            let was_doubtful = self.doubtful.remove(&entry.id).is_some();
             runner.entry.at = entry.at;
-            return if was_doubted { Change::Updated } else { Change::None };
+            return if was_doubtful { Change::Updated } else { Change::None };
         }
         match (entry.born, runner.entry.born) {
             // A runner reports its start time in every entry; an entry without one was not written
@@ -95,7 +95,7 @@
             (new, known) if new < known => return Change::Outdated,
             _ => {}
         }
-        self.doubted.remove(&entry.id);
+        self.doubtful.remove(&entry.id);
         if entry.born > runner.entry.born {
             let former = runner.entry.tag();
             self.tags.remove(&former);
@@ -117,7 +117,8 @@
     }
 
     /// Handles an entry under the id of a runner that was not written by that runner. The id then
-    /// names no usable runner, and there is no doubt, as the store has just shown its contents.
+    /// names no usable runner. The removal is not in doubt, as the store has just returned the
+    /// entry.
     pub fn reject(&mut self, id: &RunnerId, at: Point) -> Change {
         match self.runners.get(id) {
             Some(runner) if runner.entry.at < at => {
@@ -142,7 +143,7 @@
         if let Some(until) = doubt
             && runner.is_last_resort()
         {
-            self.doubted.entry(id.clone()).or_insert(until);
+            self.doubtful.entry(id.clone()).or_insert(until);
             return Change::Missing;
         }
         self.departed.push_back(runner.entry.clone());
@@ -154,7 +155,7 @@
     }
 
     fn drop_runner(&mut self, id: &RunnerId) {
-        self.doubted.remove(id);
+        self.doubtful.remove(id);
         if let Some(runner) = self.runners.remove(id) {
             self.pools_outdated = true;
             self.tags.remove(&runner.entry.tag());
@@ -189,7 +190,7 @@
     /// Removes doubtful runners whose time is over, and returns their ids.
     pub fn expire(&mut self, now: Instant) -> Vec<RunnerId> {
         let over: Vec<RunnerId> = self
-            .doubted
+            .doubtful
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(id, _)| id.clone())
@@ -203,7 +204,7 @@
     /// Assigns the runners to pools again, if they have changed.
     pub fn assign_pools(&mut self) {
         if std::mem::take(&mut self.pools_outdated) {
-            self.pools = pool::divide(&mut self.runners);
+            self.pools = pool::assign(&mut self.runners);
         }
     }
 
--- a/lib/src/fleet/runner.rs
+++ b/lib/src/fleet/runner.rs
@@ -74,15 +74,15 @@
         Tag::of(&self.id, self.born)
     }
 
-    /// Whether this entry, read from a store that was restored from a copy, tells nothing that the
-    /// same incarnation had not written before `known`. A runner that leaves does not return in the
-    /// same incarnation.
+    /// Whether this entry, read from a store that was restored from a backup, contains nothing that
+    /// the same incarnation wrote after `known`. A runner that leaves does not return in the same
+    /// incarnation.
     pub fn is_replay_of(&self, known: &Entry) -> bool {
-        let same_life = self.id == known.id && self.born == known.born;
+        let same_incarnation = self.id == known.id && self.born == known.born;
         let leaves = self.state == State::Draining && known.state == State::Ready;
         let returns = self.state == State::Ready && known.state == State::Draining;
         let wrote_no_more = self.writes <= known.writes;
-        same_life && self.at.era > known.at.era && !leaves && (wrote_no_more || returns)
+        same_incarnation && self.at.era > known.at.era && !leaves && (wrote_no_more || returns)
     }
 }
 
@@ -129,7 +129,7 @@
     pub limit: Limit,
     /// The back-off of this node from it.
     pub back_off: BackOff,
-    /// Whether this incarnation has said in an answer that it leaves.
+    /// Whether this incarnation has announced in an answer that it is leaving.
     has_announced_leaving: bool,
 }
 
@@ -151,8 +151,8 @@
     }
 }
 
-/// The assumed time of a plain answer until some have been seen, in seconds (reference sheets: 15
-/// ms of work).
+/// The assumed time of a plain answer until some have been seen, in seconds (reference
+/// specification: 15 ms of work).
 const INITIAL_ANSWER_TIME: f64 = 0.015;
 /// The assumed time of a stream until some have ended, in seconds: the startup latency and a dozen
 /// steps.
@@ -220,17 +220,17 @@
         !self.is_leaving() && !self.health.is_gone()
     }
 
-    /// Whether it leaves, by its register entry or its own answers.
+    /// Whether it is leaving, by its register entry or its own answers.
     pub fn is_leaving(&self) -> bool {
         self.has_announced_leaving || self.entry.state == State::Draining
     }
 
-    /// Whether this incarnation has said in an answer that it leaves.
+    /// Whether this incarnation has announced in an answer that it is leaving.
     pub fn has_announced_leaving(&self) -> bool {
         self.has_announced_leaving
     }
 
-    /// Records that it has said in an answer that it leaves. Returns whether this is new.
+    /// Records that it has announced in an answer that it is leaving. Returns whether this is new.
     pub fn note_leaving(&mut self) -> bool {
         !std::mem::replace(&mut self.has_announced_leaving, true)
     }
--- a/lib/src/fleet/scheduler.rs
+++ b/lib/src/fleet/scheduler.rs
@@ -159,7 +159,7 @@
         skip: &query.skip,
         now,
     };
-    let none = || {
+    let no_placement = || {
         match register.closed(&query.service, now) {
             Some(Closed::RateLimit(wait)) => Decision::RateLimited(wait),
             // The back-off of this node from a runner does not apply to other nodes.
@@ -176,21 +176,21 @@
                 prefill_runner,
                 rng,
             );
-            return next.map_or_else(none, Decision::Continue);
+            return next.map_or_else(no_placement, Decision::Continue);
         }
         Step::Start(firmness) => *firmness,
     };
     let mut place =
         |class| placement::place_generation(register, &criteria(class), engine, &query.work, rng);
     let terms = &query.terms;
-    let Some(placement) = place(terms.class) else { return none() };
+    let Some(placement) = place(terms.class) else { return no_placement() };
     if firmness == Firmness::Streaming || terms.on_time(placement.first_event) {
         return Decision::Placed { placement, class: terms.class };
     }
-    let bearable = |p: &Placement| {
+    let is_acceptable = |p: &Placement| {
         firmness != Firmness::New || terms.is_useful(p.first_event, p.prefill_start)
     };
-    match place(Class::LATE).filter(bearable) {
+    match place(Class::LATE).filter(is_acceptable) {
         Some(placement) => Decision::Placed { placement, class: Class::LATE },
         None => Decision::Late(placement),
     }
@@ -217,7 +217,7 @@
     }
 }
 
-/// What the end of a piece of work shows about its runner.
+/// What is learned about a runner when a piece of work on it ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
     /// The duration of a prefill, in seconds.
@@ -258,7 +258,7 @@
     }
 }
 
-/// The node that schedules a pool: the one of highest rendezvous weight. All nodes that know the
+/// The scheduler of a pool: the node with the highest rendezvous weight. All nodes that know the
 /// same nodes choose the same one.
 pub fn choose_scheduler<'a>(
     service: &ServiceId,
