--- a/lib/src/fleet/admission.rs
+++ b/lib/src/fleet/admission.rs
@@ -34,12 +34,12 @@
     }
 }
 
-/// The parameters of a request for admission.
+/// The admission parameters of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
     /// The class of the work if it can be on time.
     pub class: Class,
-    /// The remaining time within which the answer is on time; `None` if it is over.
+    /// The remaining time within which the answer is on time; `None` if it has passed.
     pub objective: Option<Duration>,
     /// The remaining time until the caller gives up.
     pub left: Duration,
@@ -87,13 +87,14 @@
 const SIZE_FACTOR: (f64, f64) = (0.5, 0.45);
 /// The range of that factor.
 const SIZE_FACTOR_RANGE: (f64, f64) = (0.6, 1.6);
-/// A caller waits without receiving anything for the longest of three times (all from the platform
-/// protocol): this time,
-const MAX_SILENCE: Duration = Duration::from_secs(2);
-/// this many objectives,
-const MAX_SILENCE_OBJECTIVES: u32 = 4;
-/// and this many of the pauses between events that the route allows.
-const MAX_SILENCE_PAUSES: u32 = 8;
+/// The minimum time for which a caller waits without receiving anything (this and the next two
+/// constants: platform protocol).
+const MIN_PATIENCE: Duration = Duration::from_secs(2);
+/// The number of objectives for which a caller waits without receiving anything, if that is longer.
+const PATIENCE_OBJECTIVES: u32 = 4;
+/// The number of pauses between events, as allowed by the route, for which a caller waits without
+/// receiving anything, if that is longer.
+const PATIENCE_PAUSES: u32 = 8;
 
 impl Terms {
     /// The terms of a request on `route` whose caller gives up in `left`, after `wait`. Whether an
@@ -101,9 +102,9 @@
     pub fn new(route: &Route, left: Duration, wait: Wait, size: f64) -> Self {
         let left = left.min(route.timeout);
         let patience = if route.kind.is_stream() {
-            MAX_SILENCE
-                .max(route.objective * MAX_SILENCE_OBJECTIVES)
-                .max(route.pause * MAX_SILENCE_PAUSES)
+            MIN_PATIENCE
+                .max(route.objective * PATIENCE_OBJECTIVES)
+                .max(route.pause * PATIENCE_PAUSES)
         } else {
             left
         };
@@ -131,10 +132,11 @@
     /// leaves the caller without an answer, a first one does not.
     pub fn is_useful(&self, first: f64, wait: f64) -> bool {
         let remaining = self.left.min(self.patience).as_secs_f64();
-        let part = if self.is_retry { LATE_WAIT_FRACTIONS.1 } else { LATE_WAIT_FRACTIONS.0 };
+        let wait_fraction =
+            if self.is_retry { LATE_WAIT_FRACTIONS.1 } else { LATE_WAIT_FRACTIONS.0 };
         let size_factor = (SIZE_FACTOR.0 + SIZE_FACTOR.1 * self.size)
             .clamp(SIZE_FACTOR_RANGE.0, SIZE_FACTOR_RANGE.1);
-        first <= remaining * USEFUL_FRACTION && wait <= remaining * part * size_factor
+        first <= remaining * USEFUL_FRACTION && wait <= remaining * wait_fraction * size_factor
     }
 
     /// When a refused caller should retry: when the current backlog will be done, with jitter so
@@ -142,9 +144,9 @@
     /// still follow the advice.
     pub fn retry_delay<R: Rng>(&self, first: f64, rng: &mut R) -> Duration {
         let goal = self.objective.unwrap_or(self.left / 4).as_secs_f64() / 2.0;
-        let until = (first - goal).max(MIN_RETRY_DELAY) * rng.random_range(0.8..1.4);
-        let most = self.left.as_secs_f64() / 3.0;
-        Duration::from_secs_f64(until.min(most).max(0.001))
+        let delay = (first - goal).max(MIN_RETRY_DELAY) * rng.random_range(0.8..1.4);
+        let max_delay = self.left.as_secs_f64() / 3.0;
+        Duration::from_secs_f64(delay.min(max_delay).max(0.001))
     }
 }
 
@@ -152,9 +154,9 @@
     /// When a caller should retry that is refused because no runner accepts a request for `wait`:
     /// after that, with jitter as in [`Terms::retry_delay`].
     pub fn retry_delay_after<R: Rng>(&self, wait: Duration, rng: &mut R) -> Duration {
-        let until = wait.as_secs_f64().max(MIN_RETRY_DELAY) * rng.random_range(1.0..1.4);
-        let most = self.left.as_secs_f64() / 3.0;
-        Duration::from_secs_f64(until.min(most).max(0.001))
+        let delay = wait.as_secs_f64().max(MIN_RETRY_DELAY) * rng.random_range(1.0..1.4);
+        let max_delay = self.left.as_secs_f64() / 3.0;
+        Duration::from_secs_f64(delay.min(max_delay).max(0.001))
     }
 }
 
--- a/lib/src/fleet/balance.rs
+++ b/lib/src/fleet/balance.rs
@@ -11,11 +11,11 @@
 use super::engine::Stage;
 
 /// The prefill capacity of a runner under load, in prompt tokens per second (the rate in the
-/// reference sheets including step times, at the speed of the slower runners, with the idle gaps
-/// that keep waits short).
+/// reference specification including step times, at the speed of the slower runners, with the idle
+/// gaps that keep waits short).
 const PREFILL_RATE: f64 = 50_000.0;
-/// The number of concurrent streams that one decode runner carries with pauses well within what
-/// routes allow: with 48 streams a step takes about 8 ms.
+/// The number of concurrent streams that one decode runner serves with pauses between events well
+/// below the limits of the routes: with 48 streams a step takes about 8 ms.
 const STREAMS_PER_RUNNER: f64 = 48.0;
 /// The fraction of a decode runner's memory that streams may take on average.
 const MEMORY_FRACTION: f64 = 0.6;
@@ -27,8 +27,8 @@
 /// The maximum fraction of the runners that may change stage at the same time, and the number that
 /// may do so in any case.
 const MAX_SWITCHING: (f64, usize) = (0.2, 2);
-/// The averaging period of the demand. The mix swings within three seconds (reference sheets), and
-/// a change takes as long, so it must not follow every swing.
+/// The averaging period of the demand. The mix swings within three seconds (reference
+/// specification), and a change takes as long, so it must not follow every swing.
 const AVERAGING_PERIOD: Duration = Duration::from_secs(2);
 /// The minimum time that a runner stays in a stage.
 pub const DWELL: Duration = Duration::from_secs(15);
@@ -49,11 +49,11 @@
     /// Active streams.
     streams: u32,
     /// The memory that the streams take, in tokens.
-    held: u64,
+    stream_memory: u64,
     /// Moving averages: prompt tokens per second, streams, and their memory.
     rate: f64,
     mean_streams: f64,
-    mean_held: f64,
+    mean_stream_memory: f64,
 }
 
 impl Demand {
@@ -65,13 +65,13 @@
     /// Records the start of a stream that takes `tokens` of memory.
     pub fn begin(&mut self, tokens: u64) {
         self.streams += 1;
-        self.held += tokens;
+        self.stream_memory += tokens;
     }
 
     /// Records the end of a stream that started with `tokens`.
     pub fn end(&mut self, tokens: u64) {
         self.streams = self.streams.saturating_sub(1);
-        self.held = self.held.saturating_sub(tokens);
+        self.stream_memory = self.stream_memory.saturating_sub(tokens);
     }
 
     /// Updates the averages.
@@ -81,11 +81,11 @@
         if passed.is_zero() {
             return;
         }
-        let seen = self.tokens as f64 / passed.as_secs_f64();
+        let observed = self.tokens as f64 / passed.as_secs_f64();
         let gain = 1.0 - (-passed.as_secs_f64() / AVERAGING_PERIOD.as_secs_f64()).exp();
-        self.rate += (seen - self.rate) * gain;
+        self.rate += (observed - self.rate) * gain;
         self.mean_streams += (f64::from(self.streams) - self.mean_streams) * gain;
-        self.mean_held += (self.held as f64 - self.mean_held) * gain;
+        self.mean_stream_memory += (self.stream_memory as f64 - self.mean_stream_memory) * gain;
         self.tokens = 0;
         self.since = Some(now);
     }
@@ -138,7 +138,7 @@
     let free = max_switching.saturating_sub(switching);
     let nodes = nodes as f64;
     let by_streams = demand.mean_streams * nodes / STREAMS_PER_RUNNER;
-    let by_memory = demand.mean_held * nodes / (memory as f64 * MEMORY_FRACTION).max(1.0);
+    let by_memory = demand.mean_stream_memory * nodes / (memory as f64 * MEMORY_FRACTION).max(1.0);
     let needed_decode = (by_streams.max(by_memory).ceil() as usize).max(MIN_DECODE);
     let decode = counts.decode + counts.to_decode;
     if needed_decode > decode && counts.prefill > 1 {
--- a/lib/src/fleet/budget.rs
+++ b/lib/src/fleet/budget.rs
@@ -1,20 +1,21 @@
 //! One node's share of the retry budget of a service.
 //!
-//! The users bound the arrivals beyond each request's first, per service, in any time window and
-//! over all nodes. The nodes do not coordinate: each spends only what its own requests earn, plus
-//! its share of the allowance. A restarted node does not know what its former process has spent, so
-//! it gets no allowance for one window; otherwise a restart could spend a window's allowance twice.
+//! The platform bounds the extra arrivals at runners, which are those beyond each request's first,
+//! per service, in any time window and over all nodes. The nodes do not coordinate: each spends
+//! only what its own requests earn, plus its share of the allowance. A restarted node does not know
+//! what its former process has spent, so it gets no allowance for one window; otherwise a restart
+//! could spend a window's allowance twice.
 //!
-//! The users count the requests of a window, of the one before, or of the one half a window before,
-//! whichever has most. A node does the same with its own requests, for every window that has not
-//! ended: a node that looked at the last window alone could spend two bursts together that are
-//! slightly less than a window apart, although no window of the users contains both. Callers pick
-//! nodes at random, so the maxima of the nodes add up to the users' maximum.
+//! The platform counts the requests of a window, of the one before, or of the one half a window
+//! before, whichever has most. A node does the same with its own requests, for every window that
+//! has not ended: a node that looked at the last window alone could spend two bursts together that
+//! are slightly less than a window apart, although no window of the platform contains both. Callers
+//! pick nodes at random, so the maxima of the nodes add up to the platform's maximum.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The bounds in the users' configuration.
+/// The bounds in the platform's configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Extra arrivals per request.
@@ -25,7 +26,7 @@
     pub window: Duration,
 }
 
-/// The fraction of the bounds that is used. The rest covers requests that the users count in
+/// The fraction of the bounds that is used. The rest covers requests that the platform counts in
 /// another window than the node does, and calls that arrive after the node has given up on them.
 const USABLE_FRACTION: f64 = 0.7;
 
@@ -37,15 +38,15 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     bounds: Bounds,
-    began: Instant,
+    started_at: Instant,
     requests: VecDeque<Instant>,
     extras: VecDeque<Instant>,
 }
 
 impl Budget {
-    /// Creates a budget for a process started at `began`.
-    pub fn new(bounds: Bounds, began: Instant) -> Self {
-        Self { bounds, began, requests: VecDeque::new(), extras: VecDeque::new() }
+    /// Creates a budget for a process started at `started_at`.
+    pub fn new(bounds: Bounds, started_at: Instant) -> Self {
+        Self { bounds, started_at, requests: VecDeque::new(), extras: VecDeque::new() }
     }
 
     /// Records a request.
@@ -58,7 +59,7 @@
     /// nodes that share the allowance, including nodes that may be partitioned.
     pub fn take(&mut self, now: Instant, nodes: usize) -> bool {
         self.prune(now);
-        let window_passed = now.saturating_duration_since(self.began) >= self.bounds.window;
+        let window_passed = now.saturating_duration_since(self.started_at) >= self.bounds.window;
         let allowance =
             if window_passed { self.bounds.allowance / nodes.max(1) as f64 } else { 0.0 };
         let mut ages =
@@ -73,10 +74,10 @@
     /// Whether one more extra arrival fits into the window that started `age` ago.
     fn fits(&self, now: Instant, age: Duration, allowance: f64) -> bool {
         let (window, half) = (self.bounds.window, self.bounds.window / 2);
-        let spent = since(&self.extras, now, age);
+        let spent = count_since(&self.extras, now, age);
         let between = |from: Duration, to: Option<Duration>| {
-            let later = to.map_or(0, |to| since(&self.requests, now, to));
-            since(&self.requests, now, from) - later
+            let later = to.map_or(0, |to| count_since(&self.requests, now, to));
+            count_since(&self.requests, now, from) - later
         };
         let same = between(age, None);
         let half_before = between(age + half, age.checked_sub(half));
@@ -93,7 +94,7 @@
 }
 
 /// The number of entries of `times`, which is sorted, that are less than `age` old.
-fn since(times: &VecDeque<Instant>, now: Instant, age: Duration) -> usize {
+fn count_since(times: &VecDeque<Instant>, now: Instant, age: Duration) -> usize {
     let older = |at: &Instant| now.saturating_duration_since(*at) >= age;
     times.len() - times.partition_point(older)
 }
--- a/lib/src/fleet/deadline.rs
+++ b/lib/src/fleet/deadline.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 struct FirstAttempts {
     /// The shortest one.
-    least: Duration,
+    shortest: Duration,
     /// The mean.
     mean: Duration,
 }
@@ -78,10 +78,10 @@
         }
         if self.since_refresh >= REFRESH_INTERVAL && self.total >= MIN_SAMPLES {
             self.since_refresh = 0;
-            self.first = self.find_first();
+            self.first = self.find_first_attempts();
         }
         match self.first {
-            Some(first) if deadline < first.least => first.mean.saturating_sub(deadline),
+            Some(first) if deadline < first.shortest => first.mean.saturating_sub(deadline),
             _ => Duration::ZERO,
         }
     }
@@ -94,10 +94,10 @@
     }
 
     /// Searches downwards from the peak for the first nearly empty bin.
-    fn find_first(&self) -> Option<FirstAttempts> {
+    fn find_first_attempts(&self) -> Option<FirstAttempts> {
         let peak = (0..BINS).max_by(|a, b| self.density(*a).total_cmp(&self.density(*b)))?;
-        let least = self.density(peak) * MIN_DENSITY;
-        let end = (0..peak).rev().find(|at| self.density(*at) < least)? + 1;
+        let min_density = self.density(peak) * MIN_DENSITY;
+        let end = (0..peak).rev().find(|at| self.density(*at) < min_density)? + 1;
         let (mut sum, mut count) = (0.0, 0.0);
         for at in end..BINS {
             let middle = lower_end(at).as_secs_f64() * (1.0 + BIN_FACTOR) / 2.0;
@@ -105,7 +105,8 @@
             count += f64::from(self.counts[at]);
         }
         // A bin that is half empty may still begin with deadlines of first attempts.
-        let least = lower_end(end.saturating_sub(1));
-        (count > 0.0).then(|| FirstAttempts { least, mean: Duration::from_secs_f64(sum / count) })
+        let shortest = lower_end(end.saturating_sub(1));
+        (count > 0.0)
+            .then(|| FirstAttempts { shortest, mean: Duration::from_secs_f64(sum / count) })
     }
 }
--- a/lib/src/fleet/event.rs
+++ b/lib/src/fleet/event.rs
@@ -47,9 +47,9 @@
 
 /// The end of the first event: after its empty line, with either kind of line ending.
 fn end(bytes: &[u8]) -> Option<usize> {
-    let plain = memmem::find(bytes, b"\n\n").map(|at| at + 2);
-    let carriage = memmem::find(bytes, b"\r\n\r\n").map(|at| at + 4);
-    match (plain, carriage) {
+    let lf = memmem::find(bytes, b"\n\n").map(|at| at + 2);
+    let crlf = memmem::find(bytes, b"\r\n\r\n").map(|at| at + 4);
+    match (lf, crlf) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
     }
--- a/lib/src/fleet/health.rs
+++ b/lib/src/fleet/health.rs
@@ -15,7 +15,7 @@
     Failed,
     /// No connection, an incomplete answer, or an answer to another request.
     Broken,
-    /// The runner is not the intended one, or says that it leaves.
+    /// Another runner answers at the address, or the runner announces that it is leaving.
     Gone,
 }
 
--- a/lib/src/fleet/limit.rs
+++ b/lib/src/fleet/limit.rs
@@ -71,7 +71,7 @@
 
 impl Bucket {
     /// Creates an empty bucket: a node that starts to grant permits does not know what the previous
-    /// granter has granted last.
+    /// grantor has granted last.
     fn new(now: Instant) -> Self {
         Self { tokens: 0.0, at: now }
     }
@@ -81,11 +81,11 @@
         let filled = now.saturating_duration_since(self.at).as_secs_f64() * rate;
         self.tokens = (self.tokens + filled).min(BUCKET_CAPACITY.0 + BUCKET_CAPACITY.1 * rate);
         self.at = now;
-        let takes = self.tokens >= 1.0;
-        if takes {
+        let taken = self.tokens >= 1.0;
+        if taken {
             self.tokens -= 1.0;
         }
-        takes
+        taken
     }
 
     /// The time until a token is available.
@@ -141,8 +141,8 @@
     has_malformed: bool,
 }
 
-/// How long a token stays reserved. A window in which the users count requests can contain this
-/// much more of the rate.
+/// How long a token stays reserved. A window in which the platform counts requests can exceed the
+/// rate by what accumulates in this time.
 const RESERVATION_TTL: Duration = Duration::from_secs(1);
 /// The longest time after which a node that was denied a permit asks again.
 const MAX_WAIT: Duration = Duration::from_secs(2);
@@ -202,8 +202,7 @@
 
     /// Applies an announcement that another node has received.
     pub fn take_announcement(&mut self, announcement: Announcement) -> Option<Change> {
-        // An announcement that is passed back and forth would look newer by the time it was under
-        // way.
+        // Ages exclude the transit time, so an announcement that is passed back looks newer by it.
         let is_new = announcement.rate != self.rate();
         let is_newer = self.announcement.is_none_or(|last| announcement.at > last.at);
         if is_new && is_newer { self.set(announcement) } else { None }
@@ -228,17 +227,17 @@
 
     /// Reserves a token for a request that has been placed and will ask for its permit soon, or
     /// once its prompt has been prefilled elsewhere.
-    pub fn reserve(&mut self, part: f64, now: Instant) {
-        if self.rate().is_some() && self.take_token(part, now) {
+    pub fn reserve(&mut self, share: f64, now: Instant) {
+        if self.rate().is_some() && self.take_token(share, now) {
             self.reserved.push_back(now + RESERVATION_TTL);
         }
     }
 
-    /// Takes a token from the fraction `part` of the rate, if there is one. The runner is closed
+    /// Takes a token from the fraction `share` of the rate, if there is one. The runner is closed
     /// until the next token is available.
-    fn take_token(&mut self, part: f64, now: Instant) -> bool {
+    fn take_token(&mut self, share: f64, now: Instant) -> bool {
         let Some(rate) = self.rate() else { return true };
-        let rate = rate.per_second() * part;
+        let rate = rate.per_second() * share;
         let bucket = self.bucket.get_or_insert_with(|| Bucket::new(now));
         let filled = now.saturating_duration_since(bucket.at).as_secs_f64() * rate;
         self.waiting = (self.waiting - filled).max(0.0);
@@ -257,17 +256,17 @@
         false
     }
 
-    /// Grants a permit to send one request, out of the fraction `part` of the rate that this node
+    /// Grants a permit to send one request, out of the fraction `share` of the rate that this node
     /// may grant. Requesters that are denied one are given different times to ask again.
     ///
     /// # Errors
     /// Returns the time after which to ask again if there is no permit.
-    pub fn grant(&mut self, part: f64, now: Instant) -> Result<(), Duration> {
+    pub fn grant(&mut self, share: f64, now: Instant) -> Result<(), Duration> {
         let Some(rate) = self.rate() else { return Ok(()) };
-        if self.take_reserved(now) || self.take_token(part, now) {
+        if self.take_reserved(now) || self.take_token(share, now) {
             return Ok(());
         }
-        let rate = rate.per_second() * part;
+        let rate = rate.per_second() * share;
         let wait = self.opens_in(now);
         let behind = Duration::try_from_secs_f64(self.waiting / rate).unwrap_or(MAX_WAIT);
         self.waiting = (self.waiting + 1.0).min(rate * MAX_WAIT.as_secs_f64());
--- a/lib/src/fleet/route.rs
+++ b/lib/src/fleet/route.rs
@@ -63,7 +63,7 @@
     pub timeout: Duration,
     /// The time within which an answer is on time; for streams, the first event.
     pub objective: Duration,
-    /// The longest pause between events with which a stream is on time.
+    /// The longest pause between events for which a stream counts as on time.
     pub pause: Duration,
     /// The priority rank; 0 is the highest.
     pub rank: u8,
@@ -76,10 +76,10 @@
 }
 
 impl Route {
-    /// The service for a request, by a random number in `[0, 1)`.
+    /// The target service for a request, selected by weight with a random number in `[0, 1)`.
     pub fn service(&self, draw: f64) -> &ServiceId {
-        let whole: u32 = self.targets.iter().map(|t| t.weight).sum();
-        let mut left = draw * f64::from(whole);
+        let total: u32 = self.targets.iter().map(|t| t.weight).sum();
+        let mut left = draw * f64::from(total);
         for target in &self.targets {
             left -= f64::from(target.weight);
             if left < 0.0 {
