--- a/lib/src/fleet/digest.rs
+++ b/lib/src/fleet/digest.rs
@@ -1,5 +1,5 @@
-//! Detects by the digests in heartbeats that nodes have different knowledge, so that they compare
-//! it.
+//! Detects by the digests in heartbeats that the replicated state of nodes differs, so that they
+//! compare it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,7 +7,7 @@
 use crate::id::NodeId;
 
 /// How long another node's digest must differ before the nodes compare, and the minimum time
-/// between two comparisons. News reaches all nodes within a tenth of it.
+/// between two comparisons. Updates reach all nodes within a tenth of it.
 const MIN_DIFFERENCE: Duration = Duration::from_secs(1);
 /// The maximum number of differing nodes that are tracked: many more than send heartbeats to one
 /// node.
--- a/lib/src/fleet/fanout.rs
+++ b/lib/src/fleet/fanout.rs
@@ -13,7 +13,7 @@
 /// unreachable would block all others.
 const MIN_CONCURRENT: usize = 2;
 /// The bytes that a node sends concurrently: what 10 Mbit/s, the slowest link in the reference
-/// sheets, carry in 50 ms. Small copies need not wait for each other.
+/// specification, carries in 50 ms. Small copies need not wait for each other.
 const CONCURRENT_BYTES: usize = 64 << 10;
 
 /// The response to a waiting requester.
@@ -60,9 +60,9 @@
         self.sending += free;
         responses.extend(self.waiting.drain(..free).map(|waiter| (waiter, Response::Send)));
         if let Some(receiver) = receiver {
-            let stay = self.waiting.len() / 2;
-            let go = self.waiting.drain(stay..);
-            responses.extend(go.map(|waiter| (waiter, Response::Redirect(receiver))));
+            let kept = self.waiting.len() / 2;
+            let redirected = self.waiting.drain(kept..);
+            responses.extend(redirected.map(|waiter| (waiter, Response::Redirect(receiver))));
         }
         responses
     }
--- a/lib/src/fleet/outbox.rs
+++ b/lib/src/fleet/outbox.rs
@@ -30,15 +30,15 @@
         self.changes.insert(runner, Change { since: now, sent: None });
     }
 
-    /// Takes the changes for the next heartbeat, with their age. With `again`, includes changes
-    /// that were sent before. They are marked as sent.
-    pub fn take(&mut self, again: bool, now: Instant) -> Vec<(Tag, Duration)> {
+    /// Takes the changes for the next heartbeat, with their age. With `include_sent`, includes
+    /// changes that were sent before. They are marked as sent.
+    pub fn take(&mut self, include_sent: bool, now: Instant) -> Vec<(Tag, Duration)> {
         let mut due: Vec<(Option<Instant>, Tag)> =
             self.changes.iter().map(|(tag, change)| (change.sent, *tag)).collect();
         // Changes that have not been sent come first, then those that were sent longest ago.
         due.sort_unstable_by_key(|(sent, tag)| (*sent, tag.0));
         let new = due.iter().filter(|(sent, _)| sent.is_none()).count();
-        due.truncate(if again { new.max(MAX_REPEATED) } else { new }.min(MAX_CHANGES));
+        due.truncate(if include_sent { new.max(MAX_REPEATED) } else { new }.min(MAX_CHANGES));
         let mut taken = Vec::with_capacity(due.len());
         for (_, tag) in due {
             if let Some(change) = self.changes.get_mut(&tag) {
--- a/lib/src/fleet/quarantine/entry.rs
+++ b/lib/src/fleet/quarantine/entry.rs
@@ -38,7 +38,7 @@
     pub stage: Stage,
     /// The incarnations of runners that ended under the request.
     pub ends: SmallVec<[Tag; MAX_ENDS]>,
-    /// At how many of them its run had started.
+    /// The number of them at which its run had started.
     pub begun: u32,
     /// When the first of them ended.
     pub first: Instant,
@@ -66,8 +66,8 @@
         &self,
         others: &(impl Iterator<Item = &'a Entry> + Clone),
     ) -> usize {
-        let is_left = |life: &&Tag| !others.clone().any(|other| other.ends.contains(life));
-        self.ends.iter().filter(is_left).count()
+        let is_unexplained = |end: &&Tag| !others.clone().any(|other| other.ends.contains(end));
+        self.ends.iter().filter(is_unexplained).count()
     }
 
     pub(super) fn supersedes(&self, other: &Entry) -> bool {
--- a/lib/src/fleet/quarantine/mod.rs
+++ b/lib/src/fleet/quarantine/mod.rs
@@ -32,7 +32,7 @@
 const MAX_CONCURRENT: usize = 4;
 /// The maximum number of proposals that a node makes while others are undecided.
 const MAX_PROPOSED: usize = 16;
-/// The number of ends that confirm a proposal even if another request was at all of them too.
+/// The number of ends that confirm a proposal even if another request was running at all of them.
 const CERTAIN_ENDS: usize = 5;
 /// How long a request is refused after the last change, and how long other entries are kept.
 const RETENTION: Duration = Duration::from_secs(86_400);
@@ -162,7 +162,7 @@
         entry.unexplained_ends(&others) >= QUARANTINE_ENDS
     }
 
-    /// Moves a request to a state that was decided here. Returns `None` if it is in that state
+    /// Moves a request to a state that this node has decided. Returns `None` if it is in that state
     /// already or was not proposed.
     pub fn set(&mut self, request: &Fingerprint, stage: Stage, now: Instant) -> Option<Entry> {
         let entry = Entry { stage, since: now, ..self.get(request)?.clone() };
@@ -199,7 +199,7 @@
         true
     }
 
-    /// Confirmed entries are removed last.
+    /// Removes the oldest entry, and confirmed entries last.
     fn make_room(&mut self) {
         let order =
             |tracked: &Tracked| (tracked.entry.stage == Stage::Confirmed, tracked.entry.since);
@@ -210,9 +210,9 @@
 
     /// Takes the entries for the next message.
     pub fn take_updates(&mut self) -> Vec<Entry> {
-        let some = self.updates.len().min(MAX_ENTRIES_PER_MESSAGE);
-        let some: Vec<Fingerprint> = self.updates.drain(..some).collect();
-        some.iter().filter_map(|request| self.get(request).cloned()).collect()
+        let count = self.updates.len().min(MAX_ENTRIES_PER_MESSAGE);
+        let requests: Vec<Fingerprint> = self.updates.drain(..count).collect();
+        requests.iter().filter_map(|request| self.get(request).cloned()).collect()
     }
 
     /// Whether there is an entry that has not been sent in any message.
@@ -269,29 +269,33 @@
 
     /// Whether this node objects to an entry: it has answered the request since the first end.
     pub fn contradicts(&self, entry: &Entry) -> bool {
-        let against = matches!(entry.stage, Stage::Proposed | Stage::Confirmed);
-        against && self.answered.last(&entry.request).is_some_and(|at| at > entry.first)
+        let is_held = matches!(entry.stage, Stage::Proposed | Stage::Confirmed);
+        is_held && self.answered.last(&entry.request).is_some_and(|at| at > entry.first)
     }
 
     /// Removes expired entries and returns their requests.
     pub fn expire(&mut self, now: Instant) -> Vec<Fingerprint> {
-        let over =
+        let is_expired =
             |tracked: &Tracked| now.saturating_duration_since(tracked.entry.since) >= RETENTION;
-        let gone: Vec<Fingerprint> =
-            self.entries.iter().filter(|(_, tracked)| over(tracked)).map(|(r, _)| *r).collect();
-        self.entries.retain(|_, tracked| !over(tracked));
-        gone
+        let expired: Vec<Fingerprint> = self
+            .entries
+            .iter()
+            .filter(|(_, tracked)| is_expired(tracked))
+            .map(|(r, _)| *r)
+            .collect();
+        self.entries.retain(|_, tracked| !is_expired(tracked));
+        expired
     }
 
     /// A digest of all entries; zero if there are none.
     pub fn digest(&self, now: Instant) -> u64 {
-        let young =
+        let included =
             |entry: &&Entry| now.saturating_duration_since(entry.since) + DIGEST_MARGIN < RETENTION;
         let one = |entry: &Entry| {
             let seed = u64::from(entry.serial) << 8 | entry.stage as u64;
             stable_hash(seed, entry.request.as_bytes())
         };
-        self.entries().filter(young).fold(0, |sum, entry| sum ^ one(entry))
+        self.entries().filter(included).fold(0, |sum, entry| sum ^ one(entry))
     }
 
     /// Compares another node's digest with this node's. Returns whether they have differed long
--- a/lib/src/fleet/register_version.rs
+++ b/lib/src/fleet/register_version.rs
@@ -6,7 +6,7 @@
 
 /// The low bits of `order`, below the store's revision: they count the changes that a node makes
 /// without the store, such as removing an entry that did not come back after an outage.
-const OWN_BITS: u32 = 16;
+const LOCAL_BITS: u32 = 16;
 
 /// The version of a node's copy of the runner register: the era of the store, then an order within
 /// the era that increases with the store's revision.
@@ -21,18 +21,18 @@
 impl RegisterVersion {
     /// The version for a change of the store.
     pub fn of(point: Point) -> Self {
-        Self { era: point.era, order: point.revision.0 << OWN_BITS }
+        Self { era: point.era, order: point.revision.0 << LOCAL_BITS }
     }
 
-    /// At least the version of a store without any change, which is later than the version of an
-    /// unknown register.
+    /// Returns this version or, if it is unknown, the version of a store without any change, which
+    /// is later.
     pub fn or_first(self) -> Self {
         Self { order: self.order.max(1), ..self }
     }
 
     /// The store's change that the version belongs to.
     pub fn point(self) -> Point {
-        Point::new(self.era, self.order >> OWN_BITS)
+        Point::new(self.era, self.order >> LOCAL_BITS)
     }
 
     /// The next version.
--- a/lib/src/fleet/roster.rs
+++ b/lib/src/fleet/roster.rs
@@ -40,8 +40,8 @@
 /// The minimum time between computations of the watchers of this node and of the nodes it watches:
 /// each examines every pair of nodes.
 const WATCHERS_PERIOD: Duration = Duration::from_secs(1);
-/// The time between ticks from which this process counts as stalled, so that its own silence
-/// explains why it heard nobody.
+/// The time between ticks from which this process counts as stalled, so that the stall explains why
+/// it heard from no other.
 const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
 /// Whether a node accepts callers.
@@ -95,8 +95,8 @@
     pub served: bool,
     /// The number of the node's own change. A later one supersedes an earlier one.
     pub serial: u32,
-    /// Whether it has been silent since. This supersedes what the node has said itself, until it
-    /// sends a later serial.
+    /// Whether it has been reported as silent since. This supersedes what the node has said itself,
+    /// until it sends a later serial.
     pub silent: bool,
 }
 
@@ -105,7 +105,7 @@
         (self.contact.incarnation, self.serial, self.silent)
     }
 
-    /// A hash of the record for the digest. Nodes that are silent or only known by name are
+    /// A hash of the record for the digest. Nodes that are silent or only known from the store are
     /// excluded, as nodes remove them at different times.
     fn digest(&self) -> u64 {
         if self.silent {
@@ -224,8 +224,8 @@
             return false;
         }
         let was = &member.record;
-        let life = (was.contact.incarnation, was.silent);
-        self.changed |= life != (record.contact.incarnation, record.silent);
+        let previous = (was.contact.incarnation, was.silent);
+        self.changed |= previous != (record.contact.incarnation, record.silent);
         if was.contact.incarnation != record.contact.incarnation {
             (member.status, member.heard) = (Status::default(), None);
         }
@@ -278,8 +278,8 @@
 
     /// Takes the records for the next heartbeat.
     pub fn take_updates(&mut self) -> Vec<Record> {
-        let some = self.updates.len().min(MAX_RECORDS);
-        self.updates.drain(..some).collect()
+        let count = self.updates.len().min(MAX_RECORDS);
+        self.updates.drain(..count).collect()
     }
 
     /// Whether there are records that have not been sent in any heartbeat.
@@ -289,8 +289,8 @@
 
     /// A sample of the present nodes, for a node that knows no other.
     pub fn sample<R: Rng>(&self, rng: &mut R) -> Vec<Record> {
-        let there = self.present().map(|m| m.record.clone());
-        there.sample(rng, MAX_RECORDS - 1)
+        let present = self.present().map(|m| m.record.clone());
+        present.sample(rng, MAX_RECORDS - 1)
     }
 
     /// A digest of all present nodes.
@@ -308,8 +308,8 @@
 
     /// The records of all present nodes, for another node.
     pub fn records(&self) -> Vec<Record> {
-        let there = self.members.values().map(|m| &m.record).filter(|record| !record.silent);
-        std::iter::once(&self.me).chain(there).cloned().collect()
+        let present = self.members.values().map(|m| &m.record).filter(|record| !record.silent);
+        std::iter::once(&self.me).chain(present).cloned().collect()
     }
 
     /// The addresses to which this node sends heartbeats.
@@ -326,7 +326,8 @@
         if self.changed && (due || self.members.len() <= WATCHERS) {
             self.choose_watchers(now);
         }
-        // A node that hears nobody is partitioned or was stalled, and cannot judge others.
+        // A node that hears from no other is partitioned or was stalled, and must not report others
+        // as silent.
         let isolated = self.heard.is_none_or(|at| now > at + PROBE_AFTER);
         if stalled || isolated {
             for member in self.members.values_mut() {
@@ -361,9 +362,9 @@
         self.changed = false;
         self.watched_at = Some(now);
         let key = |record: &Record| stable_hash(0, record.contact.id.as_str().as_bytes());
-        let there = self.members.values().filter(|m| !m.record.silent);
+        let present = self.members.values().filter(|m| !m.record.silent);
         let mut nodes: Vec<(u64, SocketAddr)> =
-            there.map(|m| (key(&m.record), m.record.contact.peer)).collect();
+            present.map(|m| (key(&m.record), m.record.contact.peer)).collect();
         let me = key(&self.me);
         let weight = |of: u64, watcher: u64| stable_hash(of, &watcher.to_le_bytes());
         // The number of other nodes that precede this one among the watchers of a node.
@@ -385,15 +386,15 @@
         self.members.len()
     }
 
-    /// The addresses of nodes that are silent or only known by name, which may have returned.
+    /// The addresses of nodes that are silent or only known from the store, which may be reachable.
     pub fn silent_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.members.values().filter(|m| m.record.silent).map(|m| m.record.contact.peer)
     }
 
-    /// The present nodes that the store answers, as far as known.
+    /// The present nodes to which the store responds, as far as known.
     pub fn served(&self) -> impl Iterator<Item = &NodeId> {
-        let there = self.present().filter(|m| m.record.served);
-        there.map(|m| &m.record.contact.id)
+        let served = self.present().filter(|m| m.record.served);
+        served.map(|m| &m.record.contact.id)
     }
 
     /// The present nodes.
@@ -416,12 +417,13 @@
     }
 
     /// The present nodes as a fraction of those that could be present, including this one. Nodes
-    /// that said that they leave are excluded; silent ones may be on the other side of a partition.
+    /// that announced that they are leaving are excluded; silent ones may be on the other side of a
+    /// partition.
     pub fn present_fraction(&self) -> f64 {
         let heard = self.members.values().filter(|m| m.record.serial > 0);
         let could = heard.filter(|m| m.record.standing != Standing::Leaving).count() + 1;
-        let there = self.present().filter(|m| m.record.standing != Standing::Leaving).count() + 1;
-        there.min(could) as f64 / could as f64
+        let present = self.present().filter(|m| m.record.standing != Standing::Leaving).count() + 1;
+        present.min(could) as f64 / could as f64
     }
 
     /// The last status that a node has sent itself.
--- a/lib/src/fleet/suspect.rs
+++ b/lib/src/fleet/suspect.rs
@@ -1,8 +1,11 @@
 //! Counts the runners that have ended while they ran a request.
 //!
+//! The *end* of a runner is the unexpected loss of its process, and it is an end *under* each
+//! request that was running there.
+//!
 //! When a runner ends, every request it was running is suspect, although at most one of them is the
 //! cause and often none. Progress distinguishes them: a request that crashes its runners gets no
-//! further on the next runner than on the last. A request that was there by coincidence continues
+//! further on the next runner than on the last. A request that was running by coincidence continues
 //! elsewhere, which clears it of the earlier ends.
 //!
 //! A request may arrive at any node, so two nodes count its ends for all: those with the highest
@@ -19,8 +22,8 @@
 use crate::hash::{rendezvous_weight, stable_hash};
 use crate::id::NodeId;
 
-/// The number of runners that must end under a request before it is held back. One or two can be a
-/// coincidence when a third of the runners is lost at once.
+/// The number of runners that must end under a request before its quarantine is proposed. One or
+/// two can be a coincidence when a third of the runners is lost at once.
 pub const QUARANTINE_ENDS: usize = 3;
 /// The number of nodes that count the ends of a request. The second one continues when the first is
 /// lost.
@@ -84,7 +87,7 @@
         self.last = now;
         if let Some(known) = self.ends.iter_mut().find(|known| known.incarnation == end.incarnation)
         {
-            // Two runs of the request were there; the furthest progress counts.
+            // Two runs of the request were on this runner; the furthest progress counts.
             known.progress.events = known.progress.events.max(end.progress.events);
             known.progress.begun |= end.progress.begun;
             return;
@@ -142,10 +145,10 @@
         self.0.remove(request);
     }
 
-    /// Removes ends that one request accounts for from all other requests.
-    pub fn discount(&mut self, incarnations: &[Tag], but: &Fingerprint) {
+    /// Removes the ends that the request `except` accounts for from all other requests.
+    pub fn discount(&mut self, incarnations: &[Tag], except: &Fingerprint) {
         for (request, suspect) in &mut self.0 {
-            if request != but {
+            if request != except {
                 suspect.ends.retain(|end| !incarnations.contains(&end.incarnation));
             }
         }
--- a/lib/src/scale/need.rs
+++ b/lib/src/scale/need.rs
@@ -28,7 +28,7 @@
 pub struct RequiredCapacity {
     /// The number of runners.
     pub count: u32,
-    /// Whether the number is known well enough to give runners back.
+    /// Whether the number is known well enough to release runners.
     pub is_stable: bool,
 }
 
--- a/lib/src/scale/plan.rs
+++ b/lib/src/scale/plan.rs
@@ -1,9 +1,11 @@
-//! Decides how many runners to order in each data centre, from the required and the present capacity.
+//! Decides how many runners to order in each data centre, from the required and the available
+//! capacity.
 //!
-//! Runners are billed by the second. Reclaimable runners cost a fraction of the price of regular ones,
-//! but all reclaimable runners of a data centre can be taken back at once. So reclaimable runners carry
-//! the load, spread such that the loss of those of one data centre leaves the required capacity, and a
-//! few regular runners stay in each data centre. A number is lowered only once the replacements serve.
+//! Runners are billed by the second. Reclaimable runners cost a fraction of the price of regular
+//! ones, but the platform can reclaim all of those in a data centre at once. So reclaimable runners
+//! carry the load, spread such that the loss of those of one data centre leaves the required
+//! capacity, and a few regular runners stay in each data centre. The number of regular runners is
+//! lowered only once their replacements take work.
 
 use std::time::{Duration, Instant};
 
@@ -28,9 +30,9 @@
 /// The kind of a runner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// Stays until it is given back.
+    /// Stays until it is released.
     Regular,
-    /// Can be taken back by the platform at any time.
+    /// Can be reclaimed by the platform at any time.
     Reclaimable,
 }
 
@@ -55,7 +57,7 @@
 }
 
 /// The share of regular runners, with at least one in each data centre. They keep serving when all
-/// others are taken back at once.
+/// others are reclaimed at once.
 const REGULAR_SHARE: f64 = 0.06;
 /// How long after an order failed for lack of runners it is repeated in that data centre.
 const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_millis(2_000);
@@ -123,7 +125,7 @@
                 self.increase(&inputs, wanted, &mut orders);
             }
         }
-        // A regular runner may be given back only for a reclaimable one that already serves.
+        // A regular runner may be released only for a reclaimable one that already serves.
         let replacements: u32 = supply.iter().map(|s| s.serving[1]).sum();
         let spare = serving.saturating_sub(need).min(replacements);
         let mut spare = if required.is_stable { spare } else { 0 };
--- a/lib/src/usage/ledger.rs
+++ b/lib/src/usage/ledger.rs
@@ -4,10 +4,10 @@
 //! afterwards. A write succeeds only against the revision that it is based on. If two nodes both act
 //! as reporter, only one of them settles a window, and both report the counts that it wrote.
 //!
-//! When the store is restored from a copy, the ledger can lack the windows that were settled last,
-//! which may already have been reported. The node that settled them still has them and continues. Any
-//! other node skips all windows that had ended by then, because a second, different total for a window
-//! would be wrong.
+//! When the store is restored from a backup, the ledger can lack the windows that were settled
+//! last, which may already have been reported. The node that settled them still has them and
+//! continues. Any other node skips all windows that had ended by then, because a second, different
+//! total for a window would be wrong.
 
 use serde::{Deserialize, Serialize};
 
@@ -46,9 +46,9 @@
         Self { next, waiting: Vec::new(), era: None }
     }
 
-    /// Whether the ledger contains everything that was settled up to era `present`. A ledger that was
-    /// written before the store was restored from a copy may lack windows. `was_restored` says
-    /// whether the store is known to have been restored.
+    /// Whether the ledger contains everything that was settled up to era `present`. A ledger that
+    /// was written before the store was restored from a backup may lack windows. `was_restored`
+    /// says whether the store is known to have been restored.
     pub fn is_complete(&self, present: Era, was_restored: bool) -> bool {
         self.era.map_or(!was_restored, |era| era == present)
     }
