--- a/lib/src/fleet/cache.rs
+++ b/lib/src/fleet/cache.rs
@@ -1,9 +1,9 @@
 //! An estimate of the prompt prefixes that a runner has cached, from the prompts sent to it.
 //!
 //! A prompt is a chain of parts. A runner keeps the parts it has prefilled until memory runs out,
-//! and evicts the least recently used ones first. Each node knows what it sent itself and hears
-//! what others sent, so all nodes reach similar estimates without querying any runner. The estimate
-//! is a hint: an error costs time, never an answer.
+//! and evicts the least recently used ones first. Each node knows what it sent itself and is
+//! informed of what others sent, so all nodes reach similar estimates without querying any runner.
+//! The estimate is a hint: an error costs time, never an answer.
 //!
 //! A part counts as cached from the moment it is sent for prefill. Requests with a long common part
 //! arrive close together; one that is sent to the runner that is prefilling the part waits for it
--- a/lib/src/fleet/quarantine/mod.rs
+++ b/lib/src/fleet/quarantine/mod.rs
@@ -203,9 +203,9 @@
     fn make_room(&mut self) {
         let order =
             |tracked: &Tracked| (tracked.entry.stage == Stage::Confirmed, tracked.entry.since);
-        let least = self.entries.iter().min_by_key(|(_, tracked)| order(tracked));
-        let least = least.map(|(request, _)| *request);
-        least.map(|request| self.entries.remove(&request));
+        let victim = self.entries.iter().min_by_key(|(_, tracked)| order(tracked));
+        let victim = victim.map(|(request, _)| *request);
+        victim.map(|request| self.entries.remove(&request));
     }
 
     /// Takes the entries for the next message.
--- a/lib/src/fleet/register.rs
+++ b/lib/src/fleet/register.rs
@@ -266,8 +266,8 @@
         service: &'a ServiceId,
         now: Instant,
     ) -> impl Iterator<Item = &'a RunnerId> {
-        let some = self.of(service).filter(move |r| !r.back_off.is_over(now));
-        some.map(|runner| &runner.entry.id)
+        let backing_off = self.of(service).filter(move |r| !r.back_off.is_over(now));
+        backing_off.map(|runner| &runner.entry.id)
     }
 
     /// Records that work starts at a runner. Returns the registration to which it is attributed, or
--- a/lib/src/fleet/roster.rs
+++ b/lib/src/fleet/roster.rs
@@ -121,8 +121,8 @@
     record: Record,
     /// The last status that the node has sent itself.
     status: Status,
-    /// When the node was last heard directly.
-    heard: Option<Instant>,
+    /// When its last heartbeat arrived.
+    last_heard: Option<Instant>,
     /// When the record arrived.
     since: Instant,
     /// Since when this node is one of its watchers; `None` if it is not.
@@ -145,8 +145,8 @@
     watched_at: Option<Instant>,
     changed: bool,
     last_tick: Option<Instant>,
-    /// When this node last heard any other.
-    heard: Option<Instant>,
+    /// When this node last received a heartbeat.
+    last_heard: Option<Instant>,
     /// The nodes whose lists differ from this node's.
     differences: Differences,
 }
@@ -163,7 +163,7 @@
             watched_at: None,
             changed: true,
             last_tick: None,
-            heard: None,
+            last_heard: None,
             differences: Differences::default(),
         }
     }
@@ -184,8 +184,8 @@
         true
     }
 
-    /// Adds a node that was read from the store and has not been heard yet. Returns whether it was
-    /// unknown.
+    /// Adds a node that was read from the store and of which no record has arrived yet. Returns
+    /// whether it was unknown.
     pub fn add_unheard(&mut self, contact: Contact, now: Instant) -> bool {
         if contact.id == self.me.contact.id || self.members.contains_key(&contact.id) {
             return false;
@@ -199,8 +199,9 @@
     fn insert(&mut self, record: Record, now: Instant) {
         let status =
             Status { standing: record.standing, served: record.served, ..Status::default() };
-        let (heard, watched, probed_at) = (None, None, None);
-        let member = Member { record, status, heard, since: now, watched, probes: 0, probed_at };
+        let (last_heard, watched, probed_at) = (None, None, None);
+        let member =
+            Member { record, status, last_heard, since: now, watched, probes: 0, probed_at };
         self.members.insert(member.record.contact.id.clone(), member);
         self.changed = true;
     }
@@ -212,7 +213,7 @@
             return self.refute(record);
         }
         let Some(member) = self.members.get_mut(&record.contact.id) else {
-            // A node that is first heard of as silent is not added.
+            // A node that is first reported as silent is not added.
             if record.silent {
                 return false;
             }
@@ -227,7 +228,7 @@
         let previous = (was.contact.incarnation, was.silent);
         self.changed |= previous != (record.contact.incarnation, record.silent);
         if was.contact.incarnation != record.contact.incarnation {
-            (member.status, member.heard) = (Status::default(), None);
+            (member.status, member.last_heard) = (Status::default(), None);
         }
         member.status.standing = record.standing;
         member.status.served = record.served;
@@ -256,11 +257,11 @@
     /// Applies a heartbeat: the sender's record and status. Returns whether the record is new.
     pub fn apply_heartbeat(&mut self, record: &Record, status: Status, now: Instant) -> bool {
         let new = self.apply_record(record, now);
-        self.heard = Some(now);
+        self.last_heard = Some(now);
         if let Some(member) = self.members.get_mut(&record.contact.id)
             && member.record.contact.incarnation == record.contact.incarnation
         {
-            member.heard = Some(now);
+            member.last_heard = Some(now);
             (member.probes, member.probed_at) = (0, None);
             member.status.version = member.status.version.max(status.version);
             member.status.register = member.status.register.max(status.register);
@@ -328,7 +329,7 @@
         }
         // A node that hears from no other is partitioned or was stalled, and must not report others
         // as silent.
-        let isolated = self.heard.is_none_or(|at| now > at + PROBE_AFTER);
+        let isolated = self.last_heard.is_none_or(|at| now > at + PROBE_AFTER);
         if stalled || isolated {
             for member in self.members.values_mut() {
                 member.watched = member.watched.map(|_| now);
@@ -338,7 +339,7 @@
         let (mut to_probe, mut silent) = (Vec::new(), Vec::new());
         for member in self.members.values_mut() {
             let Some(watched) = member.watched.filter(|_| !member.record.silent) else { continue };
-            let heard = member.heard.map_or(watched, |at| at.max(watched)).max(member.since);
+            let heard = member.last_heard.map_or(watched, |at| at.max(watched)).max(member.since);
             let overdue = now > heard + PROBE_AFTER;
             if !overdue || member.probed_at.is_some_and(|at| now < at + PROBE_INTERVAL) {
                 continue;
@@ -420,8 +421,8 @@
     /// that announced that they are leaving are excluded; silent ones may be on the other side of a
     /// partition.
     pub fn present_fraction(&self) -> f64 {
-        let heard = self.members.values().filter(|m| m.record.serial > 0);
-        let could = heard.filter(|m| m.record.standing != Standing::Leaving).count() + 1;
+        let known = self.members.values().filter(|m| m.record.serial > 0);
+        let could = known.filter(|m| m.record.standing != Standing::Leaving).count() + 1;
         let present = self.present().filter(|m| m.record.standing != Standing::Leaving).count() + 1;
         present.min(could) as f64 / could as f64
     }
@@ -454,9 +455,10 @@
 
     /// Removes nodes that have been silent for longer than `limit`, and returns their ids.
     pub fn forget(&mut self, now: Instant, limit: Duration) -> Vec<NodeId> {
-        let gone = |m: &Member| m.record.silent && now.saturating_duration_since(m.since) > limit;
+        let is_expired =
+            |m: &Member| m.record.silent && now.saturating_duration_since(m.since) > limit;
         let ids: Vec<NodeId> =
-            self.members.iter().filter(|(_, m)| gone(m)).map(|(id, _)| id.clone()).collect();
+            self.members.iter().filter(|(_, m)| is_expired(m)).map(|(id, _)| id.clone()).collect();
         for id in &ids {
             self.members.remove(id);
         }
--- a/lib/src/fleet/suspect.rs
+++ b/lib/src/fleet/suspect.rs
@@ -129,9 +129,9 @@
         let age = |suspect: &Suspect| now.saturating_duration_since(suspect.last);
         self.0.retain(|_, s| s.ends.len() > 1 || age(s) < SHORT_RETENTION);
         if self.0.len() >= MAX_SUSPECTS {
-            let least = self.0.iter().min_by_key(|(_, s)| (s.ends.len(), s.last));
-            let least = least.map(|(request, _)| *request);
-            least.map(|request| self.0.remove(&request));
+            let victim = self.0.iter().min_by_key(|(_, s)| (s.ends.len(), s.last));
+            let victim = victim.map(|(request, _)| *request);
+            victim.map(|request| self.0.remove(&request));
         }
     }
 
--- a/lib/src/usage/collection.rs
+++ b/lib/src/usage/collection.rs
@@ -201,8 +201,8 @@
         return 0.0;
     }
     let Some(ended) = ended_at else { return 1.0 };
-    // Between its last message and the start of the next incarnation it may have been partitioned and
-    // have gone on counting.
+    // Between its last message and the start of the next incarnation it may have been partitioned
+    // and have continued to count.
     let from = state.last_message_at.unwrap_or_default().max(start);
     let unreported = ended.min(end).saturating_sub(from).max(MAX_UNSENT);
     (unreported.as_secs_f64() / windows.length().as_secs_f64()).min(1.0)
