--- a/lib/src/fleet/health.rs
+++ b/lib/src/fleet/health.rs
@@ -15,7 +15,7 @@
     Failed,
     /// No connection, an incomplete answer, or an answer to another request.
     Broken,
-    /// The runner is not the intended one, or says that it leaves.
+    /// Another runner answers at the address, or the runner announces that it is leaving.
     Gone,
 }
 
@@ -101,7 +101,7 @@
     }
 
     /// The rate of failures in recent work, from 0 to 1.
-    pub fn failing(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 }
--- a/lib/src/fleet/roster.rs
+++ b/lib/src/fleet/roster.rs
@@ -40,8 +40,8 @@
 /// The minimum time between computations of the watchers of this node and of the nodes it watches:
 /// each examines every pair of nodes.
 const WATCHERS_PERIOD: Duration = Duration::from_secs(1);
-/// The time between ticks from which this process counts as stalled, so that its own silence
-/// explains why it heard nobody.
+/// The time between ticks from which this process counts as stalled, so that the stall explains why
+/// it heard from no other.
 const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
 /// Whether a node accepts callers.
@@ -95,8 +95,8 @@
     pub served: bool,
     /// The number of the node's own change. A later one supersedes an earlier one.
     pub serial: u32,
-    /// Whether it has been silent since. This supersedes what the node has said itself, until it
-    /// sends a later serial.
+    /// Whether it has been reported as silent since. This supersedes what the node has said itself,
+    /// until it sends a later serial.
     pub silent: bool,
 }
 
@@ -105,7 +105,7 @@
         (self.contact.incarnation, self.serial, self.silent)
     }
 
-    /// A hash of the record for the digest. Nodes that are silent or only known by name are
+    /// A hash of the record for the digest. Nodes that are silent or only known from the store are
     /// excluded, as nodes remove them at different times.
     fn digest(&self) -> u64 {
         if self.silent {
@@ -121,8 +121,8 @@
     record: Record,
     /// The last status that the node has sent itself.
     status: Status,
-    /// When the node was last heard directly.
-    heard: Option<Instant>,
+    /// When its last heartbeat arrived.
+    last_heard: Option<Instant>,
     /// When the record arrived.
     since: Instant,
     /// Since when this node is one of its watchers; `None` if it is not.
@@ -145,8 +145,8 @@
     watched_at: Option<Instant>,
     changed: bool,
     last_tick: Option<Instant>,
-    /// When this node last heard any other.
-    heard: Option<Instant>,
+    /// When this node last received a heartbeat.
+    last_heard: Option<Instant>,
     /// The nodes whose lists differ from this node's.
     differences: Differences,
 }
@@ -163,7 +163,7 @@
             watched_at: None,
             changed: true,
             last_tick: None,
-            heard: None,
+            last_heard: None,
             differences: Differences::default(),
         }
     }
@@ -184,8 +184,8 @@
         true
     }
 
-    /// Adds a node that was read from the store and has not been heard yet. Returns whether it was
-    /// unknown.
+    /// Adds a node that was read from the store and of which no record has arrived yet. Returns
+    /// whether it was unknown.
     pub fn add_unheard(&mut self, contact: Contact, now: Instant) -> bool {
         if contact.id == self.me.contact.id || self.members.contains_key(&contact.id) {
             return false;
@@ -199,8 +199,9 @@
     fn insert(&mut self, record: Record, now: Instant) {
         let status =
             Status { standing: record.standing, served: record.served, ..Status::default() };
-        let (heard, watched, probed_at) = (None, None, None);
-        let member = Member { record, status, heard, since: now, watched, probes: 0, probed_at };
+        let (last_heard, watched, probed_at) = (None, None, None);
+        let member =
+            Member { record, status, last_heard, since: now, watched, probes: 0, probed_at };
         self.members.insert(member.record.contact.id.clone(), member);
         self.changed = true;
     }
@@ -212,7 +213,7 @@
             return self.refute(record);
         }
         let Some(member) = self.members.get_mut(&record.contact.id) else {
-            // A node that is first heard of as silent is not added.
+            // A node that is first reported as silent is not added.
             if record.silent {
                 return false;
             }
@@ -224,10 +225,10 @@
             return false;
         }
         let was = &member.record;
-        let life = (was.contact.incarnation, was.silent);
-        self.changed |= life != (record.contact.incarnation, record.silent);
+        let previous = (was.contact.incarnation, was.silent);
+        self.changed |= previous != (record.contact.incarnation, record.silent);
         if was.contact.incarnation != record.contact.incarnation {
-            (member.status, member.heard) = (Status::default(), None);
+            (member.status, member.last_heard) = (Status::default(), None);
         }
         member.status.standing = record.standing;
         member.status.served = record.served;
@@ -256,11 +257,11 @@
     /// Applies a heartbeat: the sender's record and status. Returns whether the record is new.
     pub fn apply_heartbeat(&mut self, record: &Record, status: Status, now: Instant) -> bool {
         let new = self.apply_record(record, now);
-        self.heard = Some(now);
+        self.last_heard = Some(now);
         if let Some(member) = self.members.get_mut(&record.contact.id)
             && member.record.contact.incarnation == record.contact.incarnation
         {
-            member.heard = Some(now);
+            member.last_heard = Some(now);
             (member.probes, member.probed_at) = (0, None);
             member.status.version = member.status.version.max(status.version);
             member.status.register = member.status.register.max(status.register);
@@ -278,8 +279,8 @@
 
     /// Takes the records for the next heartbeat.
     pub fn take_updates(&mut self) -> Vec<Record> {
-        let some = self.updates.len().min(MAX_RECORDS);
-        self.updates.drain(..some).collect()
+        let count = self.updates.len().min(MAX_RECORDS);
+        self.updates.drain(..count).collect()
     }
 
     /// Whether there are records that have not been sent in any heartbeat.
@@ -289,8 +290,8 @@
 
     /// A sample of the present nodes, for a node that knows no other.
     pub fn sample<R: Rng>(&self, rng: &mut R) -> Vec<Record> {
-        let there = self.present().map(|m| m.record.clone());
-        there.sample(rng, MAX_RECORDS - 1)
+        let present = self.present().map(|m| m.record.clone());
+        present.sample(rng, MAX_RECORDS - 1)
     }
 
     /// A digest of all present nodes.
@@ -308,8 +309,8 @@
 
     /// The records of all present nodes, for another node.
     pub fn records(&self) -> Vec<Record> {
-        let there = self.members.values().map(|m| &m.record).filter(|record| !record.silent);
-        std::iter::once(&self.me).chain(there).cloned().collect()
+        let present = self.members.values().map(|m| &m.record).filter(|record| !record.silent);
+        std::iter::once(&self.me).chain(present).cloned().collect()
     }
 
     /// The addresses to which this node sends heartbeats.
@@ -326,8 +327,9 @@
         if self.changed && (due || self.members.len() <= WATCHERS) {
             self.choose_watchers(now);
         }
-        // A node that hears nobody is partitioned or was stalled, and cannot judge others.
-        let isolated = self.heard.is_none_or(|at| now > at + PROBE_AFTER);
+        // A node that hears from no other is partitioned or was stalled, and must not report others
+        // as silent.
+        let isolated = self.last_heard.is_none_or(|at| now > at + PROBE_AFTER);
         if stalled || isolated {
             for member in self.members.values_mut() {
                 member.watched = member.watched.map(|_| now);
@@ -337,7 +339,7 @@
         let (mut to_probe, mut silent) = (Vec::new(), Vec::new());
         for member in self.members.values_mut() {
             let Some(watched) = member.watched.filter(|_| !member.record.silent) else { continue };
-            let heard = member.heard.map_or(watched, |at| at.max(watched)).max(member.since);
+            let heard = member.last_heard.map_or(watched, |at| at.max(watched)).max(member.since);
             let overdue = now > heard + PROBE_AFTER;
             if !overdue || member.probed_at.is_some_and(|at| now < at + PROBE_INTERVAL) {
                 continue;
@@ -361,9 +363,9 @@
         self.changed = false;
         self.watched_at = Some(now);
         let key = |record: &Record| stable_hash(0, record.contact.id.as_str().as_bytes());
-        let there = self.members.values().filter(|m| !m.record.silent);
+        let present = self.members.values().filter(|m| !m.record.silent);
         let mut nodes: Vec<(u64, SocketAddr)> =
-            there.map(|m| (key(&m.record), m.record.contact.peer)).collect();
+            present.map(|m| (key(&m.record), m.record.contact.peer)).collect();
         let me = key(&self.me);
         let weight = |of: u64, watcher: u64| stable_hash(of, &watcher.to_le_bytes());
         // The number of other nodes that precede this one among the watchers of a node.
@@ -385,15 +387,15 @@
         self.members.len()
     }
 
-    /// The addresses of nodes that are silent or only known by name, which may have returned.
+    /// The addresses of nodes that are silent or only known from the store, which may be reachable.
     pub fn silent_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.members.values().filter(|m| m.record.silent).map(|m| m.record.contact.peer)
     }
 
-    /// The present nodes that the store answers, as far as known.
+    /// The present nodes to which the store responds, as far as known.
     pub fn served(&self) -> impl Iterator<Item = &NodeId> {
-        let there = self.present().filter(|m| m.record.served);
-        there.map(|m| &m.record.contact.id)
+        let served = self.present().filter(|m| m.record.served);
+        served.map(|m| &m.record.contact.id)
     }
 
     /// The present nodes.
@@ -416,12 +418,13 @@
     }
 
     /// The present nodes as a fraction of those that could be present, including this one. Nodes
-    /// that said that they leave are excluded; silent ones may be on the other side of a partition.
+    /// that announced that they are leaving are excluded; silent ones may be on the other side of a
+    /// partition.
     pub fn present_fraction(&self) -> f64 {
-        let heard = self.members.values().filter(|m| m.record.serial > 0);
-        let could = heard.filter(|m| m.record.standing != Standing::Leaving).count() + 1;
-        let there = self.present().filter(|m| m.record.standing != Standing::Leaving).count() + 1;
-        there.min(could) as f64 / could as f64
+        let known = self.members.values().filter(|m| m.record.serial > 0);
+        let could = known.filter(|m| m.record.standing != Standing::Leaving).count() + 1;
+        let present = self.present().filter(|m| m.record.standing != Standing::Leaving).count() + 1;
+        present.min(could) as f64 / could as f64
     }
 
     /// The last status that a node has sent itself.
@@ -452,9 +455,10 @@
 
     /// Removes nodes that have been silent for longer than `limit`, and returns their ids.
     pub fn forget(&mut self, now: Instant, limit: Duration) -> Vec<NodeId> {
-        let gone = |m: &Member| m.record.silent && now.saturating_duration_since(m.since) > limit;
+        let is_expired =
+            |m: &Member| m.record.silent && now.saturating_duration_since(m.since) > limit;
         let ids: Vec<NodeId> =
-            self.members.iter().filter(|(_, m)| gone(m)).map(|(id, _)| id.clone()).collect();
+            self.members.iter().filter(|(_, m)| is_expired(m)).map(|(id, _)| id.clone()).collect();
         for id in &ids {
             self.members.remove(id);
         }
