--- a/node/src/back_off/mod.rs
+++ b/node/src/back_off/mod.rs
@@ -29,13 +29,13 @@
     /// Records that a runner rejected `request`, and for how long the runner is to be avoided.
     pub fn note_refused(
         &self,
-        stay: &Registration,
+        registration: &Registration,
         request: &str,
         after: Result<Duration, DecimalError>,
     ) {
         let now = self.clock.now();
         let mut register = lock(&self.register);
-        let Some(runner) = register.registered_mut(stay) else { return };
+        let Some(runner) = register.registered_mut(registration) else { return };
         let outcome = match &after {
             Ok(after) if runner.back_off.note(*after, now) => "begun",
             Ok(_) => "extended",
@@ -46,11 +46,11 @@
         self.metrics.back_offs.with_label_values(&[outcome]).inc();
         match after {
             Ok(after) => log::info!(
-                runner:% = stay.id, request = request, after_ms = after.as_millis() as u64;
+                runner:% = registration.id, request = request, after_ms = after.as_millis() as u64;
                 "backing off from a runner"
             ),
             Err(error) => log::warn!(
-                runner:% = stay.id, request = request, error:% = error;
+                runner:% = registration.id, request = request, error:% = error;
                 "time to back off is not taken"
             ),
         }
--- a/node/src/dispatch/mod.rs
+++ b/node/src/dispatch/mod.rs
@@ -38,7 +38,7 @@
     pub runner: &'a RunnerId,
     /// The runner instance that the request is counted against; `None` if the runner is no longer
     /// known.
-    pub stay: Option<&'a Registration>,
+    pub registration: Option<&'a Registration>,
     /// Its address.
     pub address: SocketAddr,
 }
@@ -54,19 +54,19 @@
         id: &str,
         request: Request<Bytes>,
     ) -> Result<Answer, SendError> {
-        let Target { runner, stay, address } = target;
+        let Target { runner, registration, address } = target;
         let permit = self.limiter.acquire(runner).await;
         permit.map_err(|denied| SendError::RateLimited { peer: address, denied })?;
         let sent = self.clock.now();
         let answer = self.connections.send(address, request, CONNECT_TIMEOUT).await?;
         let headers = &answer.head.headers;
-        if let Some(stay) = stay.filter(|_| is_from(headers, runner, id)) {
-            self.limiter.note_answer(stay, id, sent, rate_limit(headers));
+        if let Some(registration) = registration.filter(|_| is_from(headers, runner, id)) {
+            self.limiter.note_answer(registration, id, sent, rate_limit(headers));
             if is_leaving(headers) {
-                self.drains.note_answer(stay, id);
+                self.drains.note_answer(registration, id);
             }
             if let Some(after) = back_off(answer.head.status, headers).transpose() {
-                self.back_offs.note_refused(stay, id, after);
+                self.back_offs.note_refused(registration, id, after);
             }
         }
         Ok(answer)
--- a/node/src/drain/mod.rs
+++ b/node/src/drain/mod.rs
@@ -36,14 +36,15 @@
     }
 
     /// Records that a runner announced its drain in its response to `request`.
-    pub fn note_answer(&self, stay: &Registration, request: &str) {
-        let is_new = lock(&self.register).registered_mut(stay).is_some_and(Runner::note_leaving);
+    pub fn note_answer(&self, registration: &Registration, request: &str) {
+        let is_new =
+            lock(&self.register).registered_mut(registration).is_some_and(Runner::note_leaving);
         if is_new {
             log::info!(
-                runner:% = stay.id, request = request, source = "answer";
+                runner:% = registration.id, request = request, source = "answer";
                 "runner leaves by its own word"
             );
-            self.queue_gossip(Tag::of(&stay.id, stay.born), "answer");
+            self.queue_gossip(Tag::of(&registration.id, registration.born), "answer");
         }
     }
 
--- a/node/src/duty/lease.rs
+++ b/node/src/duty/lease.rs
@@ -11,7 +11,7 @@
 use sardinepick_platform::store::{Object, ResponseError};
 use smol_str::SmolStr;
 
-use crate::history::EraTracker;
+use crate::era_tracker::EraTracker;
 use crate::serve::metrics::Metrics;
 use crate::serve::store::{Client, Purpose, StoreError};
 
@@ -44,7 +44,7 @@
 /// This node's handle on the lease of the duties.
 pub struct DutyLease {
     store: Arc<Client>,
-    history: Arc<EraTracker>,
+    era_tracker: Arc<EraTracker>,
     clock: Arc<dyn Clock>,
     metrics: Metrics,
     term: Term,
@@ -67,7 +67,7 @@
     /// the calls of two holders.
     pub fn new(
         store: Arc<Client>,
-        history: Arc<EraTracker>,
+        era_tracker: Arc<EraTracker>,
         clock: Arc<dyn Clock>,
         metrics: Metrics,
         holder: Holder,
@@ -76,7 +76,7 @@
         let term = Term { ttl: TTL, margin: call_gap + CALL_GAP_MARGIN };
         let lease = Lease::new(holder);
         let state = State { lease, last_wanted: None, last_read: None, failures: 0 };
-        Self { store, history, clock, metrics, term, state: Mutex::new(state) }
+        Self { store, era_tracker, clock, metrics, term, state: Mutex::new(state) }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -153,8 +153,8 @@
     }
 
     fn note_era(&self, lease: &mut Lease) {
-        if let Some(since) = self.history.since() {
-            lease.set_era(self.history.era(), since);
+        if let Some(since) = self.era_tracker.since() {
+            lease.set_era(self.era_tracker.era(), since);
         }
     }
 
@@ -202,7 +202,7 @@
             state.failures = 0;
         }
         let change = change(record, written);
-        self.metrics.leases.with_label_values(&[change]).inc();
+        self.metrics.lease_changes.with_label_values(&[change]).inc();
         if record.beat == 0 || record.holder.is_none() || !matches!(written, Written::Done(_)) {
             log::info!(
                 epoch:% = record.epoch, renewals = record.beat, written:? = written;
--- a/node/src/duty/view.rs
+++ b/node/src/duty/view.rs
@@ -20,8 +20,8 @@
 pub struct View {
     /// The highest-ranked nodes for the duties with their addresses, the first in rank in front.
     pub first: SmallVec<[(NodeInstance, SocketAddr); COLLECTORS]>,
-    /// All known process lives, including this node's own.
-    pub lives: Vec<NodeLifetime>,
+    /// The lifetimes of all known node processes, including this node's own.
+    pub lifetimes: Vec<NodeLifetime>,
 }
 
 impl View {
@@ -32,9 +32,9 @@
 
     /// Whether the process of a holder is known to have ended, because its node runs a later one.
     pub fn is_gone(&self, holder: &Holder) -> bool {
-        self.lives
-            .iter()
-            .any(|life| life.node == holder.name && life.incarnation > holder.incarnation)
+        self.lifetimes.iter().any(|lifetime| {
+            lifetime.node == holder.name && lifetime.incarnation > holder.incarnation
+        })
     }
 
     /// The collectors, without their addresses.
--- a/node/src/history/mod.rs
+++ b/node/src/era_tracker/mod.rs
@@ -23,18 +23,18 @@
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum EraError {
     /// It is from an era that has ended.
-    #[error("the response is from era {shown}, which ended when era {known} began")]
+    #[error("the response is from era {received}, which ended when era {known} began")]
     Former {
         /// The era that the response names.
-        shown: Era,
+        received: Era,
         /// The current era.
         known: Era,
     },
     /// It is more than one era ahead, and that era is not confirmed yet.
-    #[error("the response is from era {shown}, more than one after {known}, and is unconfirmed")]
+    #[error("the response is from era {received}, more than one after {known}, and is unconfirmed")]
     Unconfirmed {
         /// The era that the response names.
-        shown: Era,
+        received: Era,
         /// The current era.
         known: Era,
     },
@@ -86,7 +86,7 @@
     }
 
     /// Whether the store has been restored from a copy since this process started.
-    pub fn has_come_back(&self) -> bool {
+    pub fn was_restored(&self) -> bool {
         self.current().was_restored()
     }
 
@@ -102,9 +102,9 @@
     /// The response must not be used.
     pub fn note_answer(&self, headers: &HeaderMap) -> Result<Era, EraError> {
         match read_era(headers) {
-            Ok(Some(shown)) => {
+            Ok(Some(received)) => {
                 self.is_named.store(true, Ordering::Relaxed);
-                self.note(shown, "store")
+                self.note(received, "store")
             }
             Ok(None) => {
                 self.ensure_initial_era();
@@ -121,10 +121,10 @@
     }
 
     /// Handles the era that another node knows.
-    pub fn note_peer_era(&self, shown: Era, node: &str) {
+    pub fn note_peer_era(&self, received: Era, node: &str) {
         // A node that lags behind is not a fault of the store.
-        if shown > self.era() {
-            let _ = self.note(shown, node);
+        if received > self.era() {
+            let _ = self.note(received, node);
         }
     }
 
@@ -152,48 +152,48 @@
         }
     }
 
-    fn note(&self, shown: Era, source: &str) -> Result<Era, EraError> {
-        let (known, sight) = {
+    fn note(&self, received: Era, source: &str) -> Result<Era, EraError> {
+        let (known, change) = {
             let mut current = self.current();
             let known = current.era();
-            (known, current.observe(shown, self.clock.now()))
+            (known, current.observe(received, self.clock.now()))
         };
-        match sight {
-            EraChange::Same => return Ok(shown),
+        match change {
+            EraChange::Same => return Ok(received),
             EraChange::First => {
                 self.count("first");
-                log::info!(era:% = shown, source = source; "store's era known");
+                log::info!(era:% = received, source = source; "store's era known");
             }
             EraChange::Later { before } => {
                 self.count("later");
                 log::warn!(
-                    era:% = shown, before:% = before, source = source;
+                    era:% = received, before:% = before, source = source;
                     "store came back from a copy"
                 );
             }
             EraChange::Earlier => {
                 self.count("former");
                 if self.is_log_due() {
-                    log::warn!(era:% = shown, known:% = known; "answer of a former era not used");
+                    log::warn!(era:% = received, known:% = known; "answer of a former era not used");
                 }
-                return Err(EraError::Former { shown, known });
+                return Err(EraError::Former { received, known });
             }
             EraChange::Unconfirmed => {
                 self.count("unconfirmed");
                 if self.is_log_due() {
-                    log::warn!(era:% = shown, known:% = known; "store's era not believed yet");
+                    log::warn!(era:% = received, known:% = known; "store's era not believed yet");
                 }
-                return Err(EraError::Unconfirmed { shown, known });
+                return Err(EraError::Unconfirmed { received, known });
             }
         }
-        self.metrics.store_era.set(i64::from(shown.0));
+        self.metrics.store_era.set(i64::from(received.0));
         // Two changes in quick succession may arrive here out of order.
         self.changed.send_if_modified(|known| {
-            let is_later = shown > *known;
-            *known = shown.max(*known);
+            let is_later = received > *known;
+            *known = received.max(*known);
             is_later
         });
-        Ok(shown)
+        Ok(received)
     }
 
     fn count(&self, outcome: &str) {
--- a/node/src/limit/gossip.rs
+++ b/node/src/limit/gossip.rs
@@ -20,9 +20,11 @@
         let register = lock(&self.register);
         let mut limits = Vec::new();
         for (tag, since) in outbox.take(again, now) {
-            let notice = register.by_tag(tag).and_then(|runner| runner.limit.announcement());
-            match notice.filter(|notice| notice.rate.is_some() || since <= LIFTED_TTL) {
-                Some(notice) => limits.push(announced(tag, &notice, now)),
+            let announcement = register.by_tag(tag).and_then(|runner| runner.limit.announcement());
+            match announcement
+                .filter(|announcement| announcement.rate.is_some() || since <= LIFTED_TTL)
+            {
+                Some(announcement) => limits.push(announced(tag, &announcement, now)),
                 None => outbox.forget(tag),
             }
         }
@@ -34,8 +36,9 @@
         let now = self.clock.now();
         let register = lock(&self.register);
         let limited = register.runners().filter_map(|runner| {
-            let notice = runner.limit.announcement().filter(|notice| notice.rate.is_some())?;
-            Some(announced(runner.entry.tag(), &notice, now))
+            let announcement =
+                runner.limit.announcement().filter(|announcement| announcement.rate.is_some())?;
+            Some(announced(runner.entry.tag(), &announcement, now))
         });
         limited.collect()
     }
@@ -69,6 +72,10 @@
     }
 }
 
-fn announced(runner: Tag, notice: &Announcement, now: Instant) -> Announced {
-    Announced { runner, rate: notice.rate, age: now.saturating_duration_since(notice.at) }
+fn announced(runner: Tag, announcement: &Announcement, now: Instant) -> Announced {
+    Announced {
+        runner,
+        rate: announcement.rate,
+        age: now.saturating_duration_since(announcement.at),
+    }
 }
--- a/node/src/limit/mod.rs
+++ b/node/src/limit/mod.rs
@@ -105,13 +105,14 @@
     /// # Errors
     /// The rate is exhausted, or the grantor does not reply.
     pub async fn acquire(&self, id: &RunnerId) -> Result<(), Denied> {
-        let Some((tag, service, pool, notice)) = lock(&self.register).get(id).and_then(limit_of)
+        let Some((tag, service, pool, announcement)) =
+            lock(&self.register).get(id).and_then(limit_of)
         else {
             return Ok(());
         };
         let (granted, by) = match self.grantor(&service, pool) {
-            Grantor::Local(part) => (self.grant(tag, part), "here"),
-            Grantor::Remote(peer) => match self.request_permit(peer, tag, notice).await {
+            Grantor::Local(fraction) => (self.grant(tag, fraction), "here"),
+            Grantor::Remote(peer) => match self.request_permit(peer, tag, announcement).await {
                 Some(granted) => (granted, "grantor"),
                 None => (Err(RETRY_PAUSE), "nobody"),
             },
@@ -134,17 +135,17 @@
         for id in runners {
             let limited = lock(&self.register).get(id).and_then(limit_of);
             let Some((tag, service, pool, _)) = limited else { continue };
-            if let Grantor::Local(part) = self.grantor(&service, pool) {
+            if let Grantor::Local(fraction) = self.grantor(&service, pool) {
                 let now = self.clock.now();
-                self.with_limit(tag, |limit| limit.reserve(part, now));
+                self.with_limit(tag, |limit| limit.reserve(fraction, now));
             }
         }
     }
 
-    fn grant(&self, tag: Tag, part: f64) -> Result<(), Duration> {
+    fn grant(&self, tag: Tag, fraction: f64) -> Result<(), Duration> {
         let now = self.clock.now();
         // No permits for a runner that is no longer known.
-        self.with_limit(tag, |limit| limit.grant(part, now)).unwrap_or(Err(RETRY_PAUSE))
+        self.with_limit(tag, |limit| limit.grant(fraction, now)).unwrap_or(Err(RETRY_PAUSE))
     }
 
     fn with_limit<T>(&self, tag: Tag, change: impl FnOnce(&mut Limit) -> T) -> Option<T> {
@@ -155,11 +156,11 @@
         &self,
         peer: SocketAddr,
         runner: Tag,
-        notice: Announcement,
+        announcement: Announcement,
     ) -> Option<Result<(), Duration>> {
         let (number, answer) = lock(&self.requests).register();
-        let age = self.clock.now().saturating_duration_since(notice.at);
-        let limit = Announced { runner, rate: notice.rate, age };
+        let age = self.clock.now().saturating_duration_since(announcement.at);
+        let limit = Announced { runner, rate: announcement.rate, age };
         self.transmit(peer, &Schedule::Acquire { number, limit }).await;
         let answer = timeout(PERMIT_TIMEOUT, answer).await;
         lock(&self.requests).cancel(number);
@@ -179,9 +180,9 @@
     pub async fn handle_request(&self, from: SocketAddr, number: u64, limit: Announced) {
         let entry = lock(&self.register).by_tag(limit.runner).map(service_and_pool);
         let wait = match entry.map(|(service, pool)| self.grantor(&service, pool)) {
-            Some(Grantor::Local(part)) => {
+            Some(Grantor::Local(fraction)) => {
                 self.apply_gossip(&[limit], "permit request");
-                self.grant(limit.runner, part).err()
+                self.grant(limit.runner, fraction).err()
             }
             Some(Grantor::Remote(_)) | None => Some(RETRY_PAUSE),
         };
@@ -197,22 +198,22 @@
     /// `sent`.
     pub fn note_answer(
         &self,
-        stay: &Registration,
+        registration: &Registration,
         request: &str,
         sent: Instant,
         announced: Result<Option<Rate>, DecimalError>,
     ) {
         let now = self.clock.now();
-        let tag = Tag::of(&stay.id, stay.born);
+        let tag = Tag::of(&registration.id, registration.born);
         let mut register = lock(&self.register);
-        let Some(runner) = register.registered_mut(stay) else { return };
+        let Some(runner) = register.registered_mut(registration) else { return };
         let announced = match announced {
             Ok(announced) => announced,
             Err(error) => {
                 if runner.limit.note_malformed() {
                     self.metrics.rate_limit_changes.with_label_values(&["malformed"]).inc();
                     log::warn!(
-                        request = request, runner:% = stay.id, error:% = error;
+                        request = request, runner:% = registration.id, error:% = error;
                         "rate limit is not taken"
                     );
                 }
@@ -222,7 +223,7 @@
         let change = runner.limit.note_answer(announced, sent, now);
         drop(register);
         if let Some(change) = change {
-            log_change(&stay.id, change, request, "answer");
+            log_change(&registration.id, change, request, "answer");
             self.note_change(tag, change);
         }
     }
@@ -244,9 +245,10 @@
 
 /// The identity, the pool and the limit of a rate-limited runner; `None` if it has no limit.
 fn limit_of(runner: &Runner) -> Option<(Tag, ServiceId, Pool, Announcement)> {
-    let notice = runner.limit.announcement().filter(|notice| notice.rate.is_some())?;
+    let announcement =
+        runner.limit.announcement().filter(|announcement| announcement.rate.is_some())?;
     let (service, pool) = service_and_pool(runner);
-    Some((runner.entry.tag(), service, pool, notice))
+    Some((runner.entry.tag(), service, pool, announcement))
 }
 
 fn log_change(id: &RunnerId, change: Change, request: &str, source: &str) {
--- a/node/src/scale/mod.rs
+++ b/node/src/scale/mod.rs
@@ -16,7 +16,7 @@
 use crate::serve::metrics::Metrics;
 
 /// How often the required number of runners is evaluated.
-const PERIOD: Duration = Duration::from_millis(400);
+const EVALUATION_PERIOD: Duration = Duration::from_millis(400);
 /// The policy that determines the number of runners.
 const POLICY: Policy = Policy::InitialCount;
 
@@ -61,7 +61,7 @@
     pub async fn run(self) {
         let mut states: HashMap<ServiceId, ServiceState> = HashMap::new();
         loop {
-            sleep(PERIOD).await;
+            sleep(EVALUATION_PERIOD).await;
             let Some(services) = (self.services)() else { continue };
             states.retain(|name, _| services.iter().any(|service| service.name == *name));
             for service in services {
--- a/node/src/serve/copy.rs
+++ b/node/src/serve/copy.rs
@@ -53,8 +53,8 @@
 }
 
 impl Copies {
-    /// Offers a configuration from now on. `packed` is its compressed content, if it was received
-    /// so.
+    /// Offers a configuration from now on. `compressed` is its compressed content, if it was
+    /// received from another node.
     pub fn offer(&self, version: ConfigVersion, object: Object, compressed: Option<Bytes>) {
         let Object { name, at, content } = object;
         let compressed = compressed.unwrap_or_else(|| compress(&content));
@@ -63,7 +63,7 @@
 }
 
 /// Answers a node that asks for a newer configuration, in parts.
-pub fn answer(
+pub fn serve(
     shared: Arc<Shared>,
     request: pb::CopyRequest,
 ) -> mpsc::Receiver<Result<pb::CopyPart, Status>> {
@@ -136,7 +136,7 @@
 }
 
 /// Asks other nodes for newer configurations, until the process ends.
-pub async fn learn(shared: Arc<Shared>) {
+pub async fn fetch_updates(shared: Arc<Shared>) {
     loop {
         shared.configuration_outdated.notified().await;
         sleep(ASK_DELAY).await;
@@ -210,12 +210,12 @@
         }
         content.extend_from_slice(&part.content);
         if content.len() > MAX_COPY_BYTES {
-            return Err(RpcError::TooLarge { peer, most: MAX_COPY_BYTES });
+            return Err(RpcError::TooLarge { peer, limit: MAX_COPY_BYTES });
         }
         if let Some(end) = part.end {
             let received = shared.metrics.configuration_copy_bytes.with_label_values(&["received"]);
             received.inc_by(content.len() as u64);
-            return Ok(Reply::Whole((end, content.freeze())));
+            return Ok(Reply::Complete((end, content.freeze())));
         }
     }
 }
--- a/node/src/serve/crash.rs
+++ b/node/src/serve/crash.rs
@@ -16,8 +16,8 @@
 
 use crate::serve::connection::Probe;
 use crate::serve::request::Request;
+use crate::serve::reservation::Reservation;
 use crate::serve::shared::Shared;
-use crate::serve::ticket::Ticket;
 
 /// How often a runner's address is probed: a process that ends closes its connections slightly
 /// before or after it stops listening.
@@ -68,21 +68,21 @@
 /// The end of a runner that was leaving, or whose entry was removed, was planned.
 pub async fn detect(
     shared: &Shared,
-    ticket: &Ticket,
+    reservation: &Reservation,
     request: &Request,
-    reach: RunProgress,
+    progress: RunProgress,
 ) -> Option<Tag> {
-    let (incarnation, address) = ticket
+    let (incarnation, address) = reservation
         .with_runner(|r| (!r.is_leaving()).then(|| (r.entry.tag(), r.entry.address)))
         .flatten()?;
     if !shared.crashes.has_ended(shared, incarnation, address).await {
         return None;
     }
-    shared.metrics.runner_ends.inc();
+    shared.metrics.runner_crashes.inc();
     log::info!(
-        request:% = request.id, fingerprint:% = request.fingerprint, runner:% = ticket.runner(),
-        events = reach.events, begun = reach.begun,
-        held_ms = ticket.held().as_millis() as u64; "runner ended under a request"
+        request:% = request.id, fingerprint:% = request.fingerprint, runner:% = reservation.runner(),
+        events = progress.events, begun = progress.begun,
+        held_ms = reservation.held().as_millis() as u64; "runner ended under a request"
     );
     Some(incarnation)
 }
--- a/node/src/serve/duty.rs
+++ b/node/src/serve/duty.rs
@@ -11,25 +11,29 @@
 use crate::duty::view::Views;
 use crate::scale::{Scaler, Service, Services};
 use crate::serve::shared::Shared;
-use crate::usage::exchange::Exchange;
 use crate::usage::report::Reporter;
+use crate::usage::sender::CountSender;
 
 /// How often the duties lease is renewed or contended for.
 const LEASE_PERIOD: Duration = Duration::from_millis(200);
 
-/// Starts the tasks. Returns the exchange that sends this node's usage counts, for a last round
-/// when the node stops.
-pub fn start(shared: &Arc<Shared>, socket: Arc<UdpSocket>) -> Exchange {
+/// Starts the tasks. Returns the sender of this node's usage counts, for a last round when the node
+/// stops.
+pub fn start(shared: &Arc<Shared>, socket: Arc<UdpSocket>) -> CountSender {
     let views: Views = {
         let shared = shared.clone();
         Arc::new(move || shared.view())
     };
     let (usage, duty_lease, metrics) =
         (shared.usage.clone(), shared.duty_lease.clone(), shared.metrics.clone());
-    let exchange =
-        Exchange { usage: usage.clone(), views: views.clone(), socket, metrics: metrics.clone() };
+    let count_sender = CountSender {
+        usage: usage.clone(),
+        views: views.clone(),
+        socket,
+        metrics: metrics.clone(),
+    };
     tokio::spawn(maintain_lease(shared.clone()));
-    let Some(platform) = shared.settings.platform else { return exchange };
+    let Some(platform) = shared.settings.platform else { return count_sender };
     let caller = Caller::new(
         shared.me.id.clone(),
         platform,
@@ -56,13 +60,13 @@
         duty_lease,
         caller,
         store: shared.store.clone(),
-        history: shared.history.clone(),
+        era_tracker: shared.history.clone(),
         clock: shared.clock.clone(),
         metrics,
     };
-    tokio::spawn(exchange.clone().run());
+    tokio::spawn(count_sender.clone().run());
     tokio::spawn(reporter.run());
-    exchange
+    count_sender
 }
 
 /// Maintains the duties lease until the process ends.
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/follow.rs
@@ -22,7 +22,7 @@
 use smol_str::SmolStr;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::serve::follower::{Follower, Kind};
+use crate::serve::kind_watch::{Kind, KindWatch};
 use crate::serve::knowledge::Difference;
 use crate::serve::quarantine;
 use crate::serve::shared::Shared;
@@ -38,14 +38,14 @@
 
 /// Watches the configuration until the process ends.
 pub async fn configuration(shared: Arc<Shared>) {
-    let mut follower = Follower::new(shared.clone(), Kind::Configuration);
+    let mut kind_watch = KindWatch::new(shared.clone(), Kind::Configuration);
     loop {
-        follower.wait_until_watching().await;
-        let read = match follower.from {
-            None => follower.list(Purpose::Configuration, config::KIND).await,
+        kind_watch.wait_until_watching().await;
+        let read = match kind_watch.from {
+            None => kind_watch.list(Purpose::Configuration, config::KIND).await,
             Some(from) => {
                 let purpose = Purpose::ConfigurationWatch;
-                let reply = follower.watch(purpose, config::KIND, from).await;
+                let reply = kind_watch.watch(purpose, config::KIND, from).await;
                 reply.map(|reply| {
                     let objects = reply.changes.into_iter().filter_map(|change| match change {
                         Change::Put(object) => Some(object),
@@ -57,16 +57,16 @@
         };
         match read {
             Ok((objects, as_of)) => {
-                follower.note_answer(as_of);
+                kind_watch.note_answer(as_of);
                 tokio::spawn(quarantine::store::read_once(shared.clone()));
                 for object in objects {
                     install(&shared, object, None, "store");
                 }
-                if as_of.era != follower.entry_era {
-                    follower.write_entry().await;
+                if as_of.era != kind_watch.entry_era {
+                    kind_watch.write_entry().await;
                 }
             }
-            Err(error) => follower.back_off(&error).await,
+            Err(error) => kind_watch.back_off(&error).await,
         }
     }
 }
@@ -124,30 +124,30 @@
 
 /// Watches the register of runners until the process ends.
 pub async fn register(shared: Arc<Shared>) {
-    let mut follower = Follower::new(shared.clone(), Kind::Register);
+    let mut kind_watch = KindWatch::new(shared.clone(), Kind::Register);
     let mut next = Instant::now();
     loop {
-        follower.wait_until_watching().await;
-        let result = match follower.from {
+        kind_watch.wait_until_watching().await;
+        let result = match kind_watch.from {
             None => {
-                let listed = follower.list(Purpose::Register, RUNNER_KIND).await;
+                let listed = kind_watch.list(Purpose::Register, RUNNER_KIND).await;
                 listed.map(|(entries, as_of)| (listed_difference(&shared, entries, as_of), as_of))
             }
             Some(from) => {
                 let purpose = Purpose::RegisterWatch;
                 sleep_until(next).await;
                 next = Instant::now() + WATCH_PAUSE;
-                let reply = follower.watch(purpose, RUNNER_KIND, from).await;
+                let reply = kind_watch.watch(purpose, RUNNER_KIND, from).await;
                 reply.map(|reply| (difference(reply.changes, reply.as_of), reply.as_of))
             }
         };
         match result {
             Ok((difference, as_of)) => {
-                follower.note_answer(as_of);
+                kind_watch.note_answer(as_of);
                 let doubt = shared.doubt();
                 apply_difference(&shared, difference, doubt, "store");
             }
-            Err(error) => follower.back_off(&error).await,
+            Err(error) => kind_watch.back_off(&error).await,
         }
     }
 }
--- a/node/src/serve/generation/admit.rs
+++ b/node/src/serve/generation/admit.rs
@@ -12,8 +12,8 @@
 use smallvec::SmallVec;
 
 use super::{GenerationTask, MIN_TIME_LEFT, Stop, millis};
-use crate::serve::answer::Refusal;
 use crate::serve::quarantine::{self, Admission};
+use crate::serve::response::Refusal;
 use crate::serve::scheduler as scheduling;
 
 /// The maximum number of backed-off runners that a scheduling request lists for exclusion, at up to
@@ -50,9 +50,9 @@
     pub(super) async fn place_decode(
         &self,
         class: Class,
-        reader: &RunnerId,
+        prefill_runner: &RunnerId,
     ) -> Result<RunnerId, Stop> {
-        match self.decide(Step::Continue { prefill_runner: reader.clone(), class }).await {
+        match self.decide(Step::Continue { prefill_runner: prefill_runner.clone(), class }).await {
             Some(Decision::Continue(runner)) => Ok(runner),
             Some(Decision::RateLimited(wait)) => Err(Stop::Refuse(self.rate_limit_refusal(wait))),
             _ => Err(Stop::Refuse(self.final_refusal(Reason::NoRunner))),
--- a/node/src/serve/generation/mod.rs
+++ b/node/src/serve/generation/mod.rs
@@ -26,9 +26,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 use self::prefill::KvHandleGuard;
-use crate::serve::answer::{Body, Cut, Refusal, forward_response, full_body};
 use crate::serve::quarantine;
-use crate::serve::request::{End, Request, UnderWay};
+use crate::serve::request::{End, InProgress, Request};
+use crate::serve::response::{Body, Cut, Refusal, forward_response, full_body};
 use crate::serve::shared::Shared;
 
 /// The maximum number of calls for one request, including calls that reached no runner.
@@ -43,7 +43,11 @@
 mod stream;
 
 /// Serves a generation request.
-pub async fn answer(shared: &Arc<Shared>, request: Request, under_way: UnderWay) -> Response<Body> {
+pub async fn handle(
+    shared: &Arc<Shared>,
+    request: Request,
+    in_progress: InProgress,
+) -> Response<Body> {
     let (head, answer) = oneshot::channel();
     let task = GenerationTask {
         shared: shared.clone(),
@@ -64,9 +68,9 @@
         error_answer: None,
         plan: "none",
     };
-    tokio::spawn(task.run(under_way));
+    tokio::spawn(task.run(in_progress));
     // The task always sends a response; if it panicked the request may have run.
-    answer.await.unwrap_or_else(|_| Refusal::Broken.answer())
+    answer.await.unwrap_or_else(|_| Refusal::Broken.response())
 }
 
 /// The caller's end of the response.
@@ -142,7 +146,7 @@
 }
 
 impl GenerationTask {
-    async fn run(mut self, _under_way: UnderWay) {
+    async fn run(mut self, _in_progress: InProgress) {
         let end = loop {
             match self.attempt().await {
                 Ok(AttemptOutcome::Done(outcome)) => break Ok(outcome),
@@ -187,7 +191,7 @@
                         line.status = parts.status.as_u16();
                         send_head(head, forward_response(&parts, full_body(body)));
                     }
-                    (Caller::Waiting(head), None) => send_head(head, refusal.answer()),
+                    (Caller::Waiting(head), None) => send_head(head, refusal.response()),
                     (Caller::Streaming(events), _) => {
                         // The send fails only if the caller has disconnected.
                         let _ = events.send(Err(Cut)).await;
@@ -235,13 +239,13 @@
         );
         match &placement.plan {
             Plan::Whole { runner } => {
-                let share = WorkCost {
+                let cost = WorkCost {
                     class,
                     prefill_tokens: placement.prefill_tokens,
                     footprint: self.work.footprint(),
                 };
                 let runner = runner.clone();
-                self.run_on(&runner, CallKind::Run, share, &placement).await
+                self.run_on(&runner, CallKind::Run, cost, &placement).await
             }
             Plan::Split { prefill, .. } => {
                 let prefill = prefill.clone();
@@ -256,21 +260,20 @@
         class: Class,
         placement: &Placement,
     ) -> Result<AttemptOutcome, Stop> {
-        let share = WorkCost {
+        let cost = WorkCost {
             class,
             prefill_tokens: placement.prefill_tokens,
             footprint: self.work.prompt,
         };
-        let Some(handle) = self.prefill_on(prefill, share, placement).await? else {
+        let Some(handle) = self.prefill_on(prefill, cost, placement).await? else {
             self.tried.push(prefill.clone());
             return Ok(AttemptOutcome::NotRun);
         };
         let mut guard = KvHandleGuard::new(&self.shared, prefill, handle.clone());
-        let share = WorkCost { class, prefill_tokens: 0, footprint: self.work.footprint() };
+        let cost = WorkCost { class, prefill_tokens: 0, footprint: self.work.footprint() };
         let outcome = loop {
             let decode = self.place_decode(class, prefill).await?;
-            match self.run_on(&decode, CallKind::RunFromKv(handle.clone()), share, placement).await
-            {
+            match self.run_on(&decode, CallKind::RunFromKv(handle.clone()), cost, placement).await {
                 // The KV cache is kept for another decode runner.
                 Ok(AttemptOutcome::Denied) if self.calls < MAX_CALLS => {}
                 outcome => break outcome,
--- a/node/src/serve/generation/prefill.rs
+++ b/node/src/serve/generation/prefill.rs
@@ -21,8 +21,8 @@
 use super::{GenerationTask, MAX_ANSWER_BYTES, Stop, millis};
 use crate::serve::connection::CONNECT_TIMEOUT;
 use crate::serve::connection::{Answer, Incomplete, SendError};
+use crate::serve::reservation::{Reservation, Step};
 use crate::serve::shared::Shared;
-use crate::serve::ticket::{Step, Ticket};
 
 /// Why prefill failed.
 #[derive(Debug, Error)]
@@ -71,28 +71,28 @@
     pub(super) async fn prefill_on(
         &mut self,
         id: &RunnerId,
-        share: WorkCost,
+        cost: WorkCost,
         placement: &Placement,
     ) -> Result<Option<KvHandle>, Stop> {
         self.take_retry_budget()?;
         let left = self.request.time_left(self.shared.clock.now());
-        let mut ticket = Ticket::new(&self.shared, id, Step::Read, share);
+        let mut reservation = Reservation::new(&self.shared, id, Step::Prefill, cost);
         self.calls += 1;
         let Some(address) = self.address(id) else { return Ok(None) };
         let fetch = placement.fetch.as_ref().and_then(|source| self.address(source));
-        let request = self.runner_request(id, CallKind::Prefill, share.class, left, fetch);
-        let limit = timeout::prefill(share.class, placement.prefill_end, left);
-        self.note_cached(&ticket, Progress::Started);
+        let request = self.runner_request(id, CallKind::Prefill, cost.class, left, fetch);
+        let limit = timeout::prefill(cost.class, placement.prefill_end, left);
+        self.note_cached(&reservation, Progress::Started);
         let request_id = self.request.id.clone();
         let prefill = async {
-            let target = ticket.target(address);
+            let target = reservation.target(address);
             let sent = self.shared.dispatcher.send(target, &request_id, request);
             let answer = sent.await?;
             receive_handle(id, &request_id, address, answer).await
         };
         let result = tokio::select! {
             () = self.caller.disconnected() => {
-                ticket.learn_abandoned(placement, placement.prefill_end);
+                reservation.learn_abandoned(placement, placement.prefill_end);
                 return Err(Stop::CallerLeft);
             }
             result = timeout(limit, prefill) => result,
@@ -102,28 +102,28 @@
             Ok(handle) => {
                 self.arrivals += u32::from(self.prefilled);
                 self.prefilled = true;
-                ticket.conclude(Outcome::Answered);
+                reservation.conclude(Outcome::Answered);
                 log::info!(
                     request:% = self.request.id, runner:% = id, fresh = placement.prefill_tokens,
                     predicted_ms = millis(placement.prefill_end),
-                    held_ms = ticket.held().as_millis() as u64; "prompt read"
+                    held_ms = reservation.held().as_millis() as u64; "prompt read"
                 );
-                let held = ticket.held().as_secs_f64();
-                ticket.learn(placement.observation(placement.prefill_end, held));
-                self.note_cached(&ticket, Progress::Prefilled);
+                let held = reservation.held().as_secs_f64();
+                reservation.learn(placement.observation(placement.prefill_end, held));
+                self.note_cached(&reservation, Progress::Prefilled);
                 Ok(Some(handle))
             }
             Err(error) => {
                 if !error.is_denied() {
                     self.arrivals += 1;
-                    ticket.conclude(Outcome::Broken);
+                    reservation.conclude(Outcome::Broken);
                 }
                 log::info!(
                     request:% = self.request.id, runner:% = id, error:% = error,
-                    held_ms = ticket.held().as_millis() as u64; "prompt not read"
+                    held_ms = reservation.held().as_millis() as u64; "prompt not read"
                 );
                 if error.is_broken() {
-                    self.note_broken(&ticket, false).await;
+                    self.note_broken(&reservation, false).await;
                 }
                 Ok(None)
             }
@@ -132,10 +132,10 @@
 
     /// Records the runner's progress on the prompt, and reports cached parts to the runner's
     /// scheduler.
-    pub(super) fn note_cached(&self, ticket: &Ticket, progress: Progress) {
-        let Some(stay) = ticket.stay() else { return };
+    pub(super) fn note_cached(&self, reservation: &Reservation, progress: Progress) {
+        let Some(registration) = reservation.registration() else { return };
         let now = self.shared.clock.now();
-        ticket.with_runner(|runner| {
+        reservation.with_runner(|runner| {
             if let Some(engine) = self.request.engine {
                 runner.cache.set_memory(engine.memory);
             }
@@ -143,10 +143,10 @@
         });
         // The scheduler placed the request, so it already knows that prefill has begun.
         if progress == Progress::Prefilled {
-            let tag = Tag::of(&stay.id, stay.born);
+            let tag = Tag::of(&registration.id, registration.born);
             let parts = self.work.chain.0.iter();
-            let readings = parts.map(|part| PrefillReport { runner: tag, part: *part, progress });
-            self.shared.scheduling.note_readings(readings);
+            let reports = parts.map(|part| PrefillReport { runner: tag, part: *part, progress });
+            self.shared.scheduling.note_prefill_reports(reports);
         }
     }
 }
--- a/node/src/serve/generation/stream.rs
+++ b/node/src/serve/generation/stream.rs
@@ -25,12 +25,12 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use super::{AttemptOutcome, Caller, GenerationTask, MAX_ANSWER_BYTES, Stop, millis, send_head};
-use crate::serve::answer::{forward_response, full_body};
 use crate::serve::connection::{Answer, Lease};
 use crate::serve::plain::promises_not_run;
 use crate::serve::quarantine;
+use crate::serve::reservation::{Reservation, Step};
+use crate::serve::response::{forward_response, full_body};
 use crate::serve::shared::Shared;
-use crate::serve::ticket::{Step, Ticket};
 
 /// How many events are buffered for a slow caller before backpressure reaches the runner.
 const EVENT_BUFFER: usize = 64;
@@ -41,22 +41,22 @@
         &mut self,
         id: &RunnerId,
         step: CallKind,
-        share: WorkCost,
+        cost: WorkCost,
         placement: &Placement,
     ) -> Result<AttemptOutcome, Stop> {
         self.take_retry_budget()?;
         self.tried.push(id.clone());
         let left = self.request.time_left(self.shared.clock.now());
-        let mut ticket = Ticket::new(&self.shared, id, Step::Run, share);
+        let mut reservation = Reservation::new(&self.shared, id, Step::Run, cost);
         self.calls += 1;
         let Some(address) = self.address(id) else { return Ok(AttemptOutcome::NotRun) };
         let is_whole = step == CallKind::Run;
         let fetch = placement.fetch.as_ref().filter(|_| is_whole);
         let fetch = fetch.and_then(|source| self.address(source));
         if is_whole {
-            self.note_cached(&ticket, Progress::Started);
+            self.note_cached(&reservation, Progress::Started);
         }
-        let request = self.runner_request(id, step, share.class, left, fetch);
+        let request = self.runner_request(id, step, cost.class, left, fetch);
         // If the request may be retried, a runner that stays silent is given up early.
         let limit = if self.may_retry() {
             left.min(self.idle_timeout(placement.first_event))
@@ -65,12 +65,12 @@
         };
         self.runs += 1;
         self.arrivals += 1;
-        let target = ticket.target(address);
+        let target = reservation.target(address);
         let sent = self.shared.dispatcher.send(target, &self.request.id, request);
         let sent = tokio::select! {
             () = self.caller.disconnected() => {
                 if is_whole {
-                    ticket.learn_abandoned(placement, placement.first_event);
+                    reservation.learn_abandoned(placement, placement.first_event);
                 }
                 return Ok(AttemptOutcome::CallerLeft);
             }
@@ -80,7 +80,7 @@
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
                 if !error.is_rate_limited() {
-                    ticket.conclude(Outcome::Broken);
+                    reservation.conclude(Outcome::Broken);
                 }
                 log::info!(
                     request:% = self.request.id, runner:% = id, error:% = error,
@@ -95,11 +95,11 @@
                         AttemptOutcome::NotRun
                     });
                 }
-                self.note_broken(&ticket, false).await;
+                self.note_broken(&reservation, false).await;
                 return Ok(AttemptOutcome::Broken);
             }
             Err(_) => {
-                ticket.conclude(Outcome::Broken);
+                reservation.conclude(Outcome::Broken);
                 log::info!(
                     request:% = self.request.id, runner:% = id,
                     waited_ms = limit.as_millis() as u64; "runner silent"
@@ -111,13 +111,13 @@
         match classify(answer.head.status, &answer.head.headers, id, &self.request.id) {
             Verdict::Ran if answer.head.status.is_success() && is_stream(&answer.head.headers) => {
                 let placement = is_whole.then_some(placement);
-                self.forward_stream(&mut ticket, answer, placement).await
+                self.forward_stream(&mut reservation, answer, placement).await
             }
-            Verdict::Ran => self.forward_plain(&mut ticket, answer).await,
+            Verdict::Ran => self.forward_plain(&mut reservation, answer).await,
             verdict @ (Verdict::NotRun | Verdict::OtherInstance) => {
                 self.runs -= 1;
                 let replaced = verdict == Verdict::OtherInstance;
-                ticket.conclude(if replaced { Outcome::Gone } else { Outcome::Failed });
+                reservation.conclude(if replaced { Outcome::Gone } else { Outcome::Failed });
                 log::info!(
                     request:% = self.request.id, runner:% = id,
                     status = answer.head.status.as_u16(); "runner did not run it"
@@ -126,7 +126,7 @@
                 Ok(AttemptOutcome::NotRun)
             }
             Verdict::Mismatched => {
-                ticket.conclude(Outcome::Broken);
+                reservation.conclude(Outcome::Broken);
                 log::warn!(request:% = self.request.id, runner:% = id; "answer to another request");
                 Ok(AttemptOutcome::Broken)
             }
@@ -141,16 +141,16 @@
     /// Handles a response that is not a stream, usually an error of the runner itself.
     async fn forward_plain(
         &mut self,
-        ticket: &mut Ticket,
+        reservation: &mut Reservation,
         answer: Answer,
     ) -> Result<AttemptOutcome, Stop> {
         let Ok((head, body)) = answer.read(MAX_ANSWER_BYTES).await else {
-            ticket.conclude(Outcome::Broken);
-            self.note_broken(ticket, true).await;
+            reservation.conclude(Outcome::Broken);
+            self.note_broken(reservation, true).await;
             return Ok(AttemptOutcome::Broken);
         };
         let is_success = head.status.is_success();
-        ticket.conclude(if is_success { Outcome::Answered } else { Outcome::Failed });
+        reservation.conclude(if is_success { Outcome::Answered } else { Outcome::Failed });
         if promises_not_run(head.status) {
             return Ok(AttemptOutcome::Broken);
         }
@@ -172,7 +172,7 @@
     /// Forwards events until the answer is complete or breaks off.
     async fn forward_stream(
         &mut self,
-        ticket: &mut Ticket,
+        reservation: &mut Reservation,
         answer: Answer,
         placement: Option<&Placement>,
     ) -> Result<AttemptOutcome, Stop> {
@@ -190,7 +190,7 @@
             let next = tokio::select! {
                 () = self.caller.disconnected() => {
                     if let Some(placement) = placement.filter(|_| first) {
-                        ticket.learn_abandoned(placement, placement.first_event);
+                        reservation.learn_abandoned(placement, placement.first_event);
                     }
                     return Ok(AttemptOutcome::CallerLeft);
                 }
@@ -201,19 +201,19 @@
                 Ok(None) => {
                     let now = self.shared.clock.now();
                     if let Some(took) = started_at.map(|at| now.saturating_duration_since(at)) {
-                        ticket.learn(Observation::Stream(took.as_secs_f64()));
+                        reservation.learn(Observation::Stream(took.as_secs_f64()));
                     }
-                    return self.finish_stream(ticket, &head, &splitter, lease).await;
+                    return self.finish_stream(reservation, &head, &splitter, lease).await;
                 }
                 Ok(Some(Err(error))) => {
-                    ticket.conclude(Outcome::Broken);
-                    self.log_broken_stream(ticket, &error.to_string());
-                    self.note_broken(ticket, true).await;
+                    reservation.conclude(Outcome::Broken);
+                    self.log_broken_stream(reservation, &error.to_string());
+                    self.note_broken(reservation, true).await;
                     return Ok(AttemptOutcome::Broken);
                 }
                 Err(_) => {
-                    ticket.conclude(Outcome::Broken);
-                    self.log_broken_stream(ticket, "no sign of life");
+                    reservation.conclude(Outcome::Broken);
+                    self.log_broken_stream(reservation, "no sign of life");
                     let expired = self.request.time_left(self.shared.clock.now()).is_zero();
                     return Ok(if expired { AttemptOutcome::Late } else { AttemptOutcome::Broken });
                 }
@@ -228,14 +228,14 @@
                     }
                     started_at = Some(self.shared.clock.now());
                     active_stream.get_or_insert_with(|| ActiveStream::new(self));
-                    ticket.note_read();
+                    reservation.note_prefilled();
                     if let Some(placement) = placement {
-                        let held = ticket.held().as_secs_f64();
-                        ticket.learn(placement.observation(placement.first_event, held));
+                        let held = reservation.held().as_secs_f64();
+                        reservation.learn(placement.observation(placement.first_event, held));
                     }
-                    self.note_cached(ticket, Progress::Prefilled);
+                    self.note_cached(reservation, Progress::Prefilled);
                 }
-                ticket.note_life();
+                reservation.note_alive();
                 if !self.forward_event(&head, event).await {
                     return Ok(AttemptOutcome::CallerLeft);
                 }
@@ -244,16 +244,17 @@
     }
 
     /// Records a crash if the runner's process ended during a call that broke off.
-    pub(super) async fn note_broken(&mut self, ticket: &Ticket, begun: bool) {
-        let reach = RunProgress { events: self.events, begun };
+    pub(super) async fn note_broken(&mut self, reservation: &Reservation, begun: bool) {
+        let progress = RunProgress { events: self.events, begun };
         let crashes =
-            quarantine::count::note_broken(&self.shared, ticket, &self.request, reach).await;
+            quarantine::count::note_broken(&self.shared, reservation, &self.request, progress)
+                .await;
         self.crashes = self.crashes.max(crashes);
     }
 
-    fn log_broken_stream(&self, ticket: &Ticket, detail: &str) {
+    fn log_broken_stream(&self, reservation: &Reservation, detail: &str) {
         log::info!(
-            request:% = self.request.id, runner:% = ticket.runner(), error = detail,
+            request:% = self.request.id, runner:% = reservation.runner(), error = detail,
             events = self.events; "stream broke off"
         );
     }
@@ -261,19 +262,19 @@
     /// Decides whether a stream that ended is complete.
     async fn finish_stream(
         &mut self,
-        ticket: &mut Ticket,
+        reservation: &mut Reservation,
         head: &Parts,
         splitter: &Splitter,
         lease: Lease,
     ) -> Result<AttemptOutcome, Stop> {
         if !splitter.rest().is_empty() {
-            ticket.conclude(Outcome::Broken);
-            self.log_broken_stream(ticket, "ended within an event");
-            self.note_broken(ticket, true).await;
+            reservation.conclude(Outcome::Broken);
+            self.log_broken_stream(reservation, "ended within an event");
+            self.note_broken(reservation, true).await;
             return Ok(AttemptOutcome::Broken);
         }
         lease.return_to_pool();
-        ticket.conclude(Outcome::Answered);
+        reservation.conclude(Outcome::Answered);
         if let Caller::Waiting(sender) = &mut self.caller {
             // A stream without events is still complete.
             send_head(sender, forward_response(head, full_body(Bytes::new())));
--- a/node/src/serve/beat.rs
+++ b/node/src/serve/heartbeat.rs
@@ -47,7 +47,7 @@
     loop {
         let due = tokio::select! {
             () = sleep_until(next) => true,
-            () = shared.beat_now.notified() => false,
+            () = shared.heartbeat_now.notified() => false,
         };
         if due {
             next = Instant::now() + HEARTBEAT_PERIOD;
@@ -56,8 +56,8 @@
                 contact_lost_node(&shared, &socket).await;
             }
         }
-        let news = register_changes(&shared, &mut passed_on);
-        let (mut beat, watchers, asked) = {
+        let register_update = register_changes(&shared, &mut passed_on);
+        let (mut heartbeat, watchers, asked) = {
             let status = shared.status();
             let now = shared.clock.now();
             let mut roster = shared.roster();
@@ -66,33 +66,33 @@
             let records = roster.take_updates();
             let watchers = roster.watchers().to_vec();
             drop(roster);
-            let beat = Heartbeat { records, ..beat(&shared, status) };
-            (beat, watchers, asked)
+            let heartbeat = Heartbeat { records, ..build_heartbeat(&shared, status) };
+            (heartbeat, watchers, asked)
         };
-        let has_changes = news.is_some();
+        let has_changes = register_update.is_some();
         if has_changes {
             let some = watchers.iter().copied().sample(&mut *shared.rng(), CHANGE_FANOUT);
-            let message = Heartbeat { register_update: news, records: Vec::new(), ..beat.clone() };
-            beat_all(&shared, &socket, &message, &some).await;
+            let message = Heartbeat { register_update, records: Vec::new(), ..heartbeat.clone() };
+            send_to_all(&shared, &socket, &message, &some).await;
         }
         let quarantined = quarantine::gossip::take_pending(&shared);
         if !quarantined.is_empty() {
-            let message = Heartbeat { quarantined, records: Vec::new(), ..beat.clone() };
-            beat_all(&shared, &socket, &message, &watchers).await;
+            let message = Heartbeat { quarantined, records: Vec::new(), ..heartbeat.clone() };
+            send_to_all(&shared, &socket, &message, &watchers).await;
         }
         let again = due && count.is_multiple_of(CONTACT_INTERVAL);
         let (limits, leaving) =
             (shared.limiter.next_gossip(again), shared.drains.next_gossip(again));
         if !limits.is_empty() || !leaving.is_empty() {
-            let message = Heartbeat { limits, leaving, records: Vec::new(), ..beat.clone() };
-            beat_all(&shared, &socket, &message, &watchers).await;
+            let message = Heartbeat { limits, leaving, records: Vec::new(), ..heartbeat.clone() };
+            send_to_all(&shared, &socket, &message, &watchers).await;
         }
-        if due || !has_changes || !beat.records.is_empty() {
-            beat_all(&shared, &socket, &beat, &watchers).await;
+        if due || !has_changes || !heartbeat.records.is_empty() {
+            send_to_all(&shared, &socket, &heartbeat, &watchers).await;
         }
-        beat.records.clear();
-        beat.wants_reply = true;
-        beat_all(&shared, &socket, &beat, &asked).await;
+        heartbeat.records.clear();
+        heartbeat.wants_reply = true;
+        send_to_all(&shared, &socket, &heartbeat, &asked).await;
         update_roster(&shared);
         sleep(SEND_PAUSE).await;
     }
@@ -108,7 +108,7 @@
     shared.metrics.nodes.set(roster.ready_contacts().len() as i64);
     let has_signals = shared.limiter.has_pending_gossip() || shared.drains.has_pending_gossip();
     if roster.has_updates() || quarantine::gossip::has_pending(shared) || has_signals {
-        shared.beat_now.notify_one();
+        shared.heartbeat_now.notify_one();
     }
 }
 
@@ -128,7 +128,7 @@
     is_small.then(|| peer::to_announcement(&changed, since))
 }
 
-fn beat(shared: &Shared, status: Status) -> Heartbeat {
+fn build_heartbeat(shared: &Shared, status: Status) -> Heartbeat {
     let roster = shared.roster();
     Heartbeat {
         sender: roster.me().clone(),
@@ -146,18 +146,23 @@
     }
 }
 
-async fn beat_all(shared: &Shared, socket: &UdpSocket, beat: &Heartbeat, targets: &[SocketAddr]) {
+async fn send_to_all(
+    shared: &Shared,
+    socket: &UdpSocket,
+    heartbeat: &Heartbeat,
+    targets: &[SocketAddr],
+) {
     if targets.is_empty() {
         return;
     }
-    let bytes = beat.encode();
+    let bytes = heartbeat.encode();
     for target in targets {
         transmit(shared, socket, &bytes, *target).await;
     }
 }
 
 async fn transmit(shared: &Shared, socket: &UdpSocket, bytes: &[u8], target: SocketAddr) {
-    shared.metrics.beat_bytes.with_label_values(&["sent"]).inc_by(bytes.len() as u64);
+    shared.metrics.heartbeat_bytes.with_label_values(&["sent"]).inc_by(bytes.len() as u64);
     if let Err(error) = socket.send_to(bytes, target).await {
         log::debug!(peer:% = target, error:% = error; "cannot send heartbeat");
     }
@@ -177,8 +182,8 @@
 
 /// Asks nodes for a heartbeat.
 pub async fn ask(shared: &Shared, socket: &UdpSocket, targets: &[SocketAddr]) {
-    let beat = Heartbeat { wants_reply: true, ..beat(shared, shared.status()) };
-    beat_all(shared, socket, &beat, targets).await;
+    let heartbeat = Heartbeat { wants_reply: true, ..build_heartbeat(shared, shared.status()) };
+    send_to_all(shared, socket, &heartbeat, targets).await;
 }
 
 /// Receives datagrams on the peer socket until the process ends.
@@ -199,10 +204,10 @@
                     }
                     _ => {}
                 }
-                let counter = shared.metrics.beat_bytes.with_label_values(&["received"]);
+                let counter = shared.metrics.heartbeat_bytes.with_label_values(&["received"]);
                 counter.inc_by(length as u64);
                 match Heartbeat::decode(bytes, shared.history.era()) {
-                    Ok(beat) => handle_beat(&shared, &socket, &beat).await,
+                    Ok(heartbeat) => handle_heartbeat(&shared, &socket, &heartbeat).await,
                     Err(error) => log::warn!(peer:% = from, error:% = error; "invalid heartbeat"),
                 }
             }
@@ -211,51 +216,52 @@
     }
 }
 
-async fn handle_beat(shared: &Arc<Shared>, socket: &UdpSocket, received: &Heartbeat) {
+async fn handle_heartbeat(shared: &Arc<Shared>, socket: &UdpSocket, received: &Heartbeat) {
     if received.sender.contact.id == shared.me.id {
         return;
     }
     let now = shared.clock.now();
-    let (fresh, mistaken, differs) = {
+    let (has_updates, correction, digest_differs) = {
         let mut roster = shared.roster();
         apply_records(&mut roster, std::slice::from_ref(&received.sender), now);
         roster.apply_heartbeat(&received.sender, received.status, now);
         apply_records(&mut roster, &received.records, now);
-        let differs = roster.note_digest(&received.sender.contact.id, received.roster_digest, now);
-        let mistaken = roster.superseding_record(&received.sender).cloned();
-        (roster.has_updates(), mistaken, differs)
+        let digest_differs =
+            roster.note_digest(&received.sender.contact.id, received.roster_digest, now);
+        let correction = roster.superseding_record(&received.sender).cloned();
+        (roster.has_updates(), correction, digest_differs)
     };
     shared.history.note_peer_era(received.status.register.era, received.sender.contact.id.as_str());
     if let Some(time) = received.time {
         shared.usage.note_peer_time(&received.sender.contact.id, time, now);
     }
     shared.register().reserve(&received.switching, now + SWITCH_RESERVATION);
-    if let Some(news) = &received.register_update {
-        peer::apply_announcement(shared, news);
+    if let Some(register_update) = &received.register_update {
+        peer::apply_announcement(shared, register_update);
     }
     quarantine::gossip::apply(shared, &received.quarantined, received.sender.contact.id.as_str());
     shared.limiter.apply_gossip(&received.limits, received.sender.contact.id.as_str());
     shared.drains.apply_gossip(&received.leaving, received.sender.contact.id.as_str());
-    let differs = quarantine::gossip::note_digest(
+    let digest_differs = quarantine::gossip::note_digest(
         shared,
         &received.sender.contact.id,
         received.quarantine_digest,
-    ) || differs;
+    ) || digest_differs;
     let mine = shared.status();
     if received.status.register > mine.register || received.status.version > mine.version {
         shared.note_outdated();
     }
-    if fresh {
-        shared.beat_now.notify_one();
+    if has_updates {
+        shared.heartbeat_now.notify_one();
     }
-    if differs {
+    if digest_differs {
         tokio::spawn(join::exchange_members(shared.clone(), received.sender.contact.peer));
     }
-    if received.wants_reply || mistaken.is_some() {
+    if received.wants_reply || correction.is_some() {
         // The asking node may not know any other node yet.
         let mut records = shared.roster().sample(&mut *shared.rng());
-        records.extend(mistaken);
-        let answer = Heartbeat { records, ..beat(shared, mine) };
+        records.extend(correction);
+        let answer = Heartbeat { records, ..build_heartbeat(shared, mine) };
         let peer = received.sender.contact.peer;
         transmit(shared, socket, &answer.encode(), peer).await;
         // Until it has exchanged lists, it must not run requests that crash runners.
@@ -263,13 +269,14 @@
             .chunks(MAX_ENTRIES_PER_MESSAGE)
             .take(MAX_QUARANTINE_MESSAGES)
         {
-            let more = Heartbeat { quarantined: quarantined.to_vec(), ..beat(shared, mine) };
+            let more =
+                Heartbeat { quarantined: quarantined.to_vec(), ..build_heartbeat(shared, mine) };
             transmit(shared, socket, &more.encode(), peer).await;
         }
     }
 }
 
-/// Applies records of nodes, and logs each that is news.
+/// Applies records of nodes, and logs each that changes the roster.
 pub fn apply_records(
     roster: &mut sardinepick_lib::fleet::roster::Roster,
     records: &[Record],
--- a/node/src/serve/join.rs
+++ b/node/src/serve/join.rs
@@ -18,7 +18,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
-use crate::serve::beat::{self, apply_records};
+use crate::serve::heartbeat::{self, apply_records};
 use crate::serve::quarantine;
 use crate::serve::rpc::{self, IDLE_TIMEOUT, RpcError};
 use crate::serve::shared::Shared;
@@ -108,7 +108,7 @@
         return false;
     }
     for _ in 0..SEED_ROUNDS {
-        beat::ask(shared, socket, &seeds).await;
+        heartbeat::ask(shared, socket, &seeds).await;
         sleep(ROUND_PAUSE).await;
         let named = shared.roster().sample(&mut *shared.rng());
         let peer = named.first().map(|record| record.contact.peer);
@@ -132,7 +132,7 @@
     match select_ok(exchanges).await {
         Ok((known, _)) => {
             log::info!(nodes = known; "joined");
-            shared.beat_now.notify_one();
+            shared.heartbeat_now.notify_one();
             true
         }
         Err(error) => {
--- a/node/src/serve/follower.rs
+++ b/node/src/serve/kind_watch.rs
@@ -23,7 +23,7 @@
 /// retry is earlier then, since a runner may have left in the missing history.
 const FORGOTTEN_BACK_OFF_DIVISOR: u32 = 4;
 /// How often a node that does not watch the store checks whether it should.
-const DUTY_CHECK_PERIOD: Duration = Duration::from_millis(100);
+const WATCH_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
 /// What is watched.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
@@ -35,8 +35,8 @@
     Register,
 }
 
-/// The watch of one kind.
-pub(super) struct Follower {
+/// This node's watch of one kind of object.
+pub(super) struct KindWatch {
     shared: Arc<Shared>,
     what: Kind,
     /// Consecutive failed calls.
@@ -53,7 +53,7 @@
     eras: watch::Receiver<Era>,
 }
 
-impl Follower {
+impl KindWatch {
     /// Creates the watch of `kind` at this node; nothing has been read yet.
     pub(super) fn new(shared: Arc<Shared>, what: Kind) -> Self {
         let eras = shared.history.subscribe();
@@ -87,7 +87,7 @@
             }
             (self.watching, self.from) = (false, None);
             while !self.must_watch() {
-                sleep(DUTY_CHECK_PERIOD).await;
+                sleep(WATCH_CHECK_PERIOD).await;
             }
         }
         if self.watching {
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -17,8 +17,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::serve::answer::{Body, Refusal, empty, full_body, json};
 use crate::serve::connection::prepare;
+use crate::serve::response::{Body, Refusal, empty, full_body, json};
 use crate::serve::shared::Shared;
 use crate::serve::{quarantine, request};
 
@@ -90,7 +90,7 @@
     let limits = shared.configuration.load().as_ref().map(|c| c.limits).unwrap_or_default();
     let service = service_fn(|request| {
         let shared = shared.clone();
-        async move { Ok::<_, Infallible>(answer(&shared, port, request).await) }
+        async move { Ok::<_, Infallible>(handle(&shared, port, request).await) }
     });
     let mut builder = http1::Builder::new();
     builder
@@ -114,9 +114,9 @@
     }
 }
 
-async fn answer(shared: &Arc<Shared>, port: Port, request: Request<Incoming>) -> Response<Body> {
+async fn handle(shared: &Arc<Shared>, port: Port, request: Request<Incoming>) -> Response<Body> {
     let mut response = match port {
-        Port::Front => request::answer(shared, request).await,
+        Port::Front => request::handle(shared, request).await,
         Port::Ready if request.uri().path() == READINESS_PATH => {
             let ready = shared.is_ready();
             empty(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
@@ -161,7 +161,7 @@
         Ok(lookup) => lookup,
         Err(error) => {
             log::info!(error:% = error; "invalid look-up");
-            return Refusal::Malformed.answer();
+            return Refusal::Malformed.response();
         }
     };
     let mut addresses = Vec::new();
--- a/node/src/serve/metrics.rs
+++ b/node/src/serve/metrics.rs
@@ -33,7 +33,7 @@
     /// Arrivals beyond the first, by whether the retry budget granted them.
     pub extra_arrivals: IntCounterVec,
     /// Calls during which a runner crashed.
-    pub runner_ends: IntCounter,
+    pub runner_crashes: IntCounter,
     /// Quarantined requests by event.
     pub quarantine: IntCounterVec,
     /// Connections opened.
@@ -43,7 +43,7 @@
     /// Requests with an unknown key, by how it was ruled out that the key is new.
     pub unknown_keys: IntCounterVec,
     /// Changes of the duties lease, by outcome.
-    pub leases: IntCounterVec,
+    pub lease_changes: IntCounterVec,
     /// Platform calls by the holder of the duties lease, by call and outcome.
     pub duty_calls: IntCounterVec,
     /// Runners of services with scaling: needed, and present by kind.
@@ -53,7 +53,7 @@
     /// Bytes of usage messages by direction.
     pub usage_bytes: IntCounterVec,
     /// Bytes of heartbeats by direction.
-    pub beat_bytes: IntCounterVec,
+    pub heartbeat_bytes: IntCounterVec,
     /// Bytes of scheduler messages by direction.
     pub schedule_bytes: IntCounterVec,
     /// Placements by who decided: the pool's scheduler, this node as scheduler, or this node alone.
@@ -63,7 +63,7 @@
     /// Log lines dropped because of a slow reader.
     pub lines_dropped: IntCounter,
     /// Requests in progress.
-    pub under_way: IntGauge,
+    pub in_progress: IntGauge,
     /// The version of the configuration in force.
     pub configuration_version: IntGauge,
     /// The era of the store.
@@ -175,7 +175,7 @@
                 "Arrivals beyond the first, by what the budget said",
                 &["service", "granted"],
             ),
-            runner_ends: m
+            runner_crashes: m
                 .counter("sardinepick_runner_ends_total", "Calls under which a runner ended"),
             quarantine: m.counters(
                 "sardinepick_quarantine_total",
@@ -184,7 +184,7 @@
             ),
             connections: m
                 .counter("sardinepick_connections_total", "Connections made to runners and store"),
-            leases: m.counters(
+            lease_changes: m.counters(
                 "sardinepick_lease_changes_total",
                 "Changes of the lease on the duties, by what became of it",
                 &["outcome"],
@@ -219,7 +219,7 @@
                 "Calls to the store",
                 &["purpose", "outcome"],
             ),
-            beat_bytes: m.counters(
+            heartbeat_bytes: m.counters(
                 "sardinepick_beat_bytes_total",
                 "Bytes of beats between nodes",
                 &["direction"],
@@ -241,7 +241,7 @@
                 &["step"],
             ),
             lines_dropped: m.counter("sardinepick_log_lines_dropped_total", "Log lines dropped"),
-            under_way: m.gauge("sardinepick_under_way", "Requests under way"),
+            in_progress: m.gauge("sardinepick_under_way", "Requests under way"),
             configuration_version: m
                 .gauge("sardinepick_configuration_version", "Version of the configuration"),
             store_era: m.gauge("sardinepick_store_era", "Era of the store"),
--- a/node/src/serve/mod.rs
+++ b/node/src/serve/mod.rs
@@ -4,17 +4,16 @@
 //! its load with the other nodes, and serves requests: it routes and admits them, chooses runners,
 //! and returns a complete response or an accurate refusal.
 
-pub mod answer;
-pub mod beat;
+pub mod cache_query;
 pub mod connection;
 pub mod copy;
 pub mod crash;
 pub mod duty;
 pub mod follow;
-mod follower;
 pub mod generation;
-pub mod inventory;
+pub mod heartbeat;
 pub mod join;
+mod kind_watch;
 pub mod knowledge;
 pub mod listener;
 pub mod metrics;
@@ -25,11 +24,12 @@
 pub mod plain;
 pub mod quarantine;
 pub mod request;
+pub mod reservation;
+pub mod response;
 pub mod rpc;
 pub mod run;
 pub mod scheduler;
 pub mod settings;
 pub mod shared;
 pub mod store;
-pub mod ticket;
 pub mod transfer;
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -122,11 +122,11 @@
         let mut wanted_changes = Vec::new();
         for service in configuration.services() {
             let Some(engine) = service.engine else { continue };
-            let division = self.division(&service.name, now);
+            let stage_counts = self.stage_counts(&service.name, now);
             let mut demands = self.shared.demand();
             let demand = demands.entry(service.name.clone()).or_default();
             demand.tick(now);
-            if let Some(change) = decide(division, demand, nodes, engine.memory)
+            if let Some(change) = decide(stage_counts, demand, nodes, engine.memory)
                 && (change.urgent || !self.reverts_too_soon(&service.name, change.to, now))
             {
                 wanted_changes.push((service.name.clone(), change));
@@ -144,20 +144,20 @@
     }
 
     /// Counts the runners of a service by stage.
-    fn division(&self, service: &ServiceId, now: Instant) -> StageCounts {
-        let mut division = StageCounts::default();
+    fn stage_counts(&self, service: &ServiceId, now: Instant) -> StageCounts {
+        let mut stage_counts = StageCounts::default();
         let register = self.shared.register();
         for runner in register.of(service) {
             match (self.pending_stage(&runner.entry, now), runner.entry.stage) {
-                (Some(Stage::Prefill), _) => division.to_prefill += 1,
-                (Some(Stage::Decode), _) => division.to_decode += 1,
+                (Some(Stage::Prefill), _) => stage_counts.to_prefill += 1,
+                (Some(Stage::Decode), _) => stage_counts.to_decode += 1,
                 (None, _) if !runner.takes_work(now) => {}
-                (None, Some(Stage::Prefill)) => division.prefill += 1,
-                (None, Some(Stage::Decode)) => division.decode += 1,
+                (None, Some(Stage::Prefill)) => stage_counts.prefill += 1,
+                (None, Some(Stage::Decode)) => stage_counts.decode += 1,
                 (None, None) => {}
             }
         }
-        division
+        stage_counts
     }
 
     /// Returns the stage that a runner is changing to.
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -27,9 +27,9 @@
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
 use tonic::{Request, Response, Status};
 
-use crate::serve::beat::apply_records;
 use crate::serve::copy;
 use crate::serve::follow::apply_difference;
+use crate::serve::heartbeat::apply_records;
 use crate::serve::knowledge::Difference;
 use crate::serve::quarantine;
 use crate::serve::rpc::{self, Failures, Reply, RpcError};
@@ -98,7 +98,7 @@
         let mut roster = self.shared.roster();
         apply_records(&mut roster, &records, now);
         if roster.has_updates() {
-            self.shared.beat_now.notify_one();
+            self.shared.heartbeat_now.notify_one();
         }
         let records = roster.records();
         drop(roster);
@@ -112,7 +112,7 @@
         &self,
         request: Request<pb::CopyRequest>,
     ) -> Result<Response<Self::CopyStream>, Status> {
-        let parts = copy::answer(self.shared.clone(), request.into_inner());
+        let parts = copy::serve(self.shared.clone(), request.into_inner());
         Ok(Response::new(ReceiverStream::new(parts)))
     }
 }
@@ -263,7 +263,7 @@
 }
 
 /// Asks other nodes whenever this one is behind, until the process ends.
-pub async fn learn(shared: Arc<Shared>) {
+pub async fn fetch_updates(shared: Arc<Shared>) {
     let mut failures = Failures::default();
     loop {
         shared.register_outdated.notified().await;
@@ -338,7 +338,7 @@
             changes.entries.push(from_wire(object, mark.era).map_err(malformed)?);
         }
         if bytes > MAX_ANSWER_BYTES {
-            return Err(RpcError::TooLarge { peer, most: MAX_ANSWER_BYTES });
+            return Err(RpcError::TooLarge { peer, limit: MAX_ANSWER_BYTES });
         }
         if part.last {
             changes.gone = part.gone.into_iter().map(SmolStr::new).collect();
@@ -349,7 +349,7 @@
                 Vec::new()
             });
             let leaving = part.leaving.into_iter().map(Tag).collect();
-            return Ok(Reply::Whole(ReceivedRegister { difference: changes, limits, leaving }));
+            return Ok(Reply::Complete(ReceivedRegister { difference: changes, limits, leaving }));
         }
     }
 }
--- a/node/src/serve/plain.rs
+++ b/node/src/serve/plain.rs
@@ -18,12 +18,12 @@
 use smallvec::SmallVec;
 use tokio::time::timeout;
 
-use crate::serve::answer::{Body, Refusal, forward_response, full_body};
 use crate::serve::connection::{Answer, SendError};
 use crate::serve::quarantine::{self, Admission};
-use crate::serve::request::{End, Request, UnderWay};
+use crate::serve::request::{End, InProgress, Request};
+use crate::serve::reservation::{Reservation, Step};
+use crate::serve::response::{Body, Refusal, forward_response, full_body};
 use crate::serve::shared::Shared;
-use crate::serve::ticket::{Step, Ticket};
 
 /// The maximum number of calls for one request, including calls that never reached a runner.
 const MAX_CALLS: u32 = 6;
@@ -36,7 +36,7 @@
 /// The result of one call.
 enum CallResult {
     /// A complete response of the runner.
-    Whole(Parts, Bytes),
+    Complete(Parts, Bytes),
     /// The runner has not run the request.
     NotRun {
         /// Whether a runner has read the request, which counts as an arrival.
@@ -51,27 +51,27 @@
 }
 
 /// Answers a plain request.
-pub async fn answer(
+pub async fn handle(
     shared: &Arc<Shared>,
     request: &Request,
-    _under_way: UnderWay,
+    _in_progress: InProgress,
 ) -> Response<Body> {
-    let mut attempt = Attempt {
+    let mut task = PlainTask {
         shared,
         request,
         tried: SmallVec::new(),
         calls: 0,
         arrivals: 0,
         runs: 0,
-        ends: 0,
+        crashes: 0,
         is_trial: false,
     };
-    let end = attempt.run().await;
-    if attempt.is_trial && attempt.runs == 0 && attempt.ends == 0 {
+    let end = task.run().await;
+    if task.is_trial && task.runs == 0 && task.crashes == 0 {
         quarantine::return_trial(shared, &request.fingerprint);
     }
-    let runner = attempt.tried.last().map(RunnerId::as_str).unwrap_or_default();
-    let mut line = End { runner, tries: attempt.calls, ..End::default() };
+    let runner = task.tried.last().map(RunnerId::as_str).unwrap_or_default();
+    let mut line = End { runner, tries: task.calls, ..End::default() };
     match end {
         Ok((head, body)) => {
             quarantine::note_answered(shared, &request.fingerprint);
@@ -89,12 +89,12 @@
             line.outcome = "refused";
             line.reason = refusal.reason();
             request.log_end(shared, &line);
-            refusal.answer()
+            refusal.response()
         }
     }
 }
 
-struct Attempt<'a> {
+struct PlainTask<'a> {
     shared: &'a Arc<Shared>,
     request: &'a Request,
     tried: SmallVec<[RunnerId; 4]>,
@@ -106,20 +106,20 @@
     runs: u32,
     /// Runner crashes counted against this request, as of the last crash during this attempt; 0 if
     /// there was none.
-    ends: usize,
-    /// Whether it runs as a trial, to see whether runners still crash on it.
+    crashes: usize,
+    /// Whether this is a trial run of a quarantined request, to see if it still crashes runners.
     is_trial: bool,
 }
 
-impl Attempt<'_> {
+impl PlainTask<'_> {
     async fn run(&mut self) -> Result<(Parts, Bytes), Refusal> {
         let mut failed: Option<(Parts, Bytes)> = None;
         loop {
-            if !self.is_trial || self.runs > 0 || self.ends > 0 {
+            if !self.is_trial || self.runs > 0 || self.crashes > 0 {
                 match quarantine::admit(self.shared, self.request).await {
                     Admission::Refused => return Err(Refusal::Quarantined),
                     Admission::Trial if self.calls > 0 => return Err(Refusal::Quarantined),
-                    Admission::Free if self.ends >= QUARANTINE_ENDS => {
+                    Admission::Free if self.crashes >= QUARANTINE_ENDS => {
                         return failed.ok_or(Refusal::Broken);
                     }
                     Admission::Free => {}
@@ -129,10 +129,10 @@
             let now = self.shared.clock.now();
             let left = self.request.time_left(now);
             if left.is_zero() {
-                return failed.ok_or_else(|| self.give_up(Reason::Late));
+                return failed.ok_or_else(|| self.final_refusal(Reason::Late));
             }
             let Some(choice) = self.choose() else {
-                return failed.ok_or_else(|| self.give_up(Reason::NoRunner));
+                return failed.ok_or_else(|| self.final_refusal(Reason::NoRunner));
             };
             let terms = self.request.terms(now);
             if self.calls == 0
@@ -143,33 +143,33 @@
                 return Err(Refusal::NotRun(Reason::Late, after));
             }
             if self.arrivals > 0 && !self.shared.take_extra_arrival(&self.request.service) {
-                return failed.ok_or_else(|| self.give_up(Reason::Budget));
+                return failed.ok_or_else(|| self.final_refusal(Reason::Budget));
             }
             self.calls += 1;
             let last = !self.is_repeatable() || self.runs + 1 >= self.request.route.max_attempts;
             match self.call(&choice.runner, left, last).await {
-                CallResult::Whole(head, body) => {
+                CallResult::Complete(head, body) => {
                     let good = !head.status.is_server_error();
-                    if good || !self.may_run_again() {
+                    if good || !self.may_retry() {
                         return Ok((head, body));
                     }
                     failed = Some((head, body));
                 }
                 CallResult::NotRun { arrived } => self.arrivals += u32::from(arrived),
-                CallResult::MaybeRun | CallResult::Cut if self.may_run_again() => {}
-                CallResult::TimedOut if self.may_run_again() => {}
+                CallResult::MaybeRun | CallResult::Cut if self.may_retry() => {}
+                CallResult::TimedOut if self.may_retry() => {}
                 CallResult::MaybeRun | CallResult::Cut => return failed.ok_or(Refusal::Broken),
                 CallResult::TimedOut => return failed.ok_or(Refusal::Late),
             }
             self.tried.push(choice.runner);
             if self.calls >= MAX_CALLS {
-                return failed.ok_or_else(|| self.give_up(Reason::Shed));
+                return failed.ok_or_else(|| self.final_refusal(Reason::Shed));
             }
         }
     }
 
     /// Returns whether the request may run again after a run that has begun, or may have.
-    fn may_run_again(&self) -> bool {
+    fn may_retry(&self) -> bool {
         self.is_repeatable() && self.runs < self.request.route.max_attempts
     }
 
@@ -177,8 +177,8 @@
         self.request.route.kind.may_repeat()
     }
 
-    /// Returns the refusal of an abandoned request, which says whether it may have run.
-    fn give_up(&self, reason: Reason) -> Refusal {
+    /// Returns the refusal of a request that is not tried again, which says whether it may have run.
+    fn final_refusal(&self, reason: Reason) -> Refusal {
         if self.runs > 0 {
             return if reason == Reason::Late { Refusal::Late } else { Refusal::Broken };
         }
@@ -186,7 +186,7 @@
     }
 
     fn choose(&self) -> Option<placement::Plain> {
-        let question = Criteria {
+        let criteria = Criteria {
             service: &self.request.service,
             pool: None,
             class: Class::of_rank(self.request.route.rank),
@@ -195,13 +195,13 @@
             continues: false,
             now: self.shared.clock.now(),
         };
-        placement::place_plain(&self.shared.register(), &question, &mut *self.shared.rng())
+        placement::place_plain(&self.shared.register(), &criteria, &mut *self.shared.rng())
     }
 
     async fn call(&mut self, id: &RunnerId, left: Duration, last: bool) -> CallResult {
         let class = Class::of_rank(self.request.route.rank);
-        let share = WorkCost { class, prefill_tokens: 0, footprint: 0 };
-        let mut ticket = Ticket::new(self.shared, id, Step::Plain, share);
+        let cost = WorkCost { class, prefill_tokens: 0, footprint: 0 };
+        let mut reservation = Reservation::new(self.shared, id, Step::Plain, cost);
         let Some((address, mean)) =
             self.shared.register().get(id).map(|r| (r.entry.address, r.answer_time))
         else {
@@ -229,35 +229,39 @@
         let limit = if last { left } else { left.min(runner_timeout) };
         // From here on the request may run.
         self.runs += 1;
-        let target = ticket.target(address);
+        let target = reservation.target(address);
         let sent = self.shared.dispatcher.send(target, &request.id, outgoing);
-        match timeout(limit, async { self.finish(id, &ticket, sent.await?).await }).await {
+        match timeout(limit, async { self.read_response(id, &reservation, sent.await?).await })
+            .await
+        {
             Ok(Ok(result)) => {
                 let outcome = match &result {
-                    CallResult::Whole(head, _) if head.status.is_server_error() => Outcome::Failed,
-                    CallResult::Whole(..) => Outcome::Answered,
+                    CallResult::Complete(head, _) if head.status.is_server_error() => {
+                        Outcome::Failed
+                    }
+                    CallResult::Complete(..) => Outcome::Answered,
                     CallResult::NotRun { .. } => Outcome::Failed,
                     CallResult::MaybeRun | CallResult::Cut | CallResult::TimedOut => {
                         Outcome::Broken
                     }
                 };
-                if let CallResult::Whole(..) = &result {
-                    let held = ticket.held().as_secs_f64();
-                    ticket.with_runner(|runner| runner.learn_answer(held));
+                if let CallResult::Complete(..) = &result {
+                    let held = reservation.held().as_secs_f64();
+                    reservation.with_runner(|runner| runner.learn_answer(held));
                 }
                 match &result {
                     CallResult::NotRun { .. } => self.runs -= 1,
                     _ => self.arrivals += 1,
                 }
-                ticket.conclude(outcome);
+                reservation.conclude(outcome);
                 if let CallResult::Cut = result {
-                    self.note_broken(&ticket, true).await;
+                    self.note_broken(&reservation, true).await;
                 }
                 result
             }
             Ok(Err(error)) => {
                 if !error.is_rate_limited() {
-                    ticket.conclude(Outcome::Broken);
+                    reservation.conclude(Outcome::Broken);
                 }
                 log::info!(
                     request:% = request.id, runner:% = id, address:% = address, error:% = error,
@@ -268,12 +272,12 @@
                     return CallResult::NotRun { arrived: false };
                 }
                 self.arrivals += 1;
-                self.note_broken(&ticket, false).await;
+                self.note_broken(&reservation, false).await;
                 CallResult::MaybeRun
             }
             Err(_) => {
                 self.arrivals += 1;
-                ticket.conclude(Outcome::Broken);
+                reservation.conclude(Outcome::Broken);
                 log::info!(
                     request:% = request.id, runner:% = id, address:% = address,
                     waited_ms = limit.as_millis() as u64; "call without an answer"
@@ -284,17 +288,18 @@
     }
 
     /// Records whether the runner of a broken call has crashed during it.
-    async fn note_broken(&mut self, ticket: &Ticket, begun: bool) {
-        let reach = RunProgress { events: 0, begun };
-        let ends = quarantine::count::note_broken(self.shared, ticket, self.request, reach).await;
-        self.ends = self.ends.max(ends);
+    async fn note_broken(&mut self, reservation: &Reservation, begun: bool) {
+        let progress = RunProgress { events: 0, begun };
+        let crashes =
+            quarantine::count::note_broken(self.shared, reservation, self.request, progress).await;
+        self.crashes = self.crashes.max(crashes);
     }
 
     /// Classifies a response and reads its body.
-    async fn finish(
+    async fn read_response(
         &self,
         id: &RunnerId,
-        ticket: &Ticket,
+        reservation: &Reservation,
         answer: Answer,
     ) -> Result<CallResult, SendError> {
         let request = self.request;
@@ -304,7 +309,7 @@
             Verdict::OtherInstance | Verdict::NotRun => {
                 if verdict == Verdict::OtherInstance {
                     let now = self.shared.clock.now();
-                    ticket.with_runner(|runner| runner.health.note(Outcome::Gone, now));
+                    reservation.with_runner(|runner| runner.health.note(Outcome::Gone, now));
                 }
                 log::info!(
                     request:% = request.id, runner:% = id, status = answer.head.status.as_u16();
@@ -324,7 +329,7 @@
                     // Only the runner's own header proves that it has not run, and that is missing.
                     return Ok(CallResult::MaybeRun);
                 }
-                Ok(CallResult::Whole(head, body))
+                Ok(CallResult::Complete(head, body))
             }
             Err(error) => {
                 log::info!(
--- a/node/src/serve/quarantine/count.rs
+++ b/node/src/serve/quarantine/count.rs
@@ -18,9 +18,9 @@
 use super::{State, note_stage, set_stage};
 use crate::serve::crash;
 use crate::serve::request::Request;
+use crate::serve::reservation::Reservation;
 use crate::serve::scheduler::transmit;
 use crate::serve::shared::Shared;
-use crate::serve::ticket::Ticket;
 
 /// The reply timeout of a crash report, for each attempt.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(15);
@@ -31,11 +31,11 @@
 /// the runner's process has not ended.
 pub async fn note_broken(
     shared: &Shared,
-    ticket: &Ticket,
+    reservation: &Reservation,
     request: &Request,
     progress: RunProgress,
 ) -> usize {
-    let Some(incarnation) = crash::detect(shared, ticket, request, progress).await else {
+    let Some(incarnation) = crash::detect(shared, reservation, request, progress).await else {
         return 0;
     };
     let end = RunnerEnd { incarnation, progress };
@@ -67,7 +67,7 @@
         if objects {
             set_stage(shared, &request, Stage::Cleared, "answered since");
         }
-        shared.beat_now.notify_one();
+        shared.heartbeat_now.notify_one();
     }
     crashes
 }
@@ -116,9 +116,9 @@
     request: &Fingerprint,
 ) -> SmallVec<[Option<SocketAddr>; COUNTING_NODES]> {
     let roster = shared.roster();
-    let fronts = roster.ready_contacts();
-    let nodes = fronts.iter().map(|contact| &contact.id).chain([&shared.me.id]);
-    let peer = |id: &NodeId| fronts.iter().find(|c| c.id == *id).map(|c| c.peer);
+    let contacts = roster.ready_contacts();
+    let nodes = contacts.iter().map(|contact| &contact.id).chain([&shared.me.id]);
+    let peer = |id: &NodeId| contacts.iter().find(|c| c.id == *id).map(|c| c.peer);
     choose_counting_nodes(request, nodes).into_iter().map(peer).collect()
 }
 
--- a/node/src/serve/quarantine/gossip.rs
+++ b/node/src/serve/quarantine/gossip.rs
@@ -10,9 +10,9 @@
 use crate::serve::shared::Shared;
 
 /// Applies another node's entries.
-pub fn apply(shared: &Shared, told: &[pb::Quarantined], from: &str) {
+pub fn apply(shared: &Shared, received: &[pb::Quarantined], from: &str) {
     let now = shared.clock.now();
-    let entries = match decode_entries(told, now) {
+    let entries = match decode_entries(received, now) {
         Ok(entries) => entries,
         Err(error) => {
             log::warn!(node = from, error:% = error; "malformed quarantine gossip dropped");
@@ -39,14 +39,14 @@
         if shared.quarantine.state().quarantine.contradicts(&entry) {
             set_stage(shared, &entry.request, Stage::Cleared, "answered since");
         }
-        shared.beat_now.notify_one();
+        shared.heartbeat_now.notify_one();
     }
 }
 
 /// Entries not gossiped yet, as many as fit into one message.
 pub fn take_pending(shared: &Shared) -> Vec<pb::Quarantined> {
-    let news = shared.quarantine.state().quarantine.take_updates();
-    encode_entries(&news, shared.clock.now())
+    let updates = shared.quarantine.state().quarantine.take_updates();
+    encode_entries(&updates, shared.clock.now())
 }
 
 /// Whether there are entries that have not been gossiped.
--- a/node/src/serve/quarantine/mod.rs
+++ b/node/src/serve/quarantine/mod.rs
@@ -162,7 +162,7 @@
     let Some(entry) = entry else { return false };
     update_suspects(shared, &entry);
     note_stage(shared, &entry, why);
-    shared.beat_now.notify_one();
+    shared.heartbeat_now.notify_one();
     // Proposals are not stored, so only changes from or to `Confirmed` are written.
     if [was, Some(stage)].contains(&Some(Stage::Confirmed)) {
         schedule_write(shared, *request);
--- a/node/src/serve/quarantine/store.rs
+++ b/node/src/serve/quarantine/store.rs
@@ -34,7 +34,7 @@
             Ok(entry) if shared.quarantine.state().quarantine.apply_entry(entry.clone(), now) => {
                 update_suspects(&shared, &entry);
                 note_stage(&shared, &entry, "kept by the store");
-                shared.beat_now.notify_one();
+                shared.heartbeat_now.notify_one();
             }
             Ok(_) => {}
             Err(error) => {
@@ -54,7 +54,7 @@
 pub async fn write_again(shared: Arc<Shared>) {
     let mut eras = shared.history.subscribe();
     while eras.changed().await.is_ok() {
-        if !shared.history.has_come_back() {
+        if !shared.history.was_restored() {
             continue;
         }
         let confirmed: Vec<Fingerprint> = {
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -23,7 +23,7 @@
 use tokio::time::timeout;
 
 use crate::account::CheckResult;
-use crate::serve::answer::{Body, Refusal};
+use crate::serve::response::{Body, Refusal};
 use crate::serve::shared::Shared;
 use crate::serve::{follow, generation, plain};
 
@@ -132,7 +132,7 @@
 }
 
 /// Handles a caller's request.
-pub async fn answer(shared: &Arc<Shared>, request: http::Request<Incoming>) -> Response<Body> {
+pub async fn handle(shared: &Arc<Shared>, request: http::Request<Incoming>) -> Response<Body> {
     let arrived = shared.clock.now();
     let (head, body) = request.into_parts();
     let ask = caller::read_headers(&head.headers);
@@ -145,7 +145,7 @@
             request = id, path = head.uri.path(), version:% = version,
             reason = refusal.reason(), status = refusal.status().as_u16(); "request refused"
         );
-        refusal.answer()
+        refusal.response()
     };
     let Admitted { configuration, route, account } = match admit(shared, &head, arrived).await {
         Ok(admitted) => admitted,
@@ -183,11 +183,11 @@
         configuration,
     };
     shared.note_request(&request.service);
-    let under_way = UnderWay::new(shared);
+    let in_progress = InProgress::new(shared);
     if request.engine.is_some() || request.route.kind.is_stream() {
-        generation::answer(shared, request, under_way).await
+        generation::handle(shared, request, in_progress).await
     } else {
-        plain::answer(shared, &request, under_way).await
+        plain::handle(shared, &request, in_progress).await
     }
 }
 
@@ -280,17 +280,17 @@
 }
 
 /// Counts a request as in progress until dropped.
-pub struct UnderWay(Arc<Shared>);
+pub struct InProgress(Arc<Shared>);
 
-impl UnderWay {
+impl InProgress {
     fn new(shared: &Arc<Shared>) -> Self {
-        shared.metrics.under_way.inc();
+        shared.metrics.in_progress.inc();
         Self(shared.clone())
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InProgress {
     fn drop(&mut self) {
-        self.0.metrics.under_way.dec();
+        self.0.metrics.in_progress.dec();
     }
 }
--- a/node/src/serve/ticket.rs
+++ b/node/src/serve/reservation.rs
@@ -28,46 +28,47 @@
 pub enum Step {
     /// A plain request.
     Plain,
-    /// Reading a prompt for another runner.
-    Read,
+    /// Processing a prompt for a decode runner.
+    #[strum(serialize = "read")]
+    Prefill,
     /// Running a generation.
     Run,
 }
 
 /// A reservation of a runner.
-pub struct Ticket {
+pub struct Reservation {
     shared: Arc<Shared>,
     runner: RunnerId,
     /// The incarnation of the runner that was reserved; `None` if the runner was not known.
-    stay: Option<Registration>,
+    registration: Option<Registration>,
     step: Step,
-    share: WorkCost,
+    cost: WorkCost,
     began: Instant,
-    read: bool,
+    prefilled: bool,
     concluded: bool,
 }
 
-impl Ticket {
+impl Reservation {
     /// Reserves a runner.
-    pub fn new(shared: &Arc<Shared>, runner: &RunnerId, step: Step, share: WorkCost) -> Self {
+    pub fn new(shared: &Arc<Shared>, runner: &RunnerId, step: Step, cost: WorkCost) -> Self {
         let began = shared.clock.now();
-        let stay = shared.register().begin(runner, share, began);
-        if let Some(stay) = &stay {
-            shared.scheduling.note_begun(Tag::of(&stay.id, stay.born));
+        let registration = shared.register().begin(runner, cost, began);
+        if let Some(registration) = &registration {
+            shared.scheduling.note_begun(Tag::of(&registration.id, registration.born));
         }
         Self {
             shared: shared.clone(),
             runner: runner.clone(),
-            stay,
+            registration,
             step,
-            share,
+            cost,
             began,
-            read: false,
+            prefilled: false,
             concluded: false,
         }
     }
 
-    /// The runner.
+    /// The reserved runner.
     pub fn runner(&self) -> &RunnerId {
         &self.runner
     }
@@ -78,38 +79,38 @@
     }
 
     /// The incarnation of the runner that was reserved; `None` if the runner was not known.
-    pub fn stay(&self) -> Option<&Registration> {
-        self.stay.as_ref()
+    pub fn registration(&self) -> Option<&Registration> {
+        self.registration.as_ref()
     }
 
     /// Returns the runner at its address as the target of a request.
     pub fn target(&self, address: SocketAddr) -> Target<'_> {
-        Target { runner: &self.runner, stay: self.stay.as_ref(), address }
+        Target { runner: &self.runner, registration: self.registration.as_ref(), address }
     }
 
     /// Updates the state of the runner if it is still in the reserved incarnation.
     pub fn with_runner<T>(&self, change: impl FnOnce(&mut Runner) -> T) -> Option<T> {
-        let stay = self.stay.as_ref()?;
-        self.shared.register().registered_mut(stay).map(change)
+        let registration = self.registration.as_ref()?;
+        self.shared.register().registered_mut(registration).map(change)
     }
 
-    /// Records that the prompt has been read.
-    pub fn note_read(&mut self) {
-        if let Some(stay) = self.stay.as_ref().filter(|_| !self.read) {
-            self.shared.register().note_prefilled(stay, self.share);
-            self.shared.scheduling.note_change(Tag::of(&stay.id, stay.born));
+    /// Records that the prompt has been processed.
+    pub fn note_prefilled(&mut self) {
+        if let Some(registration) = self.registration.as_ref().filter(|_| !self.prefilled) {
+            self.shared.register().note_prefilled(registration, self.cost);
+            self.shared.scheduling.note_change(Tag::of(&registration.id, registration.born));
         }
-        self.read = true;
+        self.prefilled = true;
     }
 
     /// Records a measurement from the work, here and at the runner's scheduler.
-    pub fn learn(&self, lesson: Observation) {
+    pub fn learn(&self, observation: Observation) {
         let now = self.shared.clock.now();
         if let Some(tag) = self.with_runner(|runner| {
-            runner.learn(lesson, now);
+            runner.learn(observation, now);
             runner.entry.tag()
         }) {
-            self.shared.scheduling.note_lesson(tag, lesson);
+            self.shared.scheduling.note_observation(tag, observation);
         }
     }
 
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Records a sign of life of the runner.
-    pub fn note_life(&self) {
+    /// Records that the runner has sent something.
+    pub fn note_alive(&self) {
         let now = self.shared.clock.now();
         self.with_runner(|runner| runner.health.note_alive(now));
     }
@@ -144,12 +145,12 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.note_read();
-        if let Some(stay) = &self.stay {
-            self.shared.register().end(stay, self.share);
-            self.shared.scheduling.note_change(Tag::of(&stay.id, stay.born));
+        self.note_prefilled();
+        if let Some(registration) = &self.registration {
+            self.shared.register().end(registration, self.cost);
+            self.shared.scheduling.note_change(Tag::of(&registration.id, registration.born));
         }
         let alive_since = self.with_runner(|runner| runner.health.last_seen()).flatten();
         let silent = alive_since.is_none_or(|at| at < self.began);
--- a/node/src/serve/answer.rs
+++ b/node/src/serve/response.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns the response.
-    pub fn answer(self) -> Response<Body> {
+    pub fn response(self) -> Response<Body> {
         let text = match self {
             Refusal::NotRun(..) => "not run; come back later\n",
             Refusal::Broken => "the answer broke off; it may have run\n",
--- a/node/src/serve/rpc.rs
+++ b/node/src/serve/rpc.rs
@@ -73,12 +73,12 @@
         detail: String,
     },
     /// The answer exceeds the size limit.
-    #[error("asking {peer}: the answer exceeds {most} bytes")]
+    #[error("asking {peer}: the answer exceeds {limit} bytes")]
     TooLarge {
         /// The node.
         peer: SocketAddr,
         /// The limit, in bytes.
-        most: usize,
+        limit: usize,
     },
     /// The node referred the call to an unusable address, or after too many referrals.
     #[error("asking {peer}: unusable referral to {address}")]
@@ -157,7 +157,7 @@
 #[derive(Debug)]
 pub enum Reply<T> {
     /// The complete answer.
-    Whole(T),
+    Complete(T),
     /// The call should go to another node.
     Referral(SocketAddr),
 }
@@ -189,7 +189,7 @@
     let mut peer = first;
     for _ in 0..MAX_REFERRALS {
         match ask(peer).await? {
-            Reply::Whole(told) => return Ok((peer, told)),
+            Reply::Complete(answer) => return Ok((peer, answer)),
             Reply::Referral(next) => peer = next,
         }
     }
--- a/node/src/serve/run.rs
+++ b/node/src/serve/run.rs
@@ -16,8 +16,8 @@
 use crate::serve::metrics::Metrics;
 use crate::serve::settings::Settings;
 use crate::serve::shared::Shared;
-use crate::serve::{beat, copy, duty, follow, join, order, peer, quarantine, scheduler};
-use crate::usage::exchange::Exchange;
+use crate::serve::{copy, duty, follow, heartbeat, join, order, peer, quarantine, scheduler};
+use crate::usage::sender::CountSender;
 
 /// Why a node could not start.
 #[derive(Debug, Error)]
@@ -36,7 +36,7 @@
     /// The state shared by its tasks.
     pub shared: Arc<Shared>,
     closing: watch::Sender<bool>,
-    exchange: Exchange,
+    count_sender: CountSender,
 }
 
 /// The fraction of the grace period after which a stopping node closes its connections. By then no
@@ -66,7 +66,7 @@
     /// For calls of other nodes.
     pub peers: TcpListener,
     /// For heartbeats and other datagrams.
-    pub beats: UdpSocket,
+    pub heartbeats: UdpSocket,
 }
 
 impl Sockets {
@@ -76,14 +76,18 @@
     /// An address cannot be bound.
     pub async fn bind(settings: &Settings) -> Result<Self, StartError> {
         let address = settings.peer;
-        let beats = UdpSocket::bind(address).await;
+        let heartbeats = UdpSocket::bind(address).await;
         Ok(Self {
             front: listen("callers", settings.front).await?,
             ready: listen("the platform", settings.ready).await?,
             lookup: listen("look-ups", settings.lookup).await?,
             metrics: listen("metrics", settings.metrics).await?,
             peers: listen("other nodes", address).await?,
-            beats: beats.map_err(|source| StartError { what: "heartbeats", address, source })?,
+            heartbeats: heartbeats.map_err(|source| StartError {
+                what: "heartbeats",
+                address,
+                source,
+            })?,
         })
     }
 }
@@ -114,7 +118,7 @@
         (Port::Lookup, sockets.lookup),
         (Port::Metrics, sockets.metrics),
     ];
-    let socket = Arc::new(sockets.beats);
+    let socket = Arc::new(sockets.heartbeats);
     let shared = Arc::new(Shared::new(settings, clock, metrics));
     shared.scheduling.set_socket(socket.clone());
     shared.limiter.set_socket(socket.clone());
@@ -125,10 +129,10 @@
         tokio::spawn(listener::run(shared.clone(), port, listener, Closing::of(switch)));
     }
     tokio::spawn(peer::serve(shared.clone(), sockets.peers));
-    tokio::spawn(peer::learn(shared.clone()));
-    tokio::spawn(copy::learn(shared.clone()));
-    tokio::spawn(beat::receive(shared.clone(), socket.clone()));
-    tokio::spawn(beat::send(shared.clone(), socket.clone()));
+    tokio::spawn(peer::fetch_updates(shared.clone()));
+    tokio::spawn(copy::fetch_updates(shared.clone()));
+    tokio::spawn(heartbeat::receive(shared.clone(), socket.clone()));
+    tokio::spawn(heartbeat::send(shared.clone(), socket.clone()));
     tokio::spawn(follow::configuration(shared.clone()));
     tokio::spawn(follow::register(shared.clone()));
     tokio::spawn(scheduler::report(shared.clone()));
@@ -138,12 +142,12 @@
     tokio::spawn(join::join(shared.clone(), socket.clone()));
     tokio::spawn(follow::clean_up(shared.clone()));
     tokio::spawn(order::run(shared.clone()));
-    let exchange = duty::start(&shared, socket);
+    let count_sender = duty::start(&shared, socket);
     log::info!(
         node:% = shared.me.id, data_centre:% = shared.me.data_centre, front:% = shared.me.front,
         peer:% = shared.me.peer, version = env!("CARGO_PKG_VERSION"); "started"
     );
-    Running { shared, closing, exchange }
+    Running { shared, closing, count_sender }
 }
 
 impl Running {
@@ -168,21 +172,21 @@
         let shared = self.shared;
         let grace = shared.settings.grace;
         let began = Instant::now();
-        let under_way = || u64::try_from(shared.metrics.under_way.get()).unwrap_or(0);
-        log::info!(node:% = shared.me.id, under_way = under_way(); "leaving");
+        let in_progress = || u64::try_from(shared.metrics.in_progress.get()).unwrap_or(0);
+        log::info!(node:% = shared.me.id, under_way = in_progress(); "leaving");
         shared.standing.send_replace(Standing::Leaving);
-        shared.beat_now.notify_one();
+        shared.heartbeat_now.notify_one();
         sleep_until(began + grace.mul_f64(CLOSE_AFTER)).await;
         self.closing.send_replace(true);
         let end = began + grace.mul_f64(ABORT_AFTER);
         while Instant::now() < end {
             sleep(STOP_CHECK_PERIOD).await;
-            if under_way() == 0 {
+            if in_progress() == 0 {
                 break;
             }
         }
-        self.exchange.send_counts().await;
-        let cut = under_way();
+        self.count_sender.send_counts().await;
+        let cut = in_progress();
         log::info!(node:% = shared.me.id, cut = cut; "stopped");
         cut
     }
--- a/node/src/serve/scheduler.rs
+++ b/node/src/serve/scheduler.rs
@@ -27,7 +27,7 @@
 
 use crate::serve::pending::Pending;
 use crate::serve::shared::Shared;
-use crate::serve::{inventory, quarantine};
+use crate::serve::{cache_query, quarantine};
 
 /// How long the scheduler found for a pool is cached. Finding it ranks all nodes.
 const SCHEDULER_CACHE_TTL: Duration = Duration::from_millis(50);
@@ -40,7 +40,8 @@
 /// How long after its start a node waits before it takes over pools. Until then its membership view
 /// is incomplete: it would claim every pool, and every runner would be queried by every node.
 const TAKEOVER_DELAY: Duration = Duration::from_secs(2);
-/// The maximum number of queued readings, and of queued lessons; the oldest are dropped first.
+/// The maximum number of queued prefill reports, and of queued observations; the oldest are dropped
+/// first.
 const MAX_QUEUED: usize = 1_024;
 
 /// The node that schedules a pool.
@@ -52,10 +53,10 @@
     Other(NodeId, SocketAddr),
 }
 
-/// Unanswered questions to a node in a row, and until when the node is passed over.
+/// Consecutive unanswered queries to a node, and until when the node is passed over.
 #[derive(Clone, Copy, Debug, Default)]
 struct Unanswered {
-    questions: u32,
+    queries: u32,
     until: Option<Instant>,
 }
 
@@ -63,13 +64,13 @@
 #[derive(Debug, Default)]
 struct Updates {
     changed: HashSet<Tag>,
-    readings: Vec<PrefillReport>,
-    lessons: Vec<(Tag, Observation)>,
+    prefill_reports: Vec<PrefillReport>,
+    observations: Vec<(Tag, Observation)>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    questions: Pending<Option<Decision>>,
+    queries: Pending<Option<Decision>>,
     unanswered: HashMap<NodeId, Unanswered>,
     scheduler_cache: HashMap<(ServiceId, Pool), (PoolScheduler, Instant)>,
     /// The pools that this node schedules, and when it was last asked about each.
@@ -111,21 +112,21 @@
         self.state().updates.changed.insert(runner);
     }
 
-    /// Records prompts that runners have read for this node.
-    pub fn note_readings(&self, more: impl Iterator<Item = PrefillReport>) {
+    /// Records prompts that runners have processed for this node.
+    pub fn note_prefill_reports(&self, more: impl Iterator<Item = PrefillReport>) {
         let mut state = self.state();
-        state.updates.readings.extend(more);
-        let over = state.updates.readings.len().saturating_sub(MAX_QUEUED);
-        state.updates.readings.drain(..over);
+        state.updates.prefill_reports.extend(more);
+        let over = state.updates.prefill_reports.len().saturating_sub(MAX_QUEUED);
+        state.updates.prefill_reports.drain(..over);
         self.wake.notify_one();
     }
 
     /// Records a measurement taken from work at a runner.
-    pub fn note_lesson(&self, runner: Tag, lesson: Observation) {
+    pub fn note_observation(&self, runner: Tag, observation: Observation) {
         let mut state = self.state();
-        state.updates.lessons.push((runner, lesson));
-        let over = state.updates.lessons.len().saturating_sub(MAX_QUEUED);
-        state.updates.lessons.drain(..over);
+        state.updates.observations.push((runner, observation));
+        let over = state.updates.observations.len().saturating_sub(MAX_QUEUED);
+        state.updates.observations.drain(..over);
         self.wake.notify_one();
     }
 
@@ -137,12 +138,12 @@
     fn note_unanswered(&self, node: &NodeId, now: Instant) -> bool {
         let mut state = self.state();
         let entry = state.unanswered.entry(node.clone()).or_default();
-        entry.questions += 1;
-        if entry.questions < MAX_UNANSWERED {
+        entry.queries += 1;
+        if entry.queries < MAX_UNANSWERED {
             return false;
         }
         entry.until = Some(now + TAKEOVER_PERIOD);
-        entry.questions = 0;
+        entry.queries = 0;
         state.scheduler_cache.clear();
         true
     }
@@ -160,14 +161,14 @@
     }
     let passed_over: Vec<NodeId> = {
         let state = scheduling.state();
-        let silent =
+        let unresponsive =
             state.unanswered.iter().filter(|(_, s)| s.until.is_some_and(|until| now < until));
-        silent.map(|(id, _)| id.clone()).collect()
+        unresponsive.map(|(id, _)| id.clone()).collect()
     };
     let found = {
         let roster = shared.roster();
-        let fronts = roster.ready_contacts();
-        let others = fronts.iter().filter(|contact| !passed_over.contains(&contact.id));
+        let contacts = roster.ready_contacts();
+        let others = contacts.iter().filter(|contact| !passed_over.contains(&contact.id));
         let me = shared.is_ready().then_some(&shared.me);
         let nodes = others.copied().chain(me);
         let first = scheduler::holder(service, pool, nodes.clone().map(|contact| &contact.id));
@@ -191,34 +192,34 @@
 /// node's own prediction.
 pub async fn decide(
     shared: &Arc<Shared>,
-    mut ask: Query,
+    mut query: Query,
     engine: &Engine,
 ) -> (Decision, &'static str) {
     let pool = {
         let mut register = shared.register();
         register.assign_pools();
-        register.pool_of(&ask.service, &ask.work)
+        register.pool_of(&query.service, &query.work)
     };
     let began = shared.clock.now();
     for _ in 0..MAX_QUERIES {
-        let PoolScheduler::Other(node, peer) = pool_scheduler(shared, &ask.service, pool) else {
-            take_over(shared, &ask.service, pool);
-            let decision = decide_here(shared, &ask, engine);
+        let PoolScheduler::Other(node, peer) = pool_scheduler(shared, &query.service, pool) else {
+            take_over(shared, &query.service, pool);
+            let decision = decide_locally(shared, &query, engine);
             shared.limiter.reserve(&decision.placed());
             return (decision, "here");
         };
-        match ask_node(shared, peer, &ask).await {
+        match query_node(shared, peer, &query).await {
             Some(answer) => {
                 shared.scheduling.note_answered(&node);
                 let took = shared.clock.now().saturating_duration_since(began);
-                let step = if matches!(ask.step, Step::Start(_)) { "start" } else { "go_on" };
+                let step = if matches!(query.step, Step::Start(_)) { "start" } else { "go_on" };
                 shared
                     .metrics
                     .scheduler_latency
                     .with_label_values(&[step])
                     .observe(took.as_secs_f64());
                 match answer {
-                    Some(decision) if is_usable(shared, &decision, &mut ask) => {
+                    Some(decision) if is_usable(shared, &decision, &mut query) => {
                         return (decision, "scheduler");
                     }
                     _ => break,
@@ -227,50 +228,50 @@
             None => {
                 let replaced = shared.scheduling.note_unanswered(&node, shared.clock.now());
                 log::info!(
-                    node:% = node, service:% = ask.service, pool = pool.0, replaced = replaced,
+                    node:% = node, service:% = query.service, pool = pool.0, replaced = replaced,
                     waited_ms = REPLY_TIMEOUT.as_millis() as u64; "scheduler silent"
                 );
             }
         }
     }
-    (decide_here(shared, &ask, engine), "alone")
+    (decide_locally(shared, &query, engine), "alone")
 }
 
 /// Returns whether a decision agrees with this node's own state. The scheduler may not know yet
 /// that a runner is leaving; such a runner must not be used. A scheduler that has just started may
 /// know no runners at all, so its answer that there are none is not used either.
-fn is_usable(shared: &Shared, decision: &Decision, ask: &mut Query) -> bool {
+fn is_usable(shared: &Shared, decision: &Decision, query: &mut Query) -> bool {
     if *decision == Decision::NoRunner {
         return false;
     }
-    let Some((id, _)) = decision.cost(&ask.work, &ask.step) else { return true };
+    let Some((id, _)) = decision.cost(&query.work, &query.step) else { return true };
     let now = shared.clock.now();
-    if ask.skip.contains(id) {
+    if query.skip.contains(id) {
         return false;
     }
     let usable =
         shared.register().get(id).is_some_and(|r| r.takes_work(now) && r.back_off.is_over(now));
     if !usable {
-        ask.skip.push(id.clone());
+        query.skip.push(id.clone());
     }
     usable
 }
 
-fn decide_here(shared: &Shared, ask: &Query, engine: &Engine) -> Decision {
+fn decide_locally(shared: &Shared, query: &Query, engine: &Engine) -> Decision {
     let now = shared.clock.now();
     let mut register = shared.register();
     register.assign_pools();
-    scheduler::decide(&register, ask, engine, now, &mut *shared.rng())
+    scheduler::decide(&register, query, engine, now, &mut *shared.rng())
 }
 
 /// Asks a node for a decision; `None` if it does not answer in time.
-async fn ask_node(shared: &Shared, peer: SocketAddr, ask: &Query) -> Option<Option<Decision>> {
-    let (number, answer) = shared.scheduling.state().questions.register();
-    let question =
-        Schedule::Question { number, node: shared.me.id.clone(), ask: Box::new(ask.clone()) };
-    transmit(shared, peer, &question).await;
+async fn query_node(shared: &Shared, peer: SocketAddr, query: &Query) -> Option<Option<Decision>> {
+    let (number, answer) = shared.scheduling.state().queries.register();
+    let message =
+        Schedule::Question { number, node: shared.me.id.clone(), ask: Box::new(query.clone()) };
+    transmit(shared, peer, &message).await;
     let answer = timeout(REPLY_TIMEOUT, answer).await;
-    shared.scheduling.state().questions.cancel(number);
+    shared.scheduling.state().queries.cancel(number);
     answer.ok()?.ok()
 }
 
@@ -288,12 +289,12 @@
 pub async fn receive(shared: &Arc<Shared>, from: SocketAddr, bytes: &[u8]) {
     shared.metrics.schedule_bytes.with_label_values(&["received"]).inc_by(bytes.len() as u64);
     match Schedule::decode(bytes) {
-        Ok(Schedule::Question { number, node, ask }) => {
-            let decision = decide_for_node(shared, &node, &ask);
+        Ok(Schedule::Question { number, node, ask: query }) => {
+            let decision = decide_for_node(shared, &node, &query);
             transmit(shared, from, &Schedule::Answer { number, decision }).await;
         }
         Ok(Schedule::Answer { number, decision }) => {
-            shared.scheduling.state().questions.resolve(number, decision);
+            shared.scheduling.state().queries.resolve(number, decision);
         }
         Ok(Schedule::Report(report)) => apply_report(shared, &report),
         Ok(Schedule::Ended { number, request, end }) => {
@@ -311,17 +312,17 @@
 }
 
 /// Decides for another node, and counts the work until that node reports its load.
-fn decide_for_node(shared: &Arc<Shared>, node: &NodeId, ask: &Query) -> Option<Decision> {
+fn decide_for_node(shared: &Arc<Shared>, node: &NodeId, query: &Query) -> Option<Decision> {
     let configuration = shared.configuration.load_full()?;
-    let engine = configuration.service(&ask.service)?.engine?;
-    let decision = decide_here(shared, ask, &engine);
+    let engine = configuration.service(&query.service)?.engine?;
+    let decision = decide_locally(shared, query, &engine);
     shared.limiter.reserve(&decision.placed());
     let now = shared.clock.now();
     let mut register = shared.register();
-    scheduler::note(&mut register, node, ask, &decision, &engine, now);
-    let pool = register.pool_of(&ask.service, &ask.work);
+    scheduler::note(&mut register, node, query, &decision, &engine, now);
+    let pool = register.pool_of(&query.service, &query.work);
     drop(register);
-    take_over(shared, &ask.service, pool);
+    take_over(shared, &query.service, pool);
     Some(decision)
 }
 
@@ -334,11 +335,11 @@
         return;
     }
     log::info!(service:% = service, pool = pool.0; "this node schedules the pool");
-    tokio::spawn(inventory::run(shared.clone(), service.clone(), pool));
+    tokio::spawn(cache_query::run(shared.clone(), service.clone(), pool));
 }
 
 /// Takes over the pools that this node schedules before it is asked, so that the runners' caches
-/// are known when the first questions arrive.
+/// are known when the first queries arrive.
 fn take_over_assigned(shared: &Arc<Shared>) {
     if !shared.is_ready() {
         return;
@@ -360,12 +361,12 @@
     let now = shared.clock.now();
     let mut register = shared.register();
     register.apply_load_report(&report.node, &report.loads, now);
-    for reading in &report.readings {
-        register.apply_prefill_report(*reading, now);
+    for prefill_report in &report.readings {
+        register.apply_prefill_report(*prefill_report, now);
     }
-    for (tag, lesson) in &report.lessons {
+    for (tag, observation) in &report.lessons {
         if let Some(runner) = register.by_tag_mut(*tag) {
-            runner.learn(*lesson, now);
+            runner.learn(*observation, now);
         }
     }
 }
@@ -426,13 +427,13 @@
         }
         add(peer, &|r| r.loads.len() >= MAX_LOADS, &|r| r.loads.push((tag, load)));
     }
-    for reading in updates.readings {
-        let Some(peer) = peer_of(reading.runner) else { continue };
-        add(peer, &|r| r.readings.len() >= MAX_READINGS, &|r| r.readings.push(reading));
+    for prefill_report in updates.prefill_reports {
+        let Some(peer) = peer_of(prefill_report.runner) else { continue };
+        add(peer, &|r| r.readings.len() >= MAX_READINGS, &|r| r.readings.push(prefill_report));
     }
-    for (tag, lesson) in updates.lessons {
+    for (tag, observation) in updates.observations {
         let Some(peer) = peer_of(tag) else { continue };
-        add(peer, &|r| r.lessons.len() >= MAX_LESSONS, &|r| r.lessons.push((tag, lesson)));
+        add(peer, &|r| r.lessons.len() >= MAX_LESSONS, &|r| r.lessons.push((tag, observation)));
     }
     let by_peer = by_peer.into_iter();
     by_peer.flat_map(|(peer, reports)| reports.into_iter().map(move |r| (peer, r))).collect()
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -33,7 +33,7 @@
 use crate::drain::Drains;
 use crate::duty::lease::DutyLease;
 use crate::duty::view::{COLLECTORS, SUBJECT, View};
-use crate::history::EraTracker;
+use crate::era_tracker::EraTracker;
 use crate::limit::Limiter;
 use crate::lock::lock;
 use crate::serve::connection::Connections;
@@ -98,7 +98,7 @@
     /// Requests on which runners crash.
     pub quarantine: QuarantineState,
     /// Signals that a heartbeat must be sent now.
-    pub beat_now: Arc<Notify>,
+    pub heartbeat_now: Arc<Notify>,
     /// Rate limits of runners.
     pub limiter: Arc<Limiter>,
     /// Runners that have announced that they leave.
@@ -142,14 +142,14 @@
         };
         let seed = stable_hash(incarnation.0, settings.name.as_str().as_bytes());
         let connections = Arc::new(Connections::new(clock.clone(), metrics.clone()));
-        let history = Arc::new(EraTracker::new(clock.clone(), metrics.clone()));
+        let era_tracker = Arc::new(EraTracker::new(clock.clone(), metrics.clone()));
         let store =
-            Client::new(settings.store, connections.clone(), history.clone(), metrics.clone());
+            Client::new(settings.store, connections.clone(), era_tracker.clone(), metrics.clone());
         let store = Arc::new(store);
         let holder = Holder { name: me.id.clone(), incarnation };
         let duty_lease = DutyLease::new(
             store.clone(),
-            history.clone(),
+            era_tracker.clone(),
             clock.clone(),
             metrics.clone(),
             holder,
@@ -162,16 +162,16 @@
         let window = settings.usage_window.filter(|_| settings.platform.is_some());
         let usage = Arc::new(Usage::new(collector, window, clock.clone()));
         let roster = Arc::new(Mutex::new(Roster::new(me.clone())));
-        let (register, beat_now): (Arc<Mutex<Register>>, Arc<Notify>) = Default::default();
+        let (register, heartbeat_now): (Arc<Mutex<Register>>, Arc<Notify>) = Default::default();
         let limiter = Limiter::new(
             register.clone(),
             roster.clone(),
-            beat_now.clone(),
+            heartbeat_now.clone(),
             clock.clone(),
             metrics.clone(),
         );
         let drains =
-            Drains::new(register.clone(), beat_now.clone(), clock.clone(), metrics.clone());
+            Drains::new(register.clone(), heartbeat_now.clone(), clock.clone(), metrics.clone());
         let (limiter, drains) = (Arc::new(limiter), Arc::new(drains));
         let dispatcher = Dispatcher {
             connections: connections.clone(),
@@ -184,7 +184,7 @@
             limiter,
             drains,
             dispatcher,
-            history,
+            history: era_tracker,
             store,
             duty_lease,
             usage,
@@ -204,7 +204,7 @@
             scheduling: Scheduling::default(),
             crashes: Detector::default(),
             quarantine: QuarantineState::default(),
-            beat_now,
+            heartbeat_now,
             register,
             knowledge: Mutex::default(),
             outage: Mutex::default(),
@@ -229,7 +229,7 @@
         lock(&self.roster)
     }
 
-    /// Locks what is known from the store.
+    /// Locks this node's replica of the register in the store.
     pub fn knowledge(&self) -> MutexGuard<'_, Knowledge> {
         lock(&self.knowledge)
     }
@@ -280,7 +280,7 @@
     /// another node must take over.
     fn set_served(&self, served: bool) {
         if self.served.swap(served, Ordering::Relaxed) != served {
-            self.beat_now.notify_one();
+            self.heartbeat_now.notify_one();
         }
     }
 
@@ -317,7 +317,7 @@
             node: record.contact.id.clone(),
             incarnation: record.contact.incarnation,
         };
-        let life = |record: &Record, lost_at: Option<Duration>| NodeLifetime {
+        let lifetime = |record: &Record, lost_at: Option<Duration>| NodeLifetime {
             node: record.contact.id.clone(),
             incarnation: record.contact.incarnation,
             started_at: Duration::from_micros(record.contact.incarnation.0),
@@ -325,10 +325,10 @@
         };
         let others = roster.members().map(|(record, since)| {
             let ago = now.saturating_duration_since(since);
-            life(record, record.silent.then(|| time.saturating_sub(ago)))
+            lifetime(record, record.silent.then(|| time.saturating_sub(ago)))
         });
         View {
-            lives: others.chain([life(me, None)]).collect(),
+            lifetimes: others.chain([lifetime(me, None)]).collect(),
             first: first.iter().map(|record| (collector(record), record.contact.peer)).collect(),
         }
     }
@@ -345,13 +345,13 @@
         });
         if became_ready {
             log::info!(node:% = self.me.id; "ready for callers");
-            self.beat_now.notify_one();
+            self.heartbeat_now.notify_one();
         }
     }
 
     /// Announces a change to the other nodes at once.
     pub fn announce(&self) {
-        self.beat_now.notify_one();
+        self.heartbeat_now.notify_one();
     }
 
     /// Signals that other nodes may have newer state than this one.
@@ -422,7 +422,7 @@
         let mut switching = lock(&self.switching);
         if *switching != tags {
             *switching = tags;
-            self.beat_now.notify_one();
+            self.heartbeat_now.notify_one();
         }
     }
 }
--- a/node/src/serve/store.rs
+++ b/node/src/serve/store.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-use crate::history::{EraError, EraTracker};
+use crate::era_tracker::{EraError, EraTracker};
 use crate::serve::connection::{Connections, Incomplete, SendError};
 use crate::serve::metrics::Metrics;
 
@@ -128,7 +128,7 @@
 pub struct Client {
     address: SocketAddr,
     connections: Arc<Connections>,
-    history: Arc<EraTracker>,
+    era_tracker: Arc<EraTracker>,
     metrics: Metrics,
 }
 
@@ -137,10 +137,10 @@
     pub fn new(
         address: SocketAddr,
         connections: Arc<Connections>,
-        history: Arc<EraTracker>,
+        era_tracker: Arc<EraTracker>,
         metrics: Metrics,
     ) -> Self {
-        Self { address, connections, history, metrics }
+        Self { address, connections, era_tracker, metrics }
     }
 
     /// Lists all objects of a kind, page by page, and returns the revision of the first page.
@@ -194,7 +194,7 @@
         from: Point,
         wait: Duration,
     ) -> Result<Changes, StoreError> {
-        self.check_era(purpose, from, self.history.era())?;
+        self.check_era(purpose, from, self.era_tracker.era())?;
         let request = store::watch(self.address, kind, from, wait);
         let limit = wait + WATCH_SLACK;
         let changes = self.call(purpose, request, limit, store::read_changes).await?;
@@ -270,7 +270,7 @@
         name: &str,
         content: &serde_json::Value,
     ) -> Result<Object, StoreError> {
-        let was = Point::new(self.history.era(), 0);
+        let was = Point::new(self.era_tracker.era(), 0);
         let request = store::create(self.address, kind, name, content);
         let object = self.call(purpose, request, CALL_TIMEOUT, store::read_object).await?;
         self.check_era(purpose, was, object.at.era)?;
@@ -290,7 +290,7 @@
         was: Point,
         content: &serde_json::Value,
     ) -> Result<Object, StoreError> {
-        if was.era != self.history.era() {
+        if was.era != self.era_tracker.era() {
             return Err(StoreError::Refused { purpose, refused: ResponseError::Conflict(None) });
         }
         let request = store::replace(self.address, kind, name, was, content);
@@ -332,7 +332,7 @@
         let answer = answer.map_err(|source| StoreError::Send { purpose, source })?;
         let read = answer.read_with_idle_timeout(MAX_ANSWER_BYTES, CALL_TIMEOUT).await;
         let (head, body) = read.map_err(|source| StoreError::Broken { purpose, source })?;
-        let era = self.history.note_answer(&head.headers);
+        let era = self.era_tracker.note_answer(&head.headers);
         let era = era.map_err(|source| StoreError::Era { purpose, source })?;
         Ok((era, head.status, body))
     }
--- a/node/src/serve/transfer.rs
+++ b/node/src/serve/transfer.rs
@@ -131,13 +131,13 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let turns = {
+        let responses = {
             let mut fanout = self.queue.fanout();
             fanout.retain(|waiter| !waiter.is_closed());
             fanout.end(self.receiver, self.bytes)
         };
-        for (waiter, turn) in turns {
-            let grant = match turn {
+        for (waiter, response) in responses {
+            let grant = match response {
                 Response::Send => Grant::Slot(Slot::new(&self.queue, self.bytes)),
                 Response::Redirect(address) => Grant::Referral(address),
             };
--- a/node/src/usage/mod.rs
+++ b/node/src/usage/mod.rs
@@ -1,7 +1,7 @@
 //! Counting the requests of each client account, and collecting the counts of all nodes.
 
-pub mod exchange;
 pub mod report;
+pub mod sender;
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -85,14 +85,14 @@
         &self,
         windows: Windows,
         collectors: &[NodeInstance],
-        lives: &[NodeLifetime],
+        lifetimes: &[NodeLifetime],
     ) -> Vec<Vec<Message>> {
         let (now, wall) = (self.clock.now(), self.clock.wall());
         let mut state = self.state();
         let state = &mut *state;
         state.time.observe_wall_clock(now, wall);
         let newest = windows.at(state.time.at(now));
-        state.collection.update_lifetimes(newest, lives);
+        state.collection.update_lifetimes(newest, lifetimes);
         let others = || collectors.iter().filter(|collector| **collector != self.me);
         state.tally.begin_round(newest, &others().cloned().collect::<Vec<_>>());
         let messages = |collector: &NodeInstance| state.tally.messages(collector);
@@ -100,11 +100,11 @@
     }
 
     /// The total of a window, as far as this node knows it.
-    fn total(&self, windows: Windows, window: Window, lives: &[NodeLifetime]) -> Total {
+    fn total(&self, windows: Windows, window: Window, lifetimes: &[NodeLifetime]) -> Total {
         let now = self.clock.now();
         let state = self.state();
         let (own, time) = (state.tally.counts(window), state.time.at(now));
-        state.collection.total(windows, window, own, lives, time)
+        state.collection.total(windows, window, own, lifetimes, time)
     }
 
     fn note_window(&self, window: Window, outcome: &'static str) {
@@ -143,7 +143,7 @@
                 self.state().collection.apply(&datagram.sender, message, now);
                 let body = Body::Acknowledged(number);
                 let answer = Datagram { sender: self.me.clone(), body };
-                exchange::transmit(socket, from, &answer, metrics).await;
+                sender::transmit(socket, from, &answer, metrics).await;
             }
         }
     }
--- a/node/src/usage/report.rs
+++ b/node/src/usage/report.rs
@@ -18,12 +18,12 @@
 use crate::duty::caller::{Caller, Outcome};
 use crate::duty::lease::DutyLease;
 use crate::duty::view::Views;
-use crate::history::EraTracker;
+use crate::era_tracker::EraTracker;
 use crate::serve::metrics::Metrics;
 use crate::serve::store::{Client, Purpose, StoreError};
 
 /// How often due windows are checked for.
-const PERIOD: Duration = Duration::from_millis(200);
+const CHECK_PERIOD: Duration = Duration::from_millis(200);
 /// How long after its end a window is settled, so that the counts of all nodes have arrived and
 /// small clock differences do no harm.
 const SETTLE_DELAY: Duration = Duration::from_millis(750);
@@ -68,7 +68,7 @@
     /// The store.
     pub store: Arc<Client>,
     /// The era of the store.
-    pub history: Arc<EraTracker>,
+    pub era_tracker: Arc<EraTracker>,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// Metrics.
@@ -82,7 +82,7 @@
         let mut loaded = None;
         let mut retry_at: Option<Instant> = None;
         loop {
-            sleep(PERIOD).await;
+            sleep(CHECK_PERIOD).await;
             self.duty_lease.request();
             if !self.caller.may_call() {
                 // Another holder may change the ledger meanwhile.
@@ -93,7 +93,8 @@
                 loaded = self.read(windows).await;
             }
             let Some(ledger) = &mut loaded else { continue };
-            if ledger.era != self.history.era() && self.rebase(ledger).await != LedgerState::Current
+            if ledger.era != self.era_tracker.era()
+                && self.rebase(ledger).await != LedgerState::Current
             {
                 continue;
             }
@@ -127,11 +128,11 @@
             }
         };
         let current = windows.at(self.estimated_time());
-        let (era, has_come_back) = (self.history.era(), self.history.has_come_back());
+        let (era, was_restored) = (self.era_tracker.era(), self.era_tracker.was_restored());
         let Some(object) = object else {
             // The first holder also settles the windows that ended while it acquired the duties.
             let before = windows.at(self.estimated_time().saturating_sub(windows.length() * 2));
-            let next = if has_come_back { current } else { before };
+            let next = if was_restored { current } else { before };
             return Some(LoadedLedger { era, at: None, ledger: Ledger::starting_at(next) });
         };
         let era = object.at.era;
@@ -147,7 +148,7 @@
             next:% = ledger.next, waiting = ledger.waiting.len(), revision:% = object.at;
             "settled usage read"
         );
-        if !ledger.is_complete(era, has_come_back) && ledger.next < current {
+        if !ledger.is_complete(era, was_restored) && ledger.next < current {
             log::error!(
                 from:% = ledger.next, to:% = current, era:% = era;
                 "windows of usage are passed over: the store's copy may lack some that were reported"
@@ -168,7 +169,7 @@
                 return LedgerState::EraChanged;
             }
         };
-        let era = object.as_ref().map_or(self.history.era(), |object| object.at.era);
+        let era = object.as_ref().map_or(self.era_tracker.era(), |object| object.at.era);
         log::warn!(
             next:% = loaded.ledger.next, was:% = loaded.era, era:% = era;
             "settled usage goes on in another era"
@@ -190,11 +191,11 @@
             log::error!(from:% = next.next, to:% = first; "windows of usage are too old to report");
             next.next = first;
         }
-        let lives = (self.views)().lives;
+        let lifetimes = (self.views)().lifetimes;
         let mut changed = false;
         while next.next < ended {
             let window = next.next;
-            let total = self.usage.total(windows, window, &lives);
+            let total = self.usage.total(windows, window, &lifetimes);
             let after = self.estimated_time().saturating_sub(windows.end(window));
             match total.verdict(after) {
                 Verdict::Settle => {}
@@ -241,7 +242,7 @@
                 *loaded = LoadedLedger { era: object.at.era, at: Some(object.at), ledger: next };
                 LedgerState::Current
             }
-            Err(error) if self.history.era() != loaded.era => {
+            Err(error) if self.era_tracker.era() != loaded.era => {
                 log::info!(error:% = error; "usage not settled: the store's era changed");
                 LedgerState::EraChanged
             }
--- a/node/src/usage/exchange.rs
+++ b/node/src/usage/sender.rs
@@ -18,7 +18,7 @@
 
 /// Sends the counts of one node.
 #[derive(Clone)]
-pub struct Exchange {
+pub struct CountSender {
     /// The counts.
     pub usage: Arc<Usage>,
     /// The nodes.
@@ -29,7 +29,7 @@
     pub metrics: Metrics,
 }
 
-impl Exchange {
+impl CountSender {
     /// Sends counts until the process ends.
     pub async fn run(self) {
         loop {
@@ -42,7 +42,7 @@
     pub async fn send_counts(&self) {
         let Some(windows) = self.usage.windows else { return };
         let view = (self.views)();
-        let messages = self.usage.pending_messages(windows, &view.collectors(), &view.lives);
+        let messages = self.usage.pending_messages(windows, &view.collectors(), &view.lifetimes);
         for ((_, address), messages) in view.first.iter().zip(messages) {
             for message in messages {
                 let body = Body::Counts(message);
