--- a/node/src/serve/copy.rs
+++ b/node/src/serve/copy.rs
@@ -233,7 +233,7 @@
         }
     };
     let was = shared.status().version;
-    let at = match decode_point(end.revision, end.era, shared.history.era()) {
+    let at = match decode_point(end.revision, end.era, shared.era_tracker.era()) {
         Ok(at) => at,
         Err(error) => {
             log::error!(revision = end.revision, error:% = error; "invalid configuration copy");
--- a/node/src/serve/duty.rs
+++ b/node/src/serve/duty.rs
@@ -60,7 +60,7 @@
         duty_lease,
         caller,
         store: shared.store.clone(),
-        era_tracker: shared.history.clone(),
+        era_tracker: shared.era_tracker.clone(),
         clock: shared.clock.clone(),
         metrics,
     };
--- a/node/src/serve/heartbeat.rs
+++ b/node/src/serve/heartbeat.rs
@@ -206,7 +206,7 @@
                 }
                 let counter = shared.metrics.heartbeat_bytes.with_label_values(&["received"]);
                 counter.inc_by(length as u64);
-                match Heartbeat::decode(bytes, shared.history.era()) {
+                match Heartbeat::decode(bytes, shared.era_tracker.era()) {
                     Ok(heartbeat) => handle_heartbeat(&shared, &socket, &heartbeat).await,
                     Err(error) => log::warn!(peer:% = from, error:% = error; "invalid heartbeat"),
                 }
@@ -231,7 +231,9 @@
         let correction = roster.superseding_record(&received.sender).cloned();
         (roster.has_updates(), correction, digest_differs)
     };
-    shared.history.note_peer_era(received.status.register.era, received.sender.contact.id.as_str());
+    shared
+        .era_tracker
+        .note_peer_era(received.status.register.era, received.sender.contact.id.as_str());
     if let Some(time) = received.time {
         shared.usage.note_peer_time(&received.sender.contact.id, time, now);
     }
--- a/node/src/serve/kind_watch.rs
+++ b/node/src/serve/kind_watch.rs
@@ -56,7 +56,7 @@
 impl KindWatch {
     /// Creates the watch of `kind` at this node; nothing has been read yet.
     pub(super) fn new(shared: Arc<Shared>, what: Kind) -> Self {
-        let eras = shared.history.subscribe();
+        let eras = shared.era_tracker.subscribe();
         Self {
             shared,
             what,
@@ -105,7 +105,7 @@
         if let Err(error) = join::write_entry(&self.shared).await {
             log::info!(error:% = error; "cannot write this node's entry");
         }
-        self.entry_era = self.shared.history.era();
+        self.entry_era = self.shared.era_tracker.era();
     }
 
     /// Lists a kind. If the list shows that the store was restored from a copy without naming its
@@ -118,8 +118,8 @@
         let (objects, as_of) = self.shared.store.list(purpose, kind).await?;
         if as_of.era == self.last.era && as_of < self.last {
             let was = std::mem::replace(&mut self.last, as_of);
-            self.shared.history.note_revision_fall(was, as_of);
-            let era = self.shared.history.era();
+            self.shared.era_tracker.note_revision_fall(was, as_of);
+            let era = self.shared.era_tracker.era();
             if era != was.era {
                 return Err(StoreError::EraChanged { purpose, was, era });
             }
--- a/node/src/serve/quarantine/store.rs
+++ b/node/src/serve/quarantine/store.rs
@@ -52,9 +52,9 @@
 /// Writes the confirmed entries again whenever the store has been restored from a copy, until the
 /// process ends. Each entry is written by its primary counter only.
 pub async fn write_again(shared: Arc<Shared>) {
-    let mut eras = shared.history.subscribe();
+    let mut eras = shared.era_tracker.subscribe();
     while eras.changed().await.is_ok() {
-        if !shared.history.was_restored() {
+        if !shared.era_tracker.was_restored() {
             continue;
         }
         let confirmed: Vec<Fingerprint> = {
@@ -69,7 +69,7 @@
             count += 1;
         }
         if count > 0 {
-            log::info!(requests = count, era:% = shared.history.era(); "quarantine is written again");
+            log::info!(requests = count, era:% = shared.era_tracker.era(); "quarantine is written again");
         }
     }
 }
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -70,7 +70,7 @@
     /// Connections to runners and the store.
     pub connections: Arc<Connections>,
     /// The tracker of the store's era.
-    pub history: Arc<EraTracker>,
+    pub era_tracker: Arc<EraTracker>,
     /// The store client.
     pub store: Arc<Client>,
     /// Whether this node is starting, ready or leaving.
@@ -184,7 +184,7 @@
             limiter,
             drains,
             dispatcher,
-            history: era_tracker,
+            era_tracker,
             store,
             duty_lease,
             usage,
@@ -243,7 +243,7 @@
     /// store had an outage, or was restored from a copy. `None` if they are removed at once.
     pub fn doubt(&self) -> Option<Instant> {
         let now = self.clock.now();
-        self.outage().doubt(now).max(self.history.doubt(now))
+        self.outage().doubt(now).max(self.era_tracker.doubt(now))
     }
 
     /// Locks the random number generator.
--- a/node/tests/lives.rs
+++ b/node/tests/lives.rs
@@ -281,12 +281,12 @@
     entry["state"] = json!("draining");
     let leaves = Object {
         name: runner.id.clone().into(),
-        at: Point::new(shared.history.era(), 1_000),
+        at: Point::new(shared.era_tracker.era(), 1_000),
         content: entry.to_string().into(),
     };
     let changes = vec![Change::Put(leaves), Change::Removed(runner.id.clone().into())];
     let doubt = Some(shared.clock.now() + Duration::from_secs(60));
-    let as_of = Point::new(shared.history.era(), 1_001);
+    let as_of = Point::new(shared.era_tracker.era(), 1_001);
     apply_difference(shared, difference(changes, as_of), doubt, "store");
     assert!(shared.register().get(&id(runner)).is_none(), "it has said that it leaves");
 }
--- a/node/tests/store_copy.rs
+++ b/node/tests/store_copy.rs
@@ -134,7 +134,7 @@
         .await;
     }
     set.store.show_own_era();
-    assert!(set.nodes.iter().all(|node| node.shared.history.era().0 == 1));
+    assert!(set.nodes.iter().all(|node| node.shared.era_tracker.era().0 == 1));
 }
 
 /// Guards against answers of a former era that are taken for new ones, and against a node that serves
@@ -177,7 +177,7 @@
     set.store.put("config", "main", &with_accounts(3, &[("kitchen", &["key-1"], None)]));
     in_force(&set, 3).await;
     set.store.come_back(&copy);
-    let eras = || set.nodes.iter().map(|node| node.shared.history.era().0);
+    let eras = || set.nodes.iter().map(|node| node.shared.era_tracker.era().0);
     wait_until("all nodes know the era", async || eras().all(|era| era == 2)).await;
     assert_eq!(send_with_key(&set, "r1", "key-1").await, Some(StatusCode::OK));
     assert_eq!(send_with_key(&set, "r2", "key-2").await, Some(StatusCode::UNAUTHORIZED));
@@ -259,7 +259,7 @@
     let era = set.store.era();
     assert_eq!(era, 4);
     wait_until("all nodes know the era", async || {
-        set.nodes.iter().all(|node| u64::from(node.shared.history.era().0) == era)
+        set.nodes.iter().all(|node| u64::from(node.shared.era_tracker.era().0) == era)
     })
     .await;
 }
@@ -272,7 +272,7 @@
     let copy = set.store.copy();
     set = set.with_plain(3).await.with_nodes(3).await;
     let lost = set.store.come_back(&copy);
-    let eras = || set.nodes.iter().map(|node| node.shared.history.era().0);
+    let eras = || set.nodes.iter().map(|node| node.shared.era_tracker.era().0);
     wait_until("all nodes know the era", async || eras().all(|era| era == 2)).await;
     for n in 0..30 {
         let told = set.send(n % 3, &Ask::new("/board/a", &format!("r{n}"))).await;
