--- a/node/src/serve/copy.rs
+++ b/node/src/serve/copy.rs
@@ -23,10 +23,10 @@
 use tokio::time::{Instant, sleep};
 use tonic::Status;
 
-use crate::serve::follow::install;
-use crate::serve::pack::{compress, decompress};
+use crate::serve::compression::{compress, decompress};
 use crate::serve::rpc::{self, Failures, Reply, RpcError};
 use crate::serve::shared::Shared;
+use crate::serve::store_watch::install;
 use crate::serve::transfer::{Disconnected, Grant, Parts, Queue, keep_alive, send};
 
 /// How long a node that is behind waits for an answer of the store.
--- a/node/src/serve/heartbeat.rs
+++ b/node/src/serve/heartbeat.rs
@@ -42,7 +42,7 @@
 pub async fn send(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut count: u64 = 0;
     let mut next = Instant::now();
-    // The mark up to which changes of the register have been passed on.
+    // The version up to which changes of the register have been passed on.
     let mut passed_on = RegisterVersion::default();
     loop {
         let due = tokio::select! {
@@ -115,13 +115,13 @@
 /// Returns the changes of the register since they were last passed on, if they are small. Each node
 /// passes a change on once, as soon as it knows it.
 fn register_changes(shared: &Shared, passed_on: &mut RegisterVersion) -> Option<pb::Knowledge> {
-    let knowledge = shared.knowledge();
-    let (since, mark) = (*passed_on, knowledge.mark());
-    if mark <= since {
+    let replica = shared.register_replica();
+    let (since, version) = (*passed_on, replica.version());
+    if version <= since {
         return None;
     }
-    *passed_on = mark;
-    let changed = knowledge.since(since);
+    *passed_on = version;
+    let changed = replica.since(since);
     let bytes: usize = changed.entries.iter().map(|o| o.name.len() + o.content.len()).sum();
     let bytes = bytes + changed.gone.iter().map(smol_str::SmolStr::len).sum::<usize>();
     let is_small = !changed.whole && bytes <= MAX_CHANGE_BYTES;
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -177,7 +177,7 @@
         log::info!(host:% = lookup.host; "no ready node for look-up");
         return empty(StatusCode::SERVICE_UNAVAILABLE);
     }
-    json(lookup_response(&addresses, LOOKUP_TTL.min(shared.settings.longest_validity)))
+    json(lookup_response(&addresses, LOOKUP_TTL.min(shared.settings.max_lookup_ttl)))
 }
 
 /// The node's state, for operators.
--- a/node/src/serve/mod.rs
+++ b/node/src/serve/mod.rs
@@ -5,24 +5,23 @@
 //! and returns a complete response or an accurate refusal.
 
 pub mod cache_query;
+pub mod compression;
 pub mod connection;
 pub mod copy;
 pub mod crash;
 pub mod duty;
-pub mod follow;
 pub mod generation;
 pub mod heartbeat;
 pub mod join;
 mod kind_watch;
-pub mod knowledge;
 pub mod listener;
 pub mod metrics;
 pub mod order;
-pub mod pack;
 pub mod peer;
 pub mod pending;
 pub mod plain;
 pub mod quarantine;
+pub mod register_replica;
 pub mod request;
 pub mod reservation;
 pub mod response;
@@ -32,4 +31,5 @@
 pub mod settings;
 pub mod shared;
 pub mod store;
+pub mod store_watch;
 pub mod transfer;
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -28,12 +28,12 @@
 use tonic::{Request, Response, Status};
 
 use crate::serve::copy;
-use crate::serve::follow::apply_difference;
 use crate::serve::heartbeat::apply_records;
-use crate::serve::knowledge::Difference;
 use crate::serve::quarantine;
+use crate::serve::register_replica::Difference;
 use crate::serve::rpc::{self, Failures, Reply, RpcError};
 use crate::serve::shared::Shared;
+use crate::serve::store_watch::apply_difference;
 use crate::serve::transfer::{Disconnected, Grant, Parts, send};
 
 /// How long a node that is behind waits for an answer of the store, or for further changes to ask
@@ -124,12 +124,12 @@
     request: &pb::KnowledgeRequest,
     parts: &Parts<pb::Knowledge>,
 ) -> Result<(), Disconnected> {
-    let known = shared.knowledge().mark();
-    let mark = decode_mark(request.mark, request.era, known.era).unwrap_or_else(|error| {
-        log::warn!(node = request.node, error:% = error; "invalid mark from a node");
+    let known = shared.register_replica().version();
+    let version = decode_mark(request.mark, request.era, known.era).unwrap_or_else(|error| {
+        log::warn!(node = request.node, error:% = error; "invalid register version from a node");
         RegisterVersion::default()
     });
-    let difference = shared.knowledge().since(mark);
+    let difference = shared.register_replica().since(version);
     if !difference.whole {
         return send_parts(shared, &difference, parts).await;
     }
@@ -137,7 +137,7 @@
     match shared.register_transfers.wait(parts, bytes).await? {
         Grant::Slot(slot) => {
             // The register may have changed while the call was queued.
-            let difference = shared.knowledge().since(mark);
+            let difference = shared.register_replica().since(version);
             send_parts(shared, &difference, parts).await?;
             slot.finish(parts, &request.peer).await
         }
@@ -150,7 +150,7 @@
 
 /// Encodes a difference to be announced to nodes that know everything up to `since`.
 pub fn to_announcement(difference: &Difference, since: RegisterVersion) -> pb::Knowledge {
-    let era = difference.mark.era;
+    let era = difference.version.era;
     pb::Knowledge {
         since: since.order,
         since_era: (since.era != era).then_some(since.era.0),
@@ -158,7 +158,7 @@
         runners: difference.entries.iter().map(|object| to_wire(object, era)).collect(),
         gone: difference.gone.iter().map(ToString::to_string).collect(),
         doubted: difference.doubted.iter().map(ToString::to_string).collect(),
-        mark: difference.mark.order,
+        mark: difference.version.order,
         whole: difference.whole,
         last: true,
         ..Default::default()
@@ -181,21 +181,21 @@
     announcement: &pb::Knowledge,
 ) -> Result<Option<Difference>, WireError> {
     let (mine, is_known) = {
-        let knowledge = shared.knowledge();
-        (knowledge.mark(), knowledge.is_known())
+        let replica = shared.register_replica();
+        (replica.version(), replica.is_known())
     };
-    let mark = decode_mark(announcement.mark, announcement.era, mine.era)?;
-    let since = decode_mark(announcement.since, announcement.since_era, mark.era)?;
-    if !is_known || announcement.whole || since > mine || mine >= mark {
+    let version = decode_mark(announcement.mark, announcement.era, mine.era)?;
+    let since = decode_mark(announcement.since, announcement.since_era, version.era)?;
+    if !is_known || announcement.whole || since > mine || mine >= version {
         return Ok(None);
     }
-    let entries = announcement.runners.iter().cloned().map(|object| from_wire(object, mark.era));
+    let entries = announcement.runners.iter().cloned().map(|object| from_wire(object, version.era));
     Ok(Some(Difference {
         whole: false,
         entries: entries.collect::<Result<_, _>>()?,
         gone: announcement.gone.iter().map(SmolStr::new).collect(),
         doubted: announcement.doubted.iter().map(SmolStr::new).collect(),
-        mark,
+        version,
     }))
 }
 
@@ -223,11 +223,11 @@
         let gone = if last { difference.gone.as_slice() } else { &[] };
         let doubted = if last { difference.doubted.as_slice() } else { &[] };
         let part = pb::Knowledge {
-            runners: runners.iter().map(|object| to_wire(object, difference.mark.era)).collect(),
+            runners: runners.iter().map(|object| to_wire(object, difference.version.era)).collect(),
             gone: gone.iter().map(ToString::to_string).collect(),
             doubted: doubted.iter().map(ToString::to_string).collect(),
-            mark: difference.mark.order,
-            era: Some(difference.mark.era.0),
+            mark: difference.version.order,
+            era: Some(difference.version.era.0),
             whole: difference.whole,
             last,
             ..Default::default()
@@ -297,7 +297,7 @@
 /// Returns the node with the newest register that has not failed since the last answer: a change
 /// such as a leaving runner must not wait for a node that cannot be reached.
 fn newest(shared: &Shared, failures: &mut Failures) -> Option<(Contact, RosterStatus)> {
-    let mine = shared.knowledge().mark();
+    let mine = shared.register_replica().version();
     let roster = shared.roster();
     let newest = failures.pick(
         || roster.with_newer_register(mine),
@@ -317,7 +317,7 @@
 
 async fn ask(shared: &Shared, peer: SocketAddr) -> Result<Reply<ReceivedRegister>, RpcError> {
     let mut client = rpc::connect(peer).await?;
-    let mine = shared.knowledge().mark();
+    let mine = shared.register_replica().version();
     let known = pb::KnowledgeRequest {
         mark: mine.order,
         era: Some(mine.era.0),
@@ -333,9 +333,9 @@
             return Reply::referral(address, peer, shared.me.peer);
         }
         bytes += part.runners.iter().map(|object| object.content.len()).sum::<usize>();
-        let mark = decode_mark(part.mark, part.era, mine.era).map_err(malformed)?;
+        let version = decode_mark(part.mark, part.era, mine.era).map_err(malformed)?;
         for object in part.runners {
-            changes.entries.push(from_wire(object, mark.era).map_err(malformed)?);
+            changes.entries.push(from_wire(object, version.era).map_err(malformed)?);
         }
         if bytes > MAX_ANSWER_BYTES {
             return Err(RpcError::TooLarge { peer, limit: MAX_ANSWER_BYTES });
@@ -343,7 +343,7 @@
         if part.last {
             changes.gone = part.gone.into_iter().map(SmolStr::new).collect();
             changes.doubted = part.doubted.into_iter().map(SmolStr::new).collect();
-            (changes.mark, changes.whole) = (mark, part.whole);
+            (changes.version, changes.whole) = (version, part.whole);
             let limits = decode_limits(&part.rate_limits).unwrap_or_else(|error| {
                 log::warn!(peer:% = peer, error:% = error; "invalid rate limits from a node");
                 Vec::new()
@@ -356,7 +356,7 @@
 
 fn apply_received(shared: &Shared, received: ReceivedRegister, from: &str) {
     // The sending node is served by the store: what it has removed is not in doubt any more.
-    if received.difference.mark > shared.knowledge().mark() {
+    if received.difference.version > shared.register_replica().version() {
         apply_difference(shared, received.difference, None, "node");
     }
     shared.limiter.apply_gossip(&received.limits, from);
--- a/node/src/serve/knowledge.rs
+++ b/node/src/serve/register_replica.rs
@@ -1,7 +1,7 @@
 //! The register of runners as a node knows it from the platform's store, in a form to pass on.
 //!
-//! A few nodes watch the store, the others learn from them. Changes since a given mark are sent as
-//! a difference, so that a fleet of hundreds of runners does not transfer its whole register at
+//! A few nodes watch the store, the others learn from them. Changes since a given version are sent
+//! as a difference, so that a fleet of hundreds of runners does not transfer its whole register at
 //! each change.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -25,37 +25,37 @@
     /// Entries that have been missing since a store outage, and may come back.
     pub doubted: Vec<SmolStr>,
     /// How new this is.
-    pub mark: RegisterVersion,
+    pub version: RegisterVersion,
 }
 
-/// The known register.
+/// The register as this node knows it.
 #[derive(Clone, Debug, Default)]
-pub struct Knowledge {
-    /// The entries of the register, each with the mark under which it became known.
+pub struct RegisterReplica {
+    /// The entries of the register, each with the version under which it became known.
     runners: BTreeMap<SmolStr, (RegisterVersion, Object)>,
     removed: VecDeque<(RegisterVersion, SmolStr)>,
-    /// Entries in doubt, each with the mark under which it became doubted. A node that is sent the
-    /// state up to that mark must be sent the doubt too. Otherwise it would consider itself up to
-    /// date, never ask a node that knows of the removal, and keep using a runner that has left for
-    /// as long as it answers.
+    /// Entries in doubt, each with the version under which it became doubted. A node that is sent
+    /// the state up to that version must be sent the doubt too. Otherwise it would consider itself
+    /// up to date, never ask a node that knows of the removal, and keep using a runner that has
+    /// left for as long as it answers.
     doubted: BTreeMap<SmolStr, RegisterVersion>,
-    /// Removals up to this mark may no longer be in `removed`.
+    /// Removals up to this version may no longer be in `removed`.
     forgotten: RegisterVersion,
     /// How new the whole state is, for comparison between nodes. Two nodes may have the same state
-    /// with different marks, if one has received a later answer from the store.
-    mark: RegisterVersion,
+    /// with different versions, if one has received a later answer from the store.
+    version: RegisterVersion,
     known: bool,
 }
 
-impl Knowledge {
+impl RegisterReplica {
     /// Returns whether the register has been read or received at all.
     pub fn is_known(&self) -> bool {
         self.known
     }
 
     /// How new this is.
-    pub fn mark(&self) -> RegisterVersion {
-        self.mark
+    pub fn version(&self) -> RegisterVersion {
+        self.version
     }
 
     /// The number of entries.
@@ -63,10 +63,10 @@
         self.runners.len()
     }
 
-    /// Applies changes, all at once: a node that is sent the state up to a mark is sent everything
-    /// that the mark covers.
-    pub fn apply(&mut self, entries: Vec<Object>, gone: &[SmolStr], mark: RegisterVersion) {
-        self.apply_with_doubts(entries, gone, &[], mark);
+    /// Applies changes, all at once: a node that is sent the state up to a version is sent
+    /// everything that the version covers.
+    pub fn apply(&mut self, entries: Vec<Object>, gone: &[SmolStr], version: RegisterVersion) {
+        self.apply_with_doubts(entries, gone, &[], version);
     }
 
     /// Applies changes and newly doubted entries.
@@ -75,56 +75,61 @@
         entries: Vec<Object>,
         gone: &[SmolStr],
         doubted: &[SmolStr],
-        mark: RegisterVersion,
+        version: RegisterVersion,
     ) {
         self.known = true;
         let changes = !(entries.is_empty() && gone.is_empty() && doubted.is_empty());
-        // A node that has already reached the current mark would not be sent a change under it.
-        let mark =
-            if changes && mark <= self.mark { self.mark.next() } else { self.mark.max(mark) };
+        // A node that has already reached the current version would not be sent a change under it.
+        let version = if changes && version <= self.version {
+            self.version.next()
+        } else {
+            self.version.max(version)
+        };
         for name in entries.iter().map(|object| &object.name).chain(gone) {
             self.doubted.remove(name);
         }
         for name in doubted {
-            self.doubted.entry(name.clone()).or_insert(mark);
+            self.doubted.entry(name.clone()).or_insert(version);
         }
         for object in entries {
-            self.runners.insert(object.name.clone(), (mark, object));
+            self.runners.insert(object.name.clone(), (version, object));
         }
         for name in gone {
             if self.runners.remove(name).is_some() {
-                self.removed.push_back((mark, name.clone()));
+                self.removed.push_back((version, name.clone()));
             }
         }
         while self.removed.len() > MAX_REMOVED {
-            if let Some((mark, _)) = self.removed.pop_front() {
-                self.forgotten = mark;
+            if let Some((version, _)) = self.removed.pop_front() {
+                self.forgotten = version;
             }
         }
-        self.mark = mark;
+        self.version = version;
     }
 
     /// Removes expired entries, for which the store reports no change of its own.
     pub fn apply_expired(&mut self, gone: &[SmolStr]) {
-        let mark = self.mark.next();
-        self.apply(Vec::new(), gone, mark);
+        let version = self.version.next();
+        self.apply(Vec::new(), gone, version);
     }
 
     /// Returns the changes for a node whose state is as new as `since`.
     pub fn since(&self, since: RegisterVersion) -> Difference {
         let whole = since.is_unknown() || since < self.forgotten;
-        let newer = self.runners.values().filter(|(mark, _)| whole || *mark > since);
+        let newer = self.runners.values().filter(|(version, _)| whole || *version > since);
         // An entry that was removed and added again is not gone.
         let is_gone = |name: &SmolStr| !self.runners.contains_key(name);
-        let gone =
-            self.removed.iter().filter(|(mark, name)| !whole && *mark > since && is_gone(name));
-        let doubted = self.doubted.iter().filter(|(_, mark)| whole || **mark > since);
+        let gone = self
+            .removed
+            .iter()
+            .filter(|(version, name)| !whole && *version > since && is_gone(name));
+        let doubted = self.doubted.iter().filter(|(_, version)| whole || **version > since);
         Difference {
             whole,
             doubted: doubted.map(|(name, _)| name.clone()).collect(),
             entries: newer.map(|(_, object)| object.clone()).collect(),
             gone: gone.map(|(_, name)| name.clone()).collect(),
-            mark: self.mark,
+            version: self.version,
         }
     }
 }
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -25,7 +25,7 @@
 use crate::account::CheckResult;
 use crate::serve::response::{Body, Refusal};
 use crate::serve::shared::Shared;
-use crate::serve::{follow, generation, plain};
+use crate::serve::{generation, plain, store_watch};
 
 /// When a caller should retry at a node that has no configuration yet.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -238,7 +238,7 @@
     let (outcome, result) = match confirmed {
         CheckResult::Newest => ("newest", Err(Refusal::UnknownKey)),
         CheckResult::Newer(object) => {
-            follow::install(shared, object, None, "check of a key");
+            store_watch::install(shared, object, None, "check of a key");
             ("newer", Ok(()))
         }
         // The other nodes announce a newer configuration as soon as one of them has it.
--- a/node/src/serve/run.rs
+++ b/node/src/serve/run.rs
@@ -16,7 +16,7 @@
 use crate::serve::metrics::Metrics;
 use crate::serve::settings::Settings;
 use crate::serve::shared::Shared;
-use crate::serve::{copy, duty, follow, heartbeat, join, order, peer, quarantine, scheduler};
+use crate::serve::{copy, duty, heartbeat, join, order, peer, quarantine, scheduler, store_watch};
 use crate::usage::sender::CountSender;
 
 /// Why a node could not start.
@@ -133,14 +133,14 @@
     tokio::spawn(copy::fetch_updates(shared.clone()));
     tokio::spawn(heartbeat::receive(shared.clone(), socket.clone()));
     tokio::spawn(heartbeat::send(shared.clone(), socket.clone()));
-    tokio::spawn(follow::configuration(shared.clone()));
-    tokio::spawn(follow::register(shared.clone()));
+    tokio::spawn(store_watch::configuration(shared.clone()));
+    tokio::spawn(store_watch::register(shared.clone()));
     tokio::spawn(scheduler::report(shared.clone()));
     tokio::spawn(quarantine::run(shared.clone()));
     tokio::spawn(quarantine::store::run(shared.clone()));
     tokio::spawn(quarantine::store::write_again(shared.clone()));
     tokio::spawn(join::join(shared.clone(), socket.clone()));
-    tokio::spawn(follow::clean_up(shared.clone()));
+    tokio::spawn(store_watch::clean_up(shared.clone()));
     tokio::spawn(order::run(shared.clone()));
     let count_sender = duty::start(&shared, socket);
     log::info!(
--- a/node/src/serve/settings.rs
+++ b/node/src/serve/settings.rs
@@ -40,9 +40,9 @@
     /// How long a node may take to shut down.
     pub grace: Duration,
     /// The longest time for which callers may cache a look-up answer.
-    pub longest_validity: Duration,
+    pub max_lookup_ttl: Duration,
     /// The minimum time between the calls of two successive holders of the duties lease.
-    pub turns: Duration,
+    pub call_gap: Duration,
     /// The address for platform calls by the holder of the duties lease; `None` if there are none.
     pub platform: Option<SocketAddr>,
     /// The length of usage windows; `None` if usage is not reported.
@@ -76,9 +76,9 @@
 /// The default shutdown time.
 const DEFAULT_GRACE_PERIOD: Duration = Duration::from_secs(8);
 /// The default time between the calls of two holders of the duties lease.
-const DEFAULT_TURN: Duration = Duration::from_secs(3);
+const DEFAULT_CALL_GAP: Duration = Duration::from_secs(3);
 /// The default limit for caching look-up answers.
-const DEFAULT_VALIDITY: Duration = Duration::from_secs(5);
+const DEFAULT_MAX_LOOKUP_TTL: Duration = Duration::from_secs(5);
 
 fn seconds(text: &str) -> Option<Duration> {
     within(text, 0.1, 3600.0).map(Duration::from_secs_f64)
@@ -125,8 +125,8 @@
     let allowance = r.optional("retry", "allowance", ALLOWANCE_FORM, |t| within(t, 0.0, 1e6));
     let window = r.optional("retry", "window_s", SECONDS_FORM, seconds);
     let grace = r.optional("stop", "grace_s", SECONDS_FORM, seconds);
-    let validity = r.optional("stop", "longest_validity_s", SECONDS_FORM, seconds);
-    let turns = r.optional("orders", "turns_ms", MILLIS_FORM, |t| within(t, 1, 3_600_000));
+    let max_lookup_ttl = r.optional("stop", "longest_validity_s", SECONDS_FORM, seconds);
+    let call_gap = r.optional("orders", "turns_ms", MILLIS_FORM, |t| within(t, 1, 3_600_000));
     let platform = r.optional("platform", "address", ADDRESS_FORM, usable_address);
     let usage_window = r.optional("usage", "window_s", SECONDS_FORM, seconds);
     let log_level = r.optional("log", "level", LEVEL_FORM, parsed);
@@ -147,8 +147,8 @@
             window: window.unwrap_or(DEFAULT_RETRY_BUDGET.window),
         },
         grace: grace.unwrap_or(DEFAULT_GRACE_PERIOD),
-        longest_validity: validity.unwrap_or(DEFAULT_VALIDITY),
-        turns: turns.map_or(DEFAULT_TURN, Duration::from_millis),
+        max_lookup_ttl: max_lookup_ttl.unwrap_or(DEFAULT_MAX_LOOKUP_TTL),
+        call_gap: call_gap.map_or(DEFAULT_CALL_GAP, Duration::from_millis),
         platform,
         usage_window,
         log_level: log_level.unwrap_or(LevelFilter::Info),
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -39,9 +39,9 @@
 use crate::serve::connection::Connections;
 use crate::serve::copy::Copies;
 use crate::serve::crash::Detector;
-use crate::serve::knowledge::Knowledge;
 use crate::serve::metrics::Metrics;
 use crate::serve::quarantine::QuarantineState;
+use crate::serve::register_replica::RegisterReplica;
 use crate::serve::scheduler::Scheduling;
 use crate::serve::settings::Settings;
 use crate::serve::store::Client;
@@ -107,7 +107,7 @@
     pub dispatcher: Dispatcher,
     register: Arc<Mutex<Register>>,
     roster: Arc<Mutex<Roster>>,
-    knowledge: Mutex<Knowledge>,
+    register_replica: Mutex<RegisterReplica>,
     outage: Mutex<Outage>,
     served: AtomicBool,
     budgets: Mutex<HashMap<ServiceId, Budget>>,
@@ -153,7 +153,7 @@
             clock.clone(),
             metrics.clone(),
             holder,
-            settings.turns,
+            settings.call_gap,
         );
         let duty_lease = Arc::new(duty_lease);
         let collector = NodeInstance { node: me.id.clone(), incarnation };
@@ -206,7 +206,7 @@
             quarantine: QuarantineState::default(),
             heartbeat_now,
             register,
-            knowledge: Mutex::default(),
+            register_replica: Mutex::default(),
             outage: Mutex::default(),
             served: AtomicBool::new(true),
             budgets: Mutex::default(),
@@ -230,8 +230,8 @@
     }
 
     /// Locks this node's replica of the register in the store.
-    pub fn knowledge(&self) -> MutexGuard<'_, Knowledge> {
-        lock(&self.knowledge)
+    pub fn register_replica(&self) -> MutexGuard<'_, RegisterReplica> {
+        lock(&self.register_replica)
     }
 
     /// Locks the state of the current store outage, as seen by all watches.
@@ -256,7 +256,7 @@
         Status {
             standing: *self.standing.borrow(),
             version: self.configuration.load().as_ref().map(|c| c.version).unwrap_or_default(),
-            register: self.knowledge().mark(),
+            register: self.register_replica().version(),
             served: self.served.load(Ordering::Relaxed),
         }
     }
@@ -335,7 +335,7 @@
 
     /// Changes from starting to ready once there is a configuration and a register.
     pub fn update_standing(&self) {
-        let known = self.configuration.load().is_some() && self.knowledge().is_known();
+        let known = self.configuration.load().is_some() && self.register_replica().is_known();
         let became_ready = self.standing.send_if_modified(|standing| {
             let becomes_ready = known && *standing == Standing::Starting;
             if becomes_ready {
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/store_watch.rs
@@ -23,8 +23,8 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::serve::kind_watch::{Kind, KindWatch};
-use crate::serve::knowledge::Difference;
 use crate::serve::quarantine;
+use crate::serve::register_replica::Difference;
 use crate::serve::shared::Shared;
 use crate::serve::store::Purpose;
 
@@ -233,15 +233,15 @@
     // A node that knows that there are no runners must count as newer than one that knows nothing.
     // Otherwise nodes of a deployment without runners never receive the register and never become
     // ready.
-    let mark = RegisterVersion::of(if misses { as_of } else { newest }).at_least_first();
-    Difference { whole: true, entries, mark, ..Difference::default() }
+    let version = RegisterVersion::of(if misses { as_of } else { newest }).at_least_first();
+    Difference { whole: true, entries, version, ..Difference::default() }
 }
 
-/// Converts the result of a watch to a difference. An empty result does not advance the mark.
+/// Converts the result of a watch to a difference. An empty result does not advance the version.
 pub fn difference(changes: Vec<Change>, as_of: Point) -> Difference {
-    let mark =
+    let version =
         if changes.is_empty() { RegisterVersion::default() } else { RegisterVersion::of(as_of) };
-    let mut difference = Difference { mark, ..Difference::default() };
+    let mut difference = Difference { version, ..Difference::default() };
     for change in changes {
         match change {
             Change::Put(object) => {
@@ -263,7 +263,7 @@
     doubt: Option<std::time::Instant>,
     source: &'static str,
 ) {
-    let before = shared.knowledge().mark();
+    let before = shared.register_replica().version();
     let mut gone = difference.gone;
     if difference.whole {
         let named: HashSet<&SmolStr> = difference.entries.iter().map(|o| &o.name).collect();
@@ -275,7 +275,7 @@
     let remove = |name: &SmolStr, doubt: Option<std::time::Instant>| {
         let Ok(id) = RunnerId::try_from(name.clone()) else { return Changed::None };
         let changed = shared.register().remove(&id, doubt);
-        log_change(&id, changed, difference.mark.point(), source);
+        log_change(&id, changed, difference.version.point(), source);
         changed
     };
     let mut doubted = Vec::new();
@@ -295,9 +295,9 @@
         }
     }
     gone.extend(invalid);
-    shared.knowledge().apply_with_doubts(entries, &gone, &doubted, difference.mark);
+    shared.register_replica().apply_with_doubts(entries, &gone, &doubted, difference.version);
     shared.update_standing();
-    if shared.knowledge().mark() > before {
+    if shared.register_replica().version() > before {
         shared.announce();
     }
 }
@@ -310,7 +310,7 @@
         let expired = shared.register().expire(now);
         if !expired.is_empty() {
             let names: Vec<_> = expired.iter().map(|id| SmolStr::new(id.as_str())).collect();
-            shared.knowledge().apply_expired(&names);
+            shared.register_replica().apply_expired(&names);
             shared.announce();
         }
         for id in expired {
--- a/node/tests/knowledge.rs
+++ b/node/tests/knowledge.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use sardinepick_lib::fleet::register_version::RegisterVersion;
 use sardinepick_lib::history::Point;
-use sardinepick_node::serve::knowledge::{Difference, Knowledge};
+use sardinepick_node::serve::register_replica::{Difference, RegisterReplica};
 use sardinepick_platform::store::Object;
 use smol_str::{SmolStr, format_smolstr};
 
@@ -17,18 +17,18 @@
     Object { name: named(name), at: Point::without_era(revision), content }
 }
 
-fn apply(knowledge: &mut Knowledge, difference: Difference) {
+fn apply(replica: &mut RegisterReplica, difference: Difference) {
     let mut gone = difference.gone;
     if difference.whole {
         let named: Vec<SmolStr> = difference.entries.iter().map(|o| o.name.clone()).collect();
-        gone.extend(names(knowledge).into_iter().filter(|name| !named.contains(name)));
+        gone.extend(names(replica).into_iter().filter(|name| !named.contains(name)));
     }
-    knowledge.apply(difference.entries, &gone, difference.mark);
+    replica.apply(difference.entries, &gone, difference.version);
 }
 
-fn names(knowledge: &Knowledge) -> Vec<SmolStr> {
+fn names(replica: &RegisterReplica) -> Vec<SmolStr> {
     let mut names: Vec<SmolStr> =
-        knowledge.since(RegisterVersion::default()).entries.into_iter().map(|o| o.name).collect();
+        replica.since(RegisterVersion::default()).entries.into_iter().map(|o| o.name).collect();
     names.sort();
     names
 }
@@ -36,7 +36,7 @@
 proptest! {
     #[test]
     fn since_any_gaps_same_register(steps in proptest::collection::vec((0u8..9, 0u8..6), 1..80)) {
-        let (mut sender, mut receiver) = (Knowledge::default(), Knowledge::default());
+        let (mut sender, mut receiver) = (RegisterReplica::default(), RegisterReplica::default());
         for (at, (name, kind)) in steps.into_iter().enumerate() {
             let revision = 10 + at as u64 * 2;
             match kind {
@@ -44,9 +44,9 @@
                 2 => sender.apply(Vec::new(), &[named(name)], RegisterVersion::of(Point::without_era(revision))),
                 3 => sender.apply_expired(&[named(name)]),
                 _ => {
-                    let difference = sender.since(receiver.mark());
+                    let difference = sender.since(receiver.version());
                     apply(&mut receiver, difference);
-                    prop_assert_eq!(receiver.mark(), sender.mark());
+                    prop_assert_eq!(receiver.version(), sender.version());
                     prop_assert_eq!(names(&receiver), names(&sender));
                 }
             }
@@ -56,7 +56,7 @@
 
 #[test]
 fn since_far_behind_everything() {
-    let mut sender = Knowledge::default();
+    let mut sender = RegisterReplica::default();
     for at in 0..2_000u64 {
         sender.apply(
             vec![object(1, at * 2 + 1)],
@@ -72,11 +72,11 @@
 }
 
 /// Guards against requests to a runner that has left. After a store outage, a node that watches the
-/// store finds an entry missing and doubts it. If it announces its new mark without the doubt, the
-/// other nodes consider their register up to date and ask no other node.
+/// store finds an entry missing and doubts it. If it announces its new version without the doubt,
+/// the other nodes consider their register up to date and ask no other node.
 #[test]
 fn since_doubt_told_with_its_mark() {
-    let mut sender = Knowledge::default();
+    let mut sender = RegisterReplica::default();
     sender.apply(vec![object(1, 5), object(2, 6)], &[], RegisterVersion::of(Point::without_era(6)));
     sender.apply_with_doubts(
         Vec::new(),
@@ -86,7 +86,7 @@
     );
     let difference = sender.since(RegisterVersion::of(Point::without_era(6)));
     assert_eq!(
-        (difference.doubted, difference.mark),
+        (difference.doubted, difference.version),
         (vec![named(1)], RegisterVersion::of(Point::without_era(9)))
     );
     assert_eq!(sender.since(RegisterVersion::default()).doubted, [named(1)]);
@@ -95,19 +95,19 @@
     assert!(sender.since(RegisterVersion::default()).doubted.is_empty(), "the entry is back");
 }
 
-/// Guards against a change with an earlier mark, as from a store that was restored from a copy,
+/// Guards against a change with an earlier version, as from a store that was restored from a copy,
 /// that is never sent to other nodes.
 #[test]
 fn since_change_under_earlier_mark_told() {
-    let mut sender = Knowledge::default();
+    let mut sender = RegisterReplica::default();
     sender.apply(
         vec![object(1, 5), object(2, 100)],
         &[],
         RegisterVersion::of(Point::without_era(100)),
     );
-    let known = sender.mark();
+    let known = sender.version();
     sender.apply(vec![object(1, 60)], &[], RegisterVersion::of(Point::without_era(60)));
     let difference = sender.since(known);
     assert_eq!(difference.entries, [object(1, 60)]);
-    assert!(difference.mark > known, "the announced mark makes a node ask");
+    assert!(difference.version > known, "the announced version makes a node ask");
 }
--- a/node/tests/pack.rs
+++ b/node/tests/pack.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use sardinepick_node::serve::pack::{MAX_CONTENT_BYTES, compress, decompress};
+use sardinepick_node::serve::compression::{MAX_CONTENT_BYTES, compress, decompress};
 use sardinepick_testutils::fleet::deployment::large_configuration;
 
 /// Guards against configurations that spread too slowly: uncompressed, a megabyte takes 0.84 s on a
--- a/node/tests/serve.rs
+++ b/node/tests/serve.rs
@@ -332,7 +332,8 @@
     }
     set.store.set_fault(Fault::None);
     wait_until("the node sees it", async || {
-        shared.knowledge().entries() == 2 && shared.register().expire(shared.clock.now()).is_empty()
+        shared.register_replica().entries() == 2
+            && shared.register().expire(shared.clock.now()).is_empty()
     })
     .await;
     assert_eq!(set.ask("/board/a", "r1").await.status, Some(StatusCode::OK));
--- a/node/tests/thin_links.rs
+++ b/node/tests/thin_links.rs
@@ -2,7 +2,7 @@
 
 use sardinepick_lib::fleet::runner::State;
 use sardinepick_lib::id::ConfigVersion;
-use sardinepick_node::serve::pack::compress;
+use sardinepick_node::serve::compression::compress;
 use sardinepick_node::serve::run::Running;
 use sardinepick_testutils::cluster::wait_until;
 use sardinepick_testutils::fleet::deployment::{Deployment, HOME, PLAIN, large_configuration};
