--- a/node/src/account/mod.rs
+++ b/node/src/account/mod.rs
@@ -24,7 +24,7 @@
     Newest,
     /// The store has a newer configuration.
     Newer(Object),
-    /// The store was restored from a copy and has an earlier configuration. A newer one may have
+    /// The store was restored from a backup and has an earlier configuration. A newer one may have
     /// been lost with the store's latest changes, and is written again.
     Earlier,
     /// The check failed.
--- a/node/src/duty/lease.rs
+++ b/node/src/duty/lease.rs
@@ -231,7 +231,7 @@
     let at = object.at;
     let record = serde_json::from_slice(&object.content).unwrap_or_else(|error| {
         log::error!(revision:% = at, error:% = error; "lease cannot be read; it is replaced");
-        let name: NodeId = UNKNOWN.parse().expect("a right name");
+        let name: NodeId = UNKNOWN.parse().expect("UNKNOWN is a valid name");
         let holder = Some(Holder { name, incarnation: Incarnation(0) });
         Record { holder, epoch: Epoch(at.number()), ..Record::default() }
     });
--- a/node/src/era_tracker/mod.rs
+++ b/node/src/era_tracker/mod.rs
@@ -85,7 +85,7 @@
         self.current().grace_until(now, DOUBT)
     }
 
-    /// Whether the store has been restored from a copy since this process started.
+    /// Whether the store has been restored from a backup since this process started.
     pub fn was_restored(&self) -> bool {
         self.current().was_restored()
     }
@@ -129,7 +129,7 @@
     }
 
     /// Handles a list response whose revision is lower than that of an earlier response in the same
-    /// era. A store that names no eras has then been restored from a copy; all nodes that observe
+    /// era. A store that names no eras has then been restored from a backup; all nodes that observe
     /// this advance to the next era.
     pub fn note_revision_fall(&self, was: Point, as_of: Point) {
         self.count("revision_fell");
--- a/node/src/serve/cache_query.rs
+++ b/node/src/serve/cache_query.rs
@@ -21,7 +21,7 @@
 use crate::serve::connection::CONNECT_TIMEOUT;
 use crate::serve::shared::Shared;
 
-/// The time-out of a query; a later answer only says what other requests have shown by then.
+/// The timeout of a query; a later answer only says what other requests have shown by then.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// The maximum size of an answer: ten thousand parts.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
@@ -38,9 +38,9 @@
         let engines = register.of(&service).filter(|r| r.entry.stage.is_some() && r.pool == pool);
         engines.map(|r| (r.entry.clone(), r.registration())).collect()
     };
-    let queries = entries
-        .into_iter()
-        .map(|(entry, registration)| tokio::spawn(ask(shared.clone(), entry, registration)));
+    let queries = entries.into_iter().map(|(entry, registration)| {
+        tokio::spawn(query_runner(shared.clone(), entry, registration))
+    });
     for query in queries.collect::<Vec<_>>() {
         if let Err(error) = query.await {
             log::error!(error:% = error; "cache query failed");
@@ -48,7 +48,7 @@
     }
 }
 
-async fn ask(shared: Arc<Shared>, entry: Entry, registration: Registration) {
+async fn query_runner(shared: Arc<Shared>, entry: Entry, registration: Registration) {
     let query = async {
         let request = list_cached(&entry.id, entry.address);
         let sent = shared.connections.send(entry.address, request, CONNECT_TIMEOUT);
--- a/node/src/serve/connection.rs
+++ b/node/src/serve/connection.rs
@@ -91,7 +91,7 @@
     Unknown,
 }
 
-/// The time-out for connecting to a runner. The one-way latency between data centres is at most a
+/// The timeout for connecting to a runner. The one-way latency between data centres is at most a
 /// few milliseconds, and a runner accepts within one.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
@@ -102,15 +102,15 @@
     until: std::time::Instant,
 }
 
-/// How long a connection is kept idle if the peer announces no time-out. Shorter than any known
-/// peer's idle time-out, so that a request does not race with the peer's close.
+/// How long a connection is kept idle if the peer announces no timeout. Shorter than any known
+/// peer's idle timeout, so that a request does not race with the peer's close.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How much earlier than the peer's time-out an idle connection is closed.
+/// How much earlier than the peer's timeout an idle connection is closed.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
 /// How long the kernel waits for sent bytes to be acknowledged before it aborts a connection: this
 /// detects a silent path even when no answer is expected.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
-/// The time-out of a probe: many times the round trip between data centres.
+/// The timeout of a probe: many times the round trip between data centres.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 /// The maximum number of idle connections per address.
 const MAX_IDLE: usize = 32;
--- a/node/src/serve/copy.rs
+++ b/node/src/serve/copy.rs
@@ -30,7 +30,7 @@
 use crate::serve::transfer::{Disconnected, Grant, Parts, Queue, keep_alive, send};
 
 /// How long a node that is behind waits for an answer of the store.
-const ASK_DELAY: Duration = Duration::from_millis(40);
+const FETCH_DELAY: Duration = Duration::from_millis(40);
 /// The size of a part, in bytes: small enough for other traffic to pass between two of them.
 const PART_BYTES: usize = 16 << 10;
 /// The maximum size of a copy: an incompressible configuration of a megabyte, with room to spare.
@@ -139,7 +139,7 @@
 pub async fn fetch_updates(shared: Arc<Shared>) {
     loop {
         shared.configuration_outdated.notified().await;
-        sleep(ASK_DELAY).await;
+        sleep(FETCH_DELAY).await;
         let mut failures = Failures::default();
         while let Some(source) = pick_source(&shared, &mut failures) {
             let began = Instant::now();
@@ -185,7 +185,8 @@
 /// Copies the configuration from a node or from a node it refers to, and installs it. Returns the
 /// node that sent it, and the compressed size.
 async fn fetch(shared: &Shared, first: SocketAddr) -> Result<(SocketAddr, usize), RpcError> {
-    let (peer, (end, compressed)) = rpc::follow_referrals(first, |peer| ask(shared, peer)).await?;
+    let (peer, (end, compressed)) =
+        rpc::follow_referrals(first, |peer| request_copy(shared, peer)).await?;
     let bytes = compressed.len();
     install_copy(shared, end, compressed).ok_or(RpcError::Unusable { peer })?;
     Ok((peer, bytes))
@@ -194,7 +195,7 @@
 /// The object's name and revision, and its compressed content.
 type Fetched = (pb::CopyEnd, Bytes);
 
-async fn ask(shared: &Shared, peer: SocketAddr) -> Result<Reply<Fetched>, RpcError> {
+async fn request_copy(shared: &Shared, peer: SocketAddr) -> Result<Reply<Fetched>, RpcError> {
     let mut client = rpc::connect(peer).await?;
     let request = pb::CopyRequest {
         version: shared.status().version.0,
--- a/node/src/serve/crash.rs
+++ b/node/src/serve/crash.rs
@@ -41,14 +41,14 @@
         cells.entry(incarnation).or_default().clone()
     }
 
-    async fn has_ended(&self, shared: &Shared, incarnation: Tag, address: SocketAddr) -> bool {
+    async fn has_crashed(&self, shared: &Shared, incarnation: Tag, address: SocketAddr) -> bool {
         let cell = self.cell(incarnation);
-        let ended = *cell.get_or_init(|| is_refused(shared, address)).await;
-        if !ended {
+        let crashed = *cell.get_or_init(|| is_refused(shared, address)).await;
+        if !crashed {
             // It may still end later.
             self.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&incarnation);
         }
-        ended
+        crashed
     }
 }
 
@@ -75,7 +75,7 @@
     let (incarnation, address) = reservation
         .with_runner(|r| (!r.is_leaving()).then(|| (r.entry.tag(), r.entry.address)))
         .flatten()?;
-    if !shared.crashes.has_ended(shared, incarnation, address).await {
+    if !shared.crashes.has_crashed(shared, incarnation, address).await {
         return None;
     }
     shared.metrics.runner_crashes.inc();
--- a/node/src/serve/generation/mod.rs
+++ b/node/src/serve/generation/mod.rs
@@ -51,8 +51,8 @@
     let (head, answer) = oneshot::channel();
     let task = GenerationTask {
         shared: shared.clone(),
-        work: request.ask.work.clone().unwrap_or_default(),
-        last_event: request.ask.last_event.clone(),
+        work: request.caller_headers.work.clone().unwrap_or_default(),
+        last_event: request.caller_headers.last_event.clone(),
         request,
         caller: Caller::Waiting(Some(head)),
         tried: SmallVec::new(),
@@ -77,7 +77,7 @@
 enum Caller {
     /// The response head has not been sent.
     Waiting(Option<oneshot::Sender<Response<Body>>>),
-    /// The head has been sent; events follow.
+    /// The head has been sent; events are being forwarded.
     Streaming(mpsc::Sender<Result<Frame<Bytes>, Cut>>),
 }
 
@@ -293,7 +293,7 @@
     fn runner_request(
         &self,
         id: &RunnerId,
-        step: CallKind,
+        kind: CallKind,
         class: Class,
         left: Duration,
         fetch: Option<SocketAddr>,
@@ -304,7 +304,7 @@
             remaining: left,
             account: request.account.as_ref(),
             priority: Some(urgency(class)),
-            kind: step,
+            kind,
             last_event: self.last_event.as_deref(),
             fetch_from: fetch,
         };
--- a/node/src/serve/generation/prefill.rs
+++ b/node/src/serve/generation/prefill.rs
@@ -41,7 +41,7 @@
     Status(StatusCode),
     /// The response belongs to another request.
     #[error("the response belongs to another request")]
-    Foreign,
+    Mismatched,
     /// The runner did not respond within this time.
     #[error("no answer within {0:?}")]
     TimedOut(Duration),
@@ -60,7 +60,7 @@
             PrefillError::Incomplete(_) => true,
             PrefillError::Format(_)
             | PrefillError::Status(_)
-            | PrefillError::Foreign
+            | PrefillError::Mismatched
             | PrefillError::TimedOut(_) => false,
         }
     }
@@ -161,7 +161,7 @@
     let status = answer.head.status;
     let verdict = classify(status, &answer.head.headers, runner, request);
     if verdict == Verdict::Mismatched && status.is_success() {
-        return Err(PrefillError::Foreign);
+        return Err(PrefillError::Mismatched);
     }
     let (_, body) = answer.read(MAX_ANSWER_BYTES).await?;
     if !status.is_success() {
--- a/node/src/serve/generation/stream.rs
+++ b/node/src/serve/generation/stream.rs
@@ -40,7 +40,7 @@
     pub(super) async fn run_on(
         &mut self,
         id: &RunnerId,
-        step: CallKind,
+        kind: CallKind,
         cost: WorkCost,
         placement: &Placement,
     ) -> Result<AttemptOutcome, Stop> {
@@ -50,13 +50,13 @@
         let mut reservation = Reservation::new(&self.shared, id, Step::Run, cost);
         self.calls += 1;
         let Some(address) = self.address(id) else { return Ok(AttemptOutcome::NotRun) };
-        let is_whole = step == CallKind::Run;
+        let is_whole = kind == CallKind::Run;
         let fetch = placement.fetch.as_ref().filter(|_| is_whole);
         let fetch = fetch.and_then(|source| self.address(source));
         if is_whole {
             self.note_cached(&reservation, Progress::Started);
         }
-        let request = self.runner_request(id, step, cost.class, left, fetch);
+        let request = self.runner_request(id, kind, cost.class, left, fetch);
         // If the request may be retried, a runner that stays silent is given up early.
         let limit = if self.may_retry() {
             left.min(self.idle_timeout(placement.first_event))
--- a/node/src/serve/heartbeat.rs
+++ b/node/src/serve/heartbeat.rs
@@ -176,12 +176,12 @@
         roster.silent_addresses().chain(shared.settings.other_seeds()).choose(&mut *shared.rng())
     };
     if let Some(target) = target {
-        ask(shared, socket, &[target]).await;
+        request_heartbeats(shared, socket, &[target]).await;
     }
 }
 
 /// Asks nodes for a heartbeat.
-pub async fn ask(shared: &Shared, socket: &UdpSocket, targets: &[SocketAddr]) {
+pub async fn request_heartbeats(shared: &Shared, socket: &UdpSocket, targets: &[SocketAddr]) {
     let heartbeat = Heartbeat { wants_reply: true, ..build_heartbeat(shared, shared.status()) };
     send_to_all(shared, socket, &heartbeat, targets).await;
 }
--- a/node/src/serve/join.rs
+++ b/node/src/serve/join.rs
@@ -108,7 +108,7 @@
         return false;
     }
     for _ in 0..SEED_ROUNDS {
-        heartbeat::ask(shared, socket, &seeds).await;
+        heartbeat::request_heartbeats(shared, socket, &seeds).await;
         sleep(ROUND_PAUSE).await;
         let named = shared.roster().sample(&mut *shared.rng());
         let peer = named.first().map(|record| record.contact.peer);
--- a/node/src/serve/kind_watch.rs
+++ b/node/src/serve/kind_watch.rs
@@ -108,7 +108,7 @@
         self.entry_era = self.shared.era_tracker.era();
     }
 
-    /// Lists a kind. If the list shows that the store was restored from a copy without naming its
+    /// Lists a kind. If the list shows that the store was restored from a backup without naming its
     /// era, the list belongs to no known era and is not used.
     pub(super) async fn list(
         &mut self,
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -95,9 +95,9 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        // The header time-out also limits how long a connection may be idle before the head, so it
+        // The header timeout also limits how long a connection may be idle before the head, so it
         // is the longer of the two: callers reuse connections for up to four fifths of the idle
-        // time-out.
+        // timeout.
         .header_read_timeout(limits.idle_timeout.max(limits.head_timeout))
         .max_buf_size(limits.head.max(MIN_HEAD_BUFFER_BYTES) * 2);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
--- a/node/src/serve/order.rs
+++ b/node/src/serve/order.rs
@@ -25,7 +25,7 @@
 
 /// How often the demand for stage changes is evaluated.
 const EVALUATION_PERIOD: Duration = Duration::from_millis(250);
-/// The time-out of an order.
+/// The timeout of an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long the other nodes are given to learn that a runner must not get new work.
 const PROPAGATION_DELAY: Duration = Duration::from_millis(150);
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -36,11 +36,11 @@
 use crate::serve::store_watch::apply_difference;
 use crate::serve::transfer::{Disconnected, Grant, Parts, send};
 
-/// How long a node that is behind waits for an answer of the store, or for further changes to ask
-/// for.
-const ASK_DELAY: Duration = Duration::from_millis(40);
-/// The minimum pause between two questions.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
+/// How long a node that is behind waits for an answer of the store, or for further changes to
+/// request.
+const FETCH_DELAY: Duration = Duration::from_millis(40);
+/// The minimum pause between two requests for updates.
+const FETCH_PAUSE: Duration = Duration::from_millis(200);
 /// The size of entries at which a part is full, in bytes: 13 ms on a link of 10 Mbit/s.
 const PART_BYTES: usize = 16 << 10;
 /// The maximum size of entries accepted from one answer, in bytes: 1,600 runners take 0.4 MB.
@@ -267,10 +267,11 @@
     let mut failures = Failures::default();
     loop {
         shared.register_outdated.notified().await;
-        sleep(ASK_DELAY).await;
+        sleep(FETCH_DELAY).await;
         let Some((contact, status)) = newest(&shared, &mut failures) else { continue };
         let began = Instant::now();
-        let received = rpc::follow_referrals(contact.peer, |peer| ask(&shared, peer)).await;
+        let received =
+            rpc::follow_referrals(contact.peer, |peer| request_difference(&shared, peer)).await;
         let took = began.elapsed().as_millis() as u64;
         match received {
             Ok((peer, received)) => {
@@ -290,7 +291,7 @@
                 failures.note(contact.id);
             }
         }
-        sleep(ASK_PAUSE).await;
+        sleep(FETCH_PAUSE).await;
     }
 }
 
@@ -315,7 +316,10 @@
     leaving: Vec<Tag>,
 }
 
-async fn ask(shared: &Shared, peer: SocketAddr) -> Result<Reply<ReceivedRegister>, RpcError> {
+async fn request_difference(
+    shared: &Shared,
+    peer: SocketAddr,
+) -> Result<Reply<ReceivedRegister>, RpcError> {
     let mut client = rpc::connect(peer).await?;
     let mine = shared.register_replica().version();
     let known = pb::KnowledgeRequest {
--- a/node/src/serve/quarantine/store.rs
+++ b/node/src/serve/quarantine/store.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Writes the confirmed entries again whenever the store has been restored from a copy, until the
+/// Writes the confirmed entries again whenever the store has been restored from a backup, until the
 /// process ends. Each entry is written by its primary counter only.
 pub async fn write_again(shared: Arc<Shared>) {
     let mut eras = shared.era_tracker.subscribe();
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -43,7 +43,7 @@
     /// The client account that it belongs to, if the configuration has accounts.
     pub account: Option<AccountId>,
     /// The metadata of the request, parsed from the caller's headers.
-    pub ask: CallerHeaders,
+    pub caller_headers: CallerHeaders,
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -56,7 +56,7 @@
     pub fingerprint: Fingerprint,
     /// When its head had been read.
     pub arrived: Instant,
-    /// Its deadline: the caller's, or the route's time-out if that is shorter.
+    /// Its deadline: the caller's, or the route's timeout if that is shorter.
     pub deadline: Instant,
     /// Its size relative to the mean of its route.
     pub size: f64,
@@ -135,9 +135,9 @@
 pub async fn handle(shared: &Arc<Shared>, request: http::Request<Incoming>) -> Response<Body> {
     let arrived = shared.clock.now();
     let (head, body) = request.into_parts();
-    let ask = caller::read_headers(&head.headers);
+    let caller_headers = caller::read_headers(&head.headers);
     let refuse = |refusal: Refusal| {
-        let id = ask.id.as_deref().unwrap_or_default();
+        let id = caller_headers.id.as_deref().unwrap_or_default();
         let version = shared.configuration.load().as_ref().map(|c| c.version).unwrap_or_default();
         let labels = ["", "", "refused", refusal.reason()];
         shared.metrics.requests.with_label_values(&labels).inc();
@@ -151,10 +151,10 @@
         Ok(admitted) => admitted,
         Err(refusal) => return refuse(refusal),
     };
-    let Some(id) = ask.id.clone() else {
+    let Some(id) = caller_headers.id.clone() else {
         return refuse(Refusal::Malformed);
     };
-    let allowed = ask.deadline.map_or(route.timeout, |d| d.min(route.timeout));
+    let allowed = caller_headers.deadline.map_or(route.timeout, |d| d.min(route.timeout));
     let body = match read_body(body, configuration.limits.body, allowed).await {
         Ok(body) => body,
         Err(refusal) => return refuse(refusal),
@@ -162,15 +162,17 @@
     let draw: f64 = shared.rng().random();
     let service = route.service(draw).clone();
     let known = configuration.service(&service);
-    let size = ask.work.as_ref().map_or(1.0, |work| shared.note_size(&route.name, work.prompt));
-    let waited = ask.deadline.map_or(Duration::ZERO, |d| shared.note_deadline(&route.name, d));
+    let size =
+        caller_headers.work.as_ref().map_or(1.0, |work| shared.note_size(&route.name, work.prompt));
+    let waited =
+        caller_headers.deadline.map_or(Duration::ZERO, |d| shared.note_deadline(&route.name, d));
     let request = Request {
         id,
         size,
         waited,
         engine: known.and_then(|s| s.engine),
         service,
-        ask,
+        caller_headers,
         fingerprint: fingerprint(&head, account.as_ref(), &body),
         account,
         headers: forwarded_headers(&head.headers),
--- a/node/src/serve/rpc.rs
+++ b/node/src/serve/rpc.rs
@@ -1,6 +1,6 @@
 //! Calls to other nodes with streamed answers.
 //!
-//! An answer as a whole has no time-out, since a large one on a thin link would exceed it and be
+//! An answer as a whole has no timeout, since a large one on a thin link would exceed it and be
 //! started over; only the time between its parts is limited.
 
 use std::future::Future;
@@ -15,9 +15,9 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Response, Status, Streaming};
 
-/// The time-out for connecting to another node: a lost packet is retransmitted after 0.2 s.
+/// The timeout for connecting to another node: a lost packet is retransmitted after 0.2 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The idle time-out of an answer. A part takes 13 ms on a link of 10 Mbit/s, and a queued call
+/// The idle timeout of an answer. A part takes 13 ms on a link of 10 Mbit/s, and a queued call
 /// gets three keep-alives in this time.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long a call stays in the other node's queue before another node is called; by then more
@@ -46,7 +46,7 @@
         /// The status of the node or the connection.
         status: Box<Status>,
     },
-    /// Nothing was received within the idle time-out.
+    /// Nothing was received within the idle timeout.
     #[error("asking {peer}: nothing heard for {IDLE_TIMEOUT:?}")]
     Silent {
         /// The node.
@@ -232,11 +232,11 @@
         Ok(Self { peer, parts: answer.into_inner(), asked: Instant::now() })
     }
 
-    /// Receives the next part. `is_queued` says that only keep-alives have been received so
-    /// far.
+    /// Receives the next part. `is_queued` says that only keep-alives have been received so far.
     ///
     /// # Errors
-    /// The answer has ended, or the next part or the turn in the queue does not come in time.
+    /// The answer has ended, the next part is overdue, or the call has waited too long in the other
+    /// node's queue.
     pub async fn next(&mut self, is_queued: bool) -> Result<T, RpcError> {
         let peer = self.peer;
         if is_queued && self.asked.elapsed() > QUEUE_TIMEOUT {
--- a/node/src/serve/shared.rs
+++ b/node/src/serve/shared.rs
@@ -240,7 +240,7 @@
     }
 
     /// Returns until when entries missing from the register are doubted instead of removed: the
-    /// store had an outage, or was restored from a copy. `None` if they are removed at once.
+    /// store had an outage, or was restored from a backup. `None` if they are removed at once.
     pub fn doubt(&self) -> Option<Instant> {
         let now = self.clock.now();
         self.outage().doubt(now).max(self.era_tracker.doubt(now))
--- a/node/src/serve/store.rs
+++ b/node/src/serve/store.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's store; each call has a time-out and is counted.
+//! The client of the platform's store; each call has a timeout and is counted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -51,7 +51,7 @@
         /// What is wrong with the era.
         source: EraError,
     },
-    /// The store was restored from a copy between the revision that the call builds on and its
+    /// The store was restored from a backup between the revision that the call builds on and its
     /// answer. A write may have replaced other content than intended.
     #[error(
         "{purpose}: the store came back from a copy; the call built on {was}, the answer is of era {era}"
@@ -69,7 +69,7 @@
     Late {
         /// The purpose of the call.
         purpose: Purpose,
-        /// The time-out.
+        /// The timeout.
         limit: Duration,
     },
 }
@@ -112,12 +112,12 @@
     Usage,
 }
 
-/// The time-out for the start of an answer, except to a watch, and between its pieces. The store
+/// The timeout for the start of an answer, except to a watch, and between its pieces. The store
 /// answers in 4 ms (platform data sheets), and in 60 to 75 times that when it is slow. An answer as
-/// a whole has no time-out: a megabyte takes 0.84 s on a link of 10 Mbit/s, and there a read that
+/// a whole has no timeout: a megabyte takes 0.84 s on a link of 10 Mbit/s, and there a read that
 /// is aborted and restarted would never complete.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// The time-out for connecting to the store.
+/// The timeout for connecting to the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The time that a watch may take beyond its wait.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
--- a/node/src/serve/transfer.rs
+++ b/node/src/serve/transfer.rs
@@ -1,6 +1,6 @@
 //! Queueing of large transfers to other nodes, and sending their parts.
 //!
-//! Concurrent transfers over a thin link would all exceed their time-outs, so few run at once;
+//! Concurrent transfers over a thin link would all exceed their timeouts, so few run at once;
 //! waiting nodes get keep-alives, or are referred to nodes that have just received a copy.
 
 use std::fmt;
@@ -18,7 +18,7 @@
 
 use crate::serve::rpc::IDLE_TIMEOUT;
 
-/// The keep-alive interval for a waiting node: well within its idle time-out.
+/// The keep-alive interval for a waiting node: well within its idle timeout.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The stream of an answer's parts to the calling node.
--- a/node/src/usage/report.rs
+++ b/node/src/usage/report.rs
@@ -51,7 +51,7 @@
     Current,
     /// It has to be read again.
     Stale,
-    /// The store was restored from a copy, and this node's ledger is newer than the copy's.
+    /// The store was restored from a backup, and this node's ledger is newer than the copy's.
     EraChanged,
 }
 
