--- a/node/src/serve/copy.rs
+++ b/node/src/serve/copy.rs
@@ -23,14 +23,14 @@
 use tokio::time::{Instant, sleep};
 use tonic::Status;
 
-use crate::serve::follow::install;
-use crate::serve::pack::{compress, decompress};
+use crate::serve::compression::{compress, decompress};
 use crate::serve::rpc::{self, Failures, Reply, RpcError};
 use crate::serve::shared::Shared;
+use crate::serve::store_watch::install;
 use crate::serve::transfer::{Disconnected, Grant, Parts, Queue, keep_alive, send};
 
 /// How long a node that is behind waits for an answer of the store.
-const ASK_DELAY: Duration = Duration::from_millis(40);
+const FETCH_DELAY: Duration = Duration::from_millis(40);
 /// The size of a part, in bytes: small enough for other traffic to pass between two of them.
 const PART_BYTES: usize = 16 << 10;
 /// The maximum size of a copy: an incompressible configuration of a megabyte, with room to spare.
@@ -53,8 +53,8 @@
 }
 
 impl Copies {
-    /// Offers a configuration from now on. `packed` is its compressed content, if it was received
-    /// so.
+    /// Offers a configuration from now on. `compressed` is its compressed content, if it was
+    /// received from another node.
     pub fn offer(&self, version: ConfigVersion, object: Object, compressed: Option<Bytes>) {
         let Object { name, at, content } = object;
         let compressed = compressed.unwrap_or_else(|| compress(&content));
@@ -63,7 +63,7 @@
 }
 
 /// Answers a node that asks for a newer configuration, in parts.
-pub fn answer(
+pub fn serve(
     shared: Arc<Shared>,
     request: pb::CopyRequest,
 ) -> mpsc::Receiver<Result<pb::CopyPart, Status>> {
@@ -136,10 +136,10 @@
 }
 
 /// Asks other nodes for newer configurations, until the process ends.
-pub async fn learn(shared: Arc<Shared>) {
+pub async fn fetch_updates(shared: Arc<Shared>) {
     loop {
         shared.configuration_outdated.notified().await;
-        sleep(ASK_DELAY).await;
+        sleep(FETCH_DELAY).await;
         let mut failures = Failures::default();
         while let Some(source) = pick_source(&shared, &mut failures) {
             let began = Instant::now();
@@ -185,7 +185,8 @@
 /// Copies the configuration from a node or from a node it refers to, and installs it. Returns the
 /// node that sent it, and the compressed size.
 async fn fetch(shared: &Shared, first: SocketAddr) -> Result<(SocketAddr, usize), RpcError> {
-    let (peer, (end, compressed)) = rpc::follow_referrals(first, |peer| ask(shared, peer)).await?;
+    let (peer, (end, compressed)) =
+        rpc::follow_referrals(first, |peer| request_copy(shared, peer)).await?;
     let bytes = compressed.len();
     install_copy(shared, end, compressed).ok_or(RpcError::Unusable { peer })?;
     Ok((peer, bytes))
@@ -194,7 +195,7 @@
 /// The object's name and revision, and its compressed content.
 type Fetched = (pb::CopyEnd, Bytes);
 
-async fn ask(shared: &Shared, peer: SocketAddr) -> Result<Reply<Fetched>, RpcError> {
+async fn request_copy(shared: &Shared, peer: SocketAddr) -> Result<Reply<Fetched>, RpcError> {
     let mut client = rpc::connect(peer).await?;
     let request = pb::CopyRequest {
         version: shared.status().version.0,
@@ -210,12 +211,12 @@
         }
         content.extend_from_slice(&part.content);
         if content.len() > MAX_COPY_BYTES {
-            return Err(RpcError::TooLarge { peer, most: MAX_COPY_BYTES });
+            return Err(RpcError::TooLarge { peer, limit: MAX_COPY_BYTES });
         }
         if let Some(end) = part.end {
             let received = shared.metrics.configuration_copy_bytes.with_label_values(&["received"]);
             received.inc_by(content.len() as u64);
-            return Ok(Reply::Whole((end, content.freeze())));
+            return Ok(Reply::Complete((end, content.freeze())));
         }
     }
 }
@@ -233,7 +234,7 @@
         }
     };
     let was = shared.status().version;
-    let at = match decode_point(end.revision, end.era, shared.history.era()) {
+    let at = match decode_point(end.revision, end.era, shared.era_tracker.era()) {
         Ok(at) => at,
         Err(error) => {
             log::error!(revision = end.revision, error:% = error; "invalid configuration copy");
--- a/node/src/serve/follower.rs
+++ b/node/src/serve/kind_watch.rs
@@ -23,7 +23,7 @@
 /// retry is earlier then, since a runner may have left in the missing history.
 const FORGOTTEN_BACK_OFF_DIVISOR: u32 = 4;
 /// How often a node that does not watch the store checks whether it should.
-const DUTY_CHECK_PERIOD: Duration = Duration::from_millis(100);
+const WATCH_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
 /// What is watched.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
@@ -35,8 +35,8 @@
     Register,
 }
 
-/// The watch of one kind.
-pub(super) struct Follower {
+/// This node's watch of one kind of object.
+pub(super) struct KindWatch {
     shared: Arc<Shared>,
     what: Kind,
     /// Consecutive failed calls.
@@ -53,10 +53,10 @@
     eras: watch::Receiver<Era>,
 }
 
-impl Follower {
+impl KindWatch {
     /// Creates the watch of `kind` at this node; nothing has been read yet.
     pub(super) fn new(shared: Arc<Shared>, what: Kind) -> Self {
-        let eras = shared.history.subscribe();
+        let eras = shared.era_tracker.subscribe();
         Self {
             shared,
             what,
@@ -87,7 +87,7 @@
             }
             (self.watching, self.from) = (false, None);
             while !self.must_watch() {
-                sleep(DUTY_CHECK_PERIOD).await;
+                sleep(WATCH_CHECK_PERIOD).await;
             }
         }
         if self.watching {
@@ -105,10 +105,10 @@
         if let Err(error) = join::write_entry(&self.shared).await {
             log::info!(error:% = error; "cannot write this node's entry");
         }
-        self.entry_era = self.shared.history.era();
+        self.entry_era = self.shared.era_tracker.era();
     }
 
-    /// Lists a kind. If the list shows that the store was restored from a copy without naming its
+    /// Lists a kind. If the list shows that the store was restored from a backup without naming its
     /// era, the list belongs to no known era and is not used.
     pub(super) async fn list(
         &mut self,
@@ -118,8 +118,8 @@
         let (objects, as_of) = self.shared.store.list(purpose, kind).await?;
         if as_of.era == self.last.era && as_of < self.last {
             let was = std::mem::replace(&mut self.last, as_of);
-            self.shared.history.note_revision_fall(was, as_of);
-            let era = self.shared.history.era();
+            self.shared.era_tracker.note_revision_fall(was, as_of);
+            let era = self.shared.era_tracker.era();
             if era != was.era {
                 return Err(StoreError::EraChanged { purpose, was, era });
             }
--- a/node/src/serve/listener.rs
+++ b/node/src/serve/listener.rs
@@ -17,8 +17,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::serve::answer::{Body, Refusal, empty, full_body, json};
 use crate::serve::connection::prepare;
+use crate::serve::response::{Body, Refusal, empty, full_body, json};
 use crate::serve::shared::Shared;
 use crate::serve::{quarantine, request};
 
@@ -90,14 +90,14 @@
     let limits = shared.configuration.load().as_ref().map(|c| c.limits).unwrap_or_default();
     let service = service_fn(|request| {
         let shared = shared.clone();
-        async move { Ok::<_, Infallible>(answer(&shared, port, request).await) }
+        async move { Ok::<_, Infallible>(handle(&shared, port, request).await) }
     });
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        // The header time-out also limits how long a connection may be idle before the head, so it
+        // The header timeout also limits how long a connection may be idle before the head, so it
         // is the longer of the two: callers reuse connections for up to four fifths of the idle
-        // time-out.
+        // timeout.
         .header_read_timeout(limits.idle_timeout.max(limits.head_timeout))
         .max_buf_size(limits.head.max(MIN_HEAD_BUFFER_BYTES) * 2);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
@@ -114,9 +114,9 @@
     }
 }
 
-async fn answer(shared: &Arc<Shared>, port: Port, request: Request<Incoming>) -> Response<Body> {
+async fn handle(shared: &Arc<Shared>, port: Port, request: Request<Incoming>) -> Response<Body> {
     let mut response = match port {
-        Port::Front => request::answer(shared, request).await,
+        Port::Front => request::handle(shared, request).await,
         Port::Ready if request.uri().path() == READINESS_PATH => {
             let ready = shared.is_ready();
             empty(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
@@ -161,7 +161,7 @@
         Ok(lookup) => lookup,
         Err(error) => {
             log::info!(error:% = error; "invalid look-up");
-            return Refusal::Malformed.answer();
+            return Refusal::Malformed.response();
         }
     };
     let mut addresses = Vec::new();
@@ -177,7 +177,7 @@
         log::info!(host:% = lookup.host; "no ready node for look-up");
         return empty(StatusCode::SERVICE_UNAVAILABLE);
     }
-    json(lookup_response(&addresses, LOOKUP_TTL.min(shared.settings.longest_validity)))
+    json(lookup_response(&addresses, LOOKUP_TTL.min(shared.settings.max_lookup_ttl)))
 }
 
 /// The node's state, for operators.
@@ -210,7 +210,7 @@
         shared.roster().ready_contacts().iter().map(|contact| contact.id.to_string()).collect();
     serde_json::json!({
         "node": shared.me.id, "standing": format!("{:?}", status.standing),
-        "configuration": status.version, "register": status.register.to_string(), "store_era": shared.history.era(),
+        "configuration": status.version, "register": status.register.to_string(), "store_era": shared.era_tracker.era(),
         "nodes_heard": nodes, "runners": runners, "quarantine": quarantine::state(shared),
         "accounts": accounts(shared), "duties": duties(shared),
     })
--- a/node/src/serve/mod.rs
+++ b/node/src/serve/mod.rs
@@ -4,32 +4,32 @@
 //! its load with the other nodes, and serves requests: it routes and admits them, chooses runners,
 //! and returns a complete response or an accurate refusal.
 
-pub mod answer;
-pub mod beat;
+pub mod cache_query;
+pub mod compression;
 pub mod connection;
 pub mod copy;
 pub mod crash;
 pub mod duty;
-pub mod follow;
-mod follower;
 pub mod generation;
-pub mod inventory;
+pub mod heartbeat;
 pub mod join;
-pub mod knowledge;
+mod kind_watch;
 pub mod listener;
 pub mod metrics;
 pub mod order;
-pub mod pack;
 pub mod peer;
 pub mod pending;
 pub mod plain;
 pub mod quarantine;
+pub mod register_replica;
 pub mod request;
+pub mod reservation;
+pub mod response;
 pub mod rpc;
 pub mod run;
 pub mod scheduler;
 pub mod settings;
 pub mod shared;
 pub mod store;
-pub mod ticket;
+pub mod store_watch;
 pub mod transfer;
--- a/node/src/serve/peer.rs
+++ b/node/src/serve/peer.rs
@@ -27,20 +27,20 @@
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
 use tonic::{Request, Response, Status};
 
-use crate::serve::beat::apply_records;
 use crate::serve::copy;
-use crate::serve::follow::apply_difference;
-use crate::serve::knowledge::Difference;
+use crate::serve::heartbeat::apply_records;
 use crate::serve::quarantine;
+use crate::serve::register_replica::Difference;
 use crate::serve::rpc::{self, Failures, Reply, RpcError};
 use crate::serve::shared::Shared;
+use crate::serve::store_watch::apply_difference;
 use crate::serve::transfer::{Disconnected, Grant, Parts, send};
 
-/// How long a node that is behind waits for an answer of the store, or for further changes to ask
-/// for.
-const ASK_DELAY: Duration = Duration::from_millis(40);
-/// The minimum pause between two questions.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
+/// How long a node that is behind waits for an answer of the store, or for further changes to
+/// request.
+const FETCH_DELAY: Duration = Duration::from_millis(40);
+/// The minimum pause between two requests for updates.
+const FETCH_PAUSE: Duration = Duration::from_millis(200);
 /// The size of entries at which a part is full, in bytes: 13 ms on a link of 10 Mbit/s.
 const PART_BYTES: usize = 16 << 10;
 /// The maximum size of entries accepted from one answer, in bytes: 1,600 runners take 0.4 MB.
@@ -98,7 +98,7 @@
         let mut roster = self.shared.roster();
         apply_records(&mut roster, &records, now);
         if roster.has_updates() {
-            self.shared.beat_now.notify_one();
+            self.shared.heartbeat_now.notify_one();
         }
         let records = roster.records();
         drop(roster);
@@ -112,7 +112,7 @@
         &self,
         request: Request<pb::CopyRequest>,
     ) -> Result<Response<Self::CopyStream>, Status> {
-        let parts = copy::answer(self.shared.clone(), request.into_inner());
+        let parts = copy::serve(self.shared.clone(), request.into_inner());
         Ok(Response::new(ReceiverStream::new(parts)))
     }
 }
@@ -124,12 +124,12 @@
     request: &pb::KnowledgeRequest,
     parts: &Parts<pb::Knowledge>,
 ) -> Result<(), Disconnected> {
-    let known = shared.knowledge().mark();
-    let mark = decode_mark(request.mark, request.era, known.era).unwrap_or_else(|error| {
-        log::warn!(node = request.node, error:% = error; "invalid mark from a node");
+    let known = shared.register_replica().version();
+    let version = decode_mark(request.mark, request.era, known.era).unwrap_or_else(|error| {
+        log::warn!(node = request.node, error:% = error; "invalid register version from a node");
         RegisterVersion::default()
     });
-    let difference = shared.knowledge().since(mark);
+    let difference = shared.register_replica().since(version);
     if !difference.whole {
         return send_parts(shared, &difference, parts).await;
     }
@@ -137,7 +137,7 @@
     match shared.register_transfers.wait(parts, bytes).await? {
         Grant::Slot(slot) => {
             // The register may have changed while the call was queued.
-            let difference = shared.knowledge().since(mark);
+            let difference = shared.register_replica().since(version);
             send_parts(shared, &difference, parts).await?;
             slot.finish(parts, &request.peer).await
         }
@@ -150,7 +150,7 @@
 
 /// Encodes a difference to be announced to nodes that know everything up to `since`.
 pub fn to_announcement(difference: &Difference, since: RegisterVersion) -> pb::Knowledge {
-    let era = difference.mark.era;
+    let era = difference.version.era;
     pb::Knowledge {
         since: since.order,
         since_era: (since.era != era).then_some(since.era.0),
@@ -158,7 +158,7 @@
         runners: difference.entries.iter().map(|object| to_wire(object, era)).collect(),
         gone: difference.gone.iter().map(ToString::to_string).collect(),
         doubted: difference.doubted.iter().map(ToString::to_string).collect(),
-        mark: difference.mark.order,
+        mark: difference.version.order,
         whole: difference.whole,
         last: true,
         ..Default::default()
@@ -181,21 +181,21 @@
     announcement: &pb::Knowledge,
 ) -> Result<Option<Difference>, WireError> {
     let (mine, is_known) = {
-        let knowledge = shared.knowledge();
-        (knowledge.mark(), knowledge.is_known())
+        let replica = shared.register_replica();
+        (replica.version(), replica.is_known())
     };
-    let mark = decode_mark(announcement.mark, announcement.era, mine.era)?;
-    let since = decode_mark(announcement.since, announcement.since_era, mark.era)?;
-    if !is_known || announcement.whole || since > mine || mine >= mark {
+    let version = decode_mark(announcement.mark, announcement.era, mine.era)?;
+    let since = decode_mark(announcement.since, announcement.since_era, version.era)?;
+    if !is_known || announcement.whole || since > mine || mine >= version {
         return Ok(None);
     }
-    let entries = announcement.runners.iter().cloned().map(|object| from_wire(object, mark.era));
+    let entries = announcement.runners.iter().cloned().map(|object| from_wire(object, version.era));
     Ok(Some(Difference {
         whole: false,
         entries: entries.collect::<Result<_, _>>()?,
         gone: announcement.gone.iter().map(SmolStr::new).collect(),
         doubted: announcement.doubted.iter().map(SmolStr::new).collect(),
-        mark,
+        version,
     }))
 }
 
@@ -223,11 +223,11 @@
         let gone = if last { difference.gone.as_slice() } else { &[] };
         let doubted = if last { difference.doubted.as_slice() } else { &[] };
         let part = pb::Knowledge {
-            runners: runners.iter().map(|object| to_wire(object, difference.mark.era)).collect(),
+            runners: runners.iter().map(|object| to_wire(object, difference.version.era)).collect(),
             gone: gone.iter().map(ToString::to_string).collect(),
             doubted: doubted.iter().map(ToString::to_string).collect(),
-            mark: difference.mark.order,
-            era: Some(difference.mark.era.0),
+            mark: difference.version.order,
+            era: Some(difference.version.era.0),
             whole: difference.whole,
             last,
             ..Default::default()
@@ -263,14 +263,15 @@
 }
 
 /// Asks other nodes whenever this one is behind, until the process ends.
-pub async fn learn(shared: Arc<Shared>) {
+pub async fn fetch_updates(shared: Arc<Shared>) {
     let mut failures = Failures::default();
     loop {
         shared.register_outdated.notified().await;
-        sleep(ASK_DELAY).await;
+        sleep(FETCH_DELAY).await;
         let Some((contact, status)) = newest(&shared, &mut failures) else { continue };
         let began = Instant::now();
-        let received = rpc::follow_referrals(contact.peer, |peer| ask(&shared, peer)).await;
+        let received =
+            rpc::follow_referrals(contact.peer, |peer| request_difference(&shared, peer)).await;
         let took = began.elapsed().as_millis() as u64;
         match received {
             Ok((peer, received)) => {
@@ -290,14 +291,14 @@
                 failures.note(contact.id);
             }
         }
-        sleep(ASK_PAUSE).await;
+        sleep(FETCH_PAUSE).await;
     }
 }
 
 /// Returns the node with the newest register that has not failed since the last answer: a change
 /// such as a leaving runner must not wait for a node that cannot be reached.
 fn newest(shared: &Shared, failures: &mut Failures) -> Option<(Contact, RosterStatus)> {
-    let mine = shared.knowledge().mark();
+    let mine = shared.register_replica().version();
     let roster = shared.roster();
     let newest = failures.pick(
         || roster.with_newer_register(mine),
@@ -315,9 +316,12 @@
     leaving: Vec<Tag>,
 }
 
-async fn ask(shared: &Shared, peer: SocketAddr) -> Result<Reply<ReceivedRegister>, RpcError> {
+async fn request_difference(
+    shared: &Shared,
+    peer: SocketAddr,
+) -> Result<Reply<ReceivedRegister>, RpcError> {
     let mut client = rpc::connect(peer).await?;
-    let mine = shared.knowledge().mark();
+    let mine = shared.register_replica().version();
     let known = pb::KnowledgeRequest {
         mark: mine.order,
         era: Some(mine.era.0),
@@ -333,30 +337,30 @@
             return Reply::referral(address, peer, shared.me.peer);
         }
         bytes += part.runners.iter().map(|object| object.content.len()).sum::<usize>();
-        let mark = decode_mark(part.mark, part.era, mine.era).map_err(malformed)?;
+        let version = decode_mark(part.mark, part.era, mine.era).map_err(malformed)?;
         for object in part.runners {
-            changes.entries.push(from_wire(object, mark.era).map_err(malformed)?);
+            changes.entries.push(from_wire(object, version.era).map_err(malformed)?);
         }
         if bytes > MAX_ANSWER_BYTES {
-            return Err(RpcError::TooLarge { peer, most: MAX_ANSWER_BYTES });
+            return Err(RpcError::TooLarge { peer, limit: MAX_ANSWER_BYTES });
         }
         if part.last {
             changes.gone = part.gone.into_iter().map(SmolStr::new).collect();
             changes.doubted = part.doubted.into_iter().map(SmolStr::new).collect();
-            (changes.mark, changes.whole) = (mark, part.whole);
+            (changes.version, changes.whole) = (version, part.whole);
             let limits = decode_limits(&part.rate_limits).unwrap_or_else(|error| {
                 log::warn!(peer:% = peer, error:% = error; "invalid rate limits from a node");
                 Vec::new()
             });
             let leaving = part.leaving.into_iter().map(Tag).collect();
-            return Ok(Reply::Whole(ReceivedRegister { difference: changes, limits, leaving }));
+            return Ok(Reply::Complete(ReceivedRegister { difference: changes, limits, leaving }));
         }
     }
 }
 
 fn apply_received(shared: &Shared, received: ReceivedRegister, from: &str) {
     // The sending node is served by the store: what it has removed is not in doubt any more.
-    if received.difference.mark > shared.knowledge().mark() {
+    if received.difference.version > shared.register_replica().version() {
         apply_difference(shared, received.difference, None, "node");
     }
     shared.limiter.apply_gossip(&received.limits, from);
--- a/node/src/serve/quarantine/store.rs
+++ b/node/src/serve/quarantine/store.rs
@@ -34,7 +34,7 @@
             Ok(entry) if shared.quarantine.state().quarantine.apply_entry(entry.clone(), now) => {
                 update_suspects(&shared, &entry);
                 note_stage(&shared, &entry, "kept by the store");
-                shared.beat_now.notify_one();
+                shared.heartbeat_now.notify_one();
             }
             Ok(_) => {}
             Err(error) => {
@@ -49,12 +49,12 @@
     }
 }
 
-/// Writes the confirmed entries again whenever the store has been restored from a copy, until the
+/// Writes the confirmed entries again whenever the store has been restored from a backup, until the
 /// process ends. Each entry is written by its primary counter only.
 pub async fn write_again(shared: Arc<Shared>) {
-    let mut eras = shared.history.subscribe();
+    let mut eras = shared.era_tracker.subscribe();
     while eras.changed().await.is_ok() {
-        if !shared.history.has_come_back() {
+        if !shared.era_tracker.was_restored() {
             continue;
         }
         let confirmed: Vec<Fingerprint> = {
@@ -69,7 +69,7 @@
             count += 1;
         }
         if count > 0 {
-            log::info!(requests = count, era:% = shared.history.era(); "quarantine is written again");
+            log::info!(requests = count, era:% = shared.era_tracker.era(); "quarantine is written again");
         }
     }
 }
--- a/node/src/serve/request.rs
+++ b/node/src/serve/request.rs
@@ -23,9 +23,9 @@
 use tokio::time::timeout;
 
 use crate::account::CheckResult;
-use crate::serve::answer::{Body, Refusal};
+use crate::serve::response::{Body, Refusal};
 use crate::serve::shared::Shared;
-use crate::serve::{follow, generation, plain};
+use crate::serve::{generation, plain, store_watch};
 
 /// When a caller should retry at a node that has no configuration yet.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -43,7 +43,7 @@
     /// The client account that it belongs to, if the configuration has accounts.
     pub account: Option<AccountId>,
     /// The metadata of the request, parsed from the caller's headers.
-    pub ask: CallerHeaders,
+    pub caller_headers: CallerHeaders,
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -56,7 +56,7 @@
     pub fingerprint: Fingerprint,
     /// When its head had been read.
     pub arrived: Instant,
-    /// Its deadline: the caller's, or the route's time-out if that is shorter.
+    /// Its deadline: the caller's, or the route's timeout if that is shorter.
     pub deadline: Instant,
     /// Its size relative to the mean of its route.
     pub size: f64,
@@ -132,12 +132,12 @@
 }
 
 /// Handles a caller's request.
-pub async fn answer(shared: &Arc<Shared>, request: http::Request<Incoming>) -> Response<Body> {
+pub async fn handle(shared: &Arc<Shared>, request: http::Request<Incoming>) -> Response<Body> {
     let arrived = shared.clock.now();
     let (head, body) = request.into_parts();
-    let ask = caller::read_headers(&head.headers);
+    let caller_headers = caller::read_headers(&head.headers);
     let refuse = |refusal: Refusal| {
-        let id = ask.id.as_deref().unwrap_or_default();
+        let id = caller_headers.id.as_deref().unwrap_or_default();
         let version = shared.configuration.load().as_ref().map(|c| c.version).unwrap_or_default();
         let labels = ["", "", "refused", refusal.reason()];
         shared.metrics.requests.with_label_values(&labels).inc();
@@ -145,16 +145,16 @@
             request = id, path = head.uri.path(), version:% = version,
             reason = refusal.reason(), status = refusal.status().as_u16(); "request refused"
         );
-        refusal.answer()
+        refusal.response()
     };
     let Admitted { configuration, route, account } = match admit(shared, &head, arrived).await {
         Ok(admitted) => admitted,
         Err(refusal) => return refuse(refusal),
     };
-    let Some(id) = ask.id.clone() else {
+    let Some(id) = caller_headers.id.clone() else {
         return refuse(Refusal::Malformed);
     };
-    let allowed = ask.deadline.map_or(route.timeout, |d| d.min(route.timeout));
+    let allowed = caller_headers.deadline.map_or(route.timeout, |d| d.min(route.timeout));
     let body = match read_body(body, configuration.limits.body, allowed).await {
         Ok(body) => body,
         Err(refusal) => return refuse(refusal),
@@ -162,15 +162,17 @@
     let draw: f64 = shared.rng().random();
     let service = route.service(draw).clone();
     let known = configuration.service(&service);
-    let size = ask.work.as_ref().map_or(1.0, |work| shared.note_size(&route.name, work.prompt));
-    let waited = ask.deadline.map_or(Duration::ZERO, |d| shared.note_deadline(&route.name, d));
+    let size =
+        caller_headers.work.as_ref().map_or(1.0, |work| shared.note_size(&route.name, work.prompt));
+    let waited =
+        caller_headers.deadline.map_or(Duration::ZERO, |d| shared.note_deadline(&route.name, d));
     let request = Request {
         id,
         size,
         waited,
         engine: known.and_then(|s| s.engine),
         service,
-        ask,
+        caller_headers,
         fingerprint: fingerprint(&head, account.as_ref(), &body),
         account,
         headers: forwarded_headers(&head.headers),
@@ -183,11 +185,11 @@
         configuration,
     };
     shared.note_request(&request.service);
-    let under_way = UnderWay::new(shared);
+    let in_progress = InProgress::new(shared);
     if request.engine.is_some() || request.route.kind.is_stream() {
-        generation::answer(shared, request, under_way).await
+        generation::handle(shared, request, in_progress).await
     } else {
-        plain::answer(shared, &request, under_way).await
+        plain::handle(shared, &request, in_progress).await
     }
 }
 
@@ -238,7 +240,7 @@
     let (outcome, result) = match confirmed {
         CheckResult::Newest => ("newest", Err(Refusal::UnknownKey)),
         CheckResult::Newer(object) => {
-            follow::install(shared, object, None, "check of a key");
+            store_watch::install(shared, object, None, "check of a key");
             ("newer", Ok(()))
         }
         // The other nodes announce a newer configuration as soon as one of them has it.
@@ -280,17 +282,17 @@
 }
 
 /// Counts a request as in progress until dropped.
-pub struct UnderWay(Arc<Shared>);
+pub struct InProgress(Arc<Shared>);
 
-impl UnderWay {
+impl InProgress {
     fn new(shared: &Arc<Shared>) -> Self {
-        shared.metrics.under_way.inc();
+        shared.metrics.in_progress.inc();
         Self(shared.clone())
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InProgress {
     fn drop(&mut self) {
-        self.0.metrics.under_way.dec();
+        self.0.metrics.in_progress.dec();
     }
 }
--- a/node/src/serve/store.rs
+++ b/node/src/serve/store.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's store; each call has a time-out and is counted.
+//! The client of the platform's store; each call has a timeout and is counted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-use crate::history::{EraError, EraTracker};
+use crate::era_tracker::{EraError, EraTracker};
 use crate::serve::connection::{Connections, Incomplete, SendError};
 use crate::serve::metrics::Metrics;
 
@@ -51,7 +51,7 @@
         /// What is wrong with the era.
         source: EraError,
     },
-    /// The store was restored from a copy between the revision that the call builds on and its
+    /// The store was restored from a backup between the revision that the call builds on and its
     /// answer. A write may have replaced other content than intended.
     #[error(
         "{purpose}: the store came back from a copy; the call built on {was}, the answer is of era {era}"
@@ -69,7 +69,7 @@
     Late {
         /// The purpose of the call.
         purpose: Purpose,
-        /// The time-out.
+        /// The timeout.
         limit: Duration,
     },
 }
@@ -112,12 +112,12 @@
     Usage,
 }
 
-/// The time-out for the start of an answer, except to a watch, and between its pieces. The store
+/// The timeout for the start of an answer, except to a watch, and between its pieces. The store
 /// answers in 4 ms (platform data sheets), and in 60 to 75 times that when it is slow. An answer as
-/// a whole has no time-out: a megabyte takes 0.84 s on a link of 10 Mbit/s, and there a read that
+/// a whole has no timeout: a megabyte takes 0.84 s on a link of 10 Mbit/s, and there a read that
 /// is aborted and restarted would never complete.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// The time-out for connecting to the store.
+/// The timeout for connecting to the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The time that a watch may take beyond its wait.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
@@ -128,7 +128,7 @@
 pub struct Client {
     address: SocketAddr,
     connections: Arc<Connections>,
-    history: Arc<EraTracker>,
+    era_tracker: Arc<EraTracker>,
     metrics: Metrics,
 }
 
@@ -137,10 +137,10 @@
     pub fn new(
         address: SocketAddr,
         connections: Arc<Connections>,
-        history: Arc<EraTracker>,
+        era_tracker: Arc<EraTracker>,
         metrics: Metrics,
     ) -> Self {
-        Self { address, connections, history, metrics }
+        Self { address, connections, era_tracker, metrics }
     }
 
     /// Lists all objects of a kind, page by page, and returns the revision of the first page.
@@ -194,7 +194,7 @@
         from: Point,
         wait: Duration,
     ) -> Result<Changes, StoreError> {
-        self.check_era(purpose, from, self.history.era())?;
+        self.check_era(purpose, from, self.era_tracker.era())?;
         let request = store::watch(self.address, kind, from, wait);
         let limit = wait + WATCH_SLACK;
         let changes = self.call(purpose, request, limit, store::read_changes).await?;
@@ -270,7 +270,7 @@
         name: &str,
         content: &serde_json::Value,
     ) -> Result<Object, StoreError> {
-        let was = Point::new(self.history.era(), 0);
+        let was = Point::new(self.era_tracker.era(), 0);
         let request = store::create(self.address, kind, name, content);
         let object = self.call(purpose, request, CALL_TIMEOUT, store::read_object).await?;
         self.check_era(purpose, was, object.at.era)?;
@@ -290,7 +290,7 @@
         was: Point,
         content: &serde_json::Value,
     ) -> Result<Object, StoreError> {
-        if was.era != self.history.era() {
+        if was.era != self.era_tracker.era() {
             return Err(StoreError::Refused { purpose, refused: ResponseError::Conflict(None) });
         }
         let request = store::replace(self.address, kind, name, was, content);
@@ -332,7 +332,7 @@
         let answer = answer.map_err(|source| StoreError::Send { purpose, source })?;
         let read = answer.read_with_idle_timeout(MAX_ANSWER_BYTES, CALL_TIMEOUT).await;
         let (head, body) = read.map_err(|source| StoreError::Broken { purpose, source })?;
-        let era = self.history.note_answer(&head.headers);
+        let era = self.era_tracker.note_answer(&head.headers);
         let era = era.map_err(|source| StoreError::Era { purpose, source })?;
         Ok((era, head.status, body))
     }
--- a/node/src/serve/follow.rs
+++ b/node/src/serve/store_watch.rs
@@ -22,9 +22,9 @@
 use smol_str::SmolStr;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::serve::follower::{Follower, Kind};
-use crate::serve::knowledge::Difference;
+use crate::serve::kind_watch::{Kind, KindWatch};
 use crate::serve::quarantine;
+use crate::serve::register_replica::Difference;
 use crate::serve::shared::Shared;
 use crate::serve::store::Purpose;
 
@@ -38,14 +38,14 @@
 
 /// Watches the configuration until the process ends.
 pub async fn configuration(shared: Arc<Shared>) {
-    let mut follower = Follower::new(shared.clone(), Kind::Configuration);
+    let mut kind_watch = KindWatch::new(shared.clone(), Kind::Configuration);
     loop {
-        follower.wait_until_watching().await;
-        let read = match follower.from {
-            None => follower.list(Purpose::Configuration, config::KIND).await,
+        kind_watch.wait_until_watching().await;
+        let read = match kind_watch.from {
+            None => kind_watch.list(Purpose::Configuration, config::KIND).await,
             Some(from) => {
                 let purpose = Purpose::ConfigurationWatch;
-                let reply = follower.watch(purpose, config::KIND, from).await;
+                let reply = kind_watch.watch(purpose, config::KIND, from).await;
                 reply.map(|reply| {
                     let objects = reply.changes.into_iter().filter_map(|change| match change {
                         Change::Put(object) => Some(object),
@@ -57,16 +57,16 @@
         };
         match read {
             Ok((objects, as_of)) => {
-                follower.note_answer(as_of);
+                kind_watch.note_answer(as_of);
                 tokio::spawn(quarantine::store::read_once(shared.clone()));
                 for object in objects {
                     install(&shared, object, None, "store");
                 }
-                if as_of.era != follower.entry_era {
-                    follower.write_entry().await;
+                if as_of.era != kind_watch.entry_era {
+                    kind_watch.write_entry().await;
                 }
             }
-            Err(error) => follower.back_off(&error).await,
+            Err(error) => kind_watch.back_off(&error).await,
         }
     }
 }
@@ -124,30 +124,30 @@
 
 /// Watches the register of runners until the process ends.
 pub async fn register(shared: Arc<Shared>) {
-    let mut follower = Follower::new(shared.clone(), Kind::Register);
+    let mut kind_watch = KindWatch::new(shared.clone(), Kind::Register);
     let mut next = Instant::now();
     loop {
-        follower.wait_until_watching().await;
-        let result = match follower.from {
+        kind_watch.wait_until_watching().await;
+        let result = match kind_watch.from {
             None => {
-                let listed = follower.list(Purpose::Register, RUNNER_KIND).await;
+                let listed = kind_watch.list(Purpose::Register, RUNNER_KIND).await;
                 listed.map(|(entries, as_of)| (listed_difference(&shared, entries, as_of), as_of))
             }
             Some(from) => {
                 let purpose = Purpose::RegisterWatch;
                 sleep_until(next).await;
                 next = Instant::now() + WATCH_PAUSE;
-                let reply = follower.watch(purpose, RUNNER_KIND, from).await;
+                let reply = kind_watch.watch(purpose, RUNNER_KIND, from).await;
                 reply.map(|reply| (difference(reply.changes, reply.as_of), reply.as_of))
             }
         };
         match result {
             Ok((difference, as_of)) => {
-                follower.note_answer(as_of);
+                kind_watch.note_answer(as_of);
                 let doubt = shared.doubt();
                 apply_difference(&shared, difference, doubt, "store");
             }
-            Err(error) => follower.back_off(&error).await,
+            Err(error) => kind_watch.back_off(&error).await,
         }
     }
 }
@@ -233,15 +233,15 @@
     // A node that knows that there are no runners must count as newer than one that knows nothing.
     // Otherwise nodes of a deployment without runners never receive the register and never become
     // ready.
-    let mark = RegisterVersion::of(if misses { as_of } else { newest }).or_first();
-    Difference { whole: true, entries, mark, ..Difference::default() }
+    let version = RegisterVersion::of(if misses { as_of } else { newest }).or_first();
+    Difference { whole: true, entries, version, ..Difference::default() }
 }
 
-/// Converts the result of a watch to a difference. An empty result does not advance the mark.
+/// Converts the result of a watch to a difference. An empty result does not advance the version.
 pub fn difference(changes: Vec<Change>, as_of: Point) -> Difference {
-    let mark =
+    let version =
         if changes.is_empty() { RegisterVersion::default() } else { RegisterVersion::of(as_of) };
-    let mut difference = Difference { mark, ..Difference::default() };
+    let mut difference = Difference { version, ..Difference::default() };
     for change in changes {
         match change {
             Change::Put(object) => {
@@ -263,7 +263,7 @@
     doubt: Option<std::time::Instant>,
     source: &'static str,
 ) {
-    let before = shared.knowledge().mark();
+    let before = shared.register_replica().version();
     let mut gone = difference.gone;
     if difference.whole {
         let named: HashSet<&SmolStr> = difference.entries.iter().map(|o| &o.name).collect();
@@ -275,7 +275,7 @@
     let remove = |name: &SmolStr, doubt: Option<std::time::Instant>| {
         let Ok(id) = RunnerId::try_from(name.clone()) else { return Changed::None };
         let changed = shared.register().remove(&id, doubt);
-        log_change(&id, changed, difference.mark.point(), source);
+        log_change(&id, changed, difference.version.point(), source);
         changed
     };
     let mut doubted = Vec::new();
@@ -295,9 +295,9 @@
         }
     }
     gone.extend(invalid);
-    shared.knowledge().apply_with_doubts(entries, &gone, &doubted, difference.mark);
+    shared.register_replica().apply_with_doubts(entries, &gone, &doubted, difference.version);
     shared.update_standing();
-    if shared.knowledge().mark() > before {
+    if shared.register_replica().version() > before {
         shared.announce();
     }
 }
@@ -310,7 +310,7 @@
         let expired = shared.register().expire(now);
         if !expired.is_empty() {
             let names: Vec<_> = expired.iter().map(|id| SmolStr::new(id.as_str())).collect();
-            shared.knowledge().apply_expired(&names);
+            shared.register_replica().apply_expired(&names);
             shared.announce();
         }
         for id in expired {
--- a/node/src/serve/transfer.rs
+++ b/node/src/serve/transfer.rs
@@ -1,6 +1,6 @@
 //! Queueing of large transfers to other nodes, and sending their parts.
 //!
-//! Concurrent transfers over a thin link would all exceed their time-outs, so few run at once;
+//! Concurrent transfers over a thin link would all exceed their timeouts, so few run at once;
 //! waiting nodes get keep-alives, or are referred to nodes that have just received a copy.
 
 use std::fmt;
@@ -18,7 +18,7 @@
 
 use crate::serve::rpc::IDLE_TIMEOUT;
 
-/// The keep-alive interval for a waiting node: well within its idle time-out.
+/// The keep-alive interval for a waiting node: well within its idle timeout.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The stream of an answer's parts to the calling node.
@@ -131,13 +131,13 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let turns = {
+        let responses = {
             let mut fanout = self.queue.fanout();
             fanout.retain(|waiter| !waiter.is_closed());
             fanout.end(self.receiver, self.bytes)
         };
-        for (waiter, turn) in turns {
-            let grant = match turn {
+        for (waiter, response) in responses {
+            let grant = match response {
                 Response::Send => Grant::Slot(Slot::new(&self.queue, self.bytes)),
                 Response::Redirect(address) => Grant::Referral(address),
             };
--- a/node/tests/lives.rs
+++ b/node/tests/lives.rs
@@ -6,8 +6,8 @@
 use sardinepick_lib::fleet::cache::Chain;
 use sardinepick_lib::history::Point;
 use sardinepick_lib::id::RunnerId;
-use sardinepick_node::serve::follow::{apply_difference, difference};
 use sardinepick_node::serve::shared::Shared;
+use sardinepick_node::serve::store_watch::{apply_difference, difference};
 use sardinepick_platform::store::{Change, Object};
 use sardinepick_testutils::cluster::{free_address, own_ip, wait_until};
 use sardinepick_testutils::fleet::caller::RequestSpec;
@@ -288,12 +288,12 @@
     entry["state"] = json!("draining");
     let leaves = Object {
         name: runner.id.clone().into(),
-        at: Point::new(shared.history.era(), 1_000),
+        at: Point::new(shared.era_tracker.era(), 1_000),
         content: entry.to_string().into(),
     };
     let changes = vec![Change::Put(leaves), Change::Removed(runner.id.clone().into())];
     let doubt = Some(shared.clock.now() + Duration::from_secs(60));
-    let as_of = Point::new(shared.history.era(), 1_001);
+    let as_of = Point::new(shared.era_tracker.era(), 1_001);
     apply_difference(shared, difference(changes, as_of), doubt, "store");
     assert!(shared.register().get(&id(runner)).is_none(), "it has said that it leaves");
 }
--- a/node/tests/serve.rs
+++ b/node/tests/serve.rs
@@ -350,7 +350,8 @@
     }
     set.store.set_fault(Fault::None);
     wait_until("the node keeps both runners", async || {
-        shared.knowledge().entries() == 2 && shared.register().expire(shared.clock.now()).is_empty()
+        shared.register_replica().entries() == 2
+            && shared.register().expire(shared.clock.now()).is_empty()
     })
     .await;
     assert_eq!(set.send_default("/board/a", "r1").await.status, Some(StatusCode::OK));
--- a/node/tests/store_copy.rs
+++ b/node/tests/store_copy.rs
@@ -134,7 +134,7 @@
         .await;
     }
     set.store.clear_era_override();
-    assert!(set.nodes.iter().all(|node| node.shared.history.era().0 == 1));
+    assert!(set.nodes.iter().all(|node| node.shared.era_tracker.era().0 == 1));
 }
 
 /// Guards against responses of an earlier era that are accepted, and against a node that refuses all
@@ -182,7 +182,7 @@
     set.store.put("config", "main", &with_accounts(3, &[("kitchen", &["key-1"], None)]));
     wait_in_force(&set, 3).await;
     set.store.restore(&backup);
-    let eras = || set.nodes.iter().map(|node| node.shared.history.era().0);
+    let eras = || set.nodes.iter().map(|node| node.shared.era_tracker.era().0);
     wait_until("all nodes know the era", async || eras().all(|era| era == 2)).await;
     assert_eq!(send_with_key(&set, "r1", "key-1").await, Some(StatusCode::OK));
     assert_eq!(send_with_key(&set, "r2", "key-2").await, Some(StatusCode::UNAUTHORIZED));
@@ -276,7 +276,7 @@
     let era = set.store.era();
     assert_eq!(era, 4);
     wait_until("all nodes know the era", async || {
-        set.nodes.iter().all(|node| u64::from(node.shared.history.era().0) == era)
+        set.nodes.iter().all(|node| u64::from(node.shared.era_tracker.era().0) == era)
     })
     .await;
 }
@@ -289,7 +289,7 @@
     let backup = set.store.backup();
     set = set.with_plain(3).await.with_nodes(3).await;
     let lost = set.store.restore(&backup);
-    let eras = || set.nodes.iter().map(|node| node.shared.history.era().0);
+    let eras = || set.nodes.iter().map(|node| node.shared.era_tracker.era().0);
     wait_until("all nodes know the era", async || eras().all(|era| era == 2)).await;
     for n in 0..30 {
         let response = set.send(n % 3, &RequestSpec::new("/board/a", &format!("r{n}"))).await;
