--- a/lib/src/fleet/engine.rs
+++ b/lib/src/fleet/engine.rs
@@ -121,10 +121,9 @@
 /// The gain of the pace for a prompt whose prefill is long: half of a lasting change is learned
 /// after seven answers. The gain of a shorter prefill is reduced in proportion to
 /// [`FULL_GAIN_PREFILL`], as most of its error stems from the wait and the startup latency. With
-/// the same gain for all, a runner that had stalled once counted as slow and its neighbours were
-/// overloaded (on a fleet of 20 runners that lost a third of them, the value of the answers was
-/// 0.42 instead of 0.58); with a low gain for all, long prompts were started on slow engines where
-/// no caller could wait for them.
+/// the same gain for all, a runner that stalls once would count as slow and its neighbours would be
+/// overloaded; with a low gain for all, long prompts would be started on slow engines where no
+/// caller can wait for them.
 const PACE_GAIN: f64 = 0.1;
 /// The prefill time from which an answer has the full gain, in seconds: several times the startup
 /// latency and a usual wait.
--- a/lib/src/fleet/placement.rs
+++ b/lib/src/fleet/placement.rs
@@ -78,8 +78,8 @@
 }
 
 /// The weight of the prefill time in the cost of a placement, for the delay that the work causes
-/// for other requests. With 2 instead of 1, one fifth fewer tokens are prefilled again, and the
-/// value of the answers on the second of the two reference deployments rises by 0.03.
+/// for other requests. With a lower weight, more prompts are prefilled again at a less loaded runner
+/// instead of waiting for one that has them cached.
 const QUEUEING_WEIGHT: f64 = 2.0;
 /// The cost of a runner at a failure rate of 1, in seconds: a failure counts as one lost second.
 const FAILURE_COST: f64 = 1.0;
--- a/lib/src/fleet/timeout.rs
+++ b/lib/src/fleet/timeout.rs
@@ -24,8 +24,8 @@
 /// `left` remaining of the request's time.
 ///
 /// Late work is bounded only by its remaining time: it waits behind more urgent work that arrives
-/// later, which no prediction can include. In a burst on a fleet of 140 small runners, nine in ten
-/// of the prefills that were given up were late work.
+/// later, which no prediction can include. With a timeout based on the prediction, most of the
+/// prefills given up in a burst would be late work.
 pub fn prefill(class: Class, predicted: f64, left: Duration) -> Duration {
     if class == Class::LATE {
         return left;
