--- a/node/tests/copy.rs
+++ b/node/tests/copy.rs
@@ -9,8 +9,8 @@
 use sardinepick_node::serve::metrics::Metrics;
 use sardinepick_node::serve::run::{self, Running};
 use sardinepick_testutils::cluster::{free_address, own_ip, wait_until};
-use sardinepick_testutils::fleet::beat;
 use sardinepick_testutils::fleet::deployment::{Deployment, large_configuration, settings};
+use sardinepick_testutils::fleet::heartbeat;
 use sardinepick_testutils::fleet::store::Fault;
 use sardinepick_wire::fleet as pb;
 use sardinepick_wire::fleet::fleet_server::{Fleet, FleetServer};
@@ -110,7 +110,7 @@
     let server =
         tonic::transport::Server::builder().add_service(FleetServer::new(FaultyPeer(fault)));
     tokio::spawn(server.serve_with_incoming(TcpListenerStream::new(listener)));
-    let heartbeat = beat::ready(name.parse().expect("a name"), address, ConfigVersion(2));
+    let heartbeat = heartbeat::ready(name.parse().expect("a name"), address, ConfigVersion(2));
     let socket = UdpSocket::bind(address).await.expect("a free address");
     tokio::spawn(async move {
         while socket.send_to(&heartbeat.encode(), receiver).await.is_ok() {
--- a/node/tests/scheduler.rs
+++ b/node/tests/scheduler.rs
@@ -12,9 +12,9 @@
 use sardinepick_lib::fleet::scheduler::{Decision, Step, choose_scheduler};
 use sardinepick_lib::id::{ConfigVersion, NodeId, RunnerId, ServiceId};
 use sardinepick_testutils::cluster::{free_address, own_ip, wait_until};
-use sardinepick_testutils::fleet::beat;
 use sardinepick_testutils::fleet::caller::RequestSpec;
 use sardinepick_testutils::fleet::deployment::{Deployment, MODEL_SERVICE, PLAIN_SERVICE};
+use sardinepick_testutils::fleet::heartbeat;
 use sardinepick_testutils::fleet::runner::Runner;
 use sardinepick_testutils::fleet::signal::Signals;
 use sardinepick_wire::schedule::Schedule;
@@ -92,14 +92,14 @@
 ) -> mpsc::UnboundedReceiver<()> {
     let address = free_address(own_ip());
     let socket = UdpSocket::bind(address).await.expect("a free address");
-    let beat = beat::ready(id_of_scheduler(node), address, ConfigVersion(0));
+    let heartbeat = heartbeat::ready(id_of_scheduler(node), address, ConfigVersion(0));
     let (asked, questions) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         let mut buffer = [0; 2_048];
         loop {
             tokio::select! {
                 () = sleep(Duration::from_millis(50)) => {
-                    let _ = socket.send_to(&beat.encode(), peer).await;
+                    let _ = socket.send_to(&heartbeat.encode(), peer).await;
                 }
                 Ok((length, from)) = socket.recv_from(&mut buffer) => {
                     let Ok(Schedule::Question { number, ask, .. }) =
--- a/testutils/src/fleet/beat.rs
+++ b/testutils/src/fleet/heartbeat.rs
@@ -1,4 +1,4 @@
-//! A minimal beat as another implementation of a node may send it: ready, with no optional content.
+//! A minimal heartbeat as another implementation of a node may send it: ready, with no optional content.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 use crate::fleet::deployment::DEFAULT_DATA_CENTRE;
 
-/// The beat of a ready node that uses `address` both for callers and for nodes and has the
+/// The heartbeat of a ready node that uses `address` both for callers and for nodes and has the
 /// configuration `version`.
 pub fn ready(id: NodeId, address: SocketAddr, version: ConfigVersion) -> Heartbeat {
     let contact = Contact {
--- a/testutils/src/fleet/mod.rs
+++ b/testutils/src/fleet/mod.rs
@@ -1,11 +1,11 @@
-//! Fakes of the users' platform, which speak its published protocol: the object store, runners of
-//! plain services and model engines, callers, and the beat of a node.
+//! Fakes of the platform, which speak its published protocol: the object store, runners of plain
+//! services and model engines, callers, and the heartbeat of a node.
 
-pub mod beat;
 pub mod caller;
 pub mod crash_soak;
 pub mod crashing_runner;
 pub mod deployment;
+pub mod heartbeat;
 pub mod link;
 pub mod platform;
 pub mod proxy;
