--- a/lib/tests/budget_model.rs
+++ b/lib/tests/budget_model.rs
@@ -1,5 +1,5 @@
 //! Model check of the retry budget with two nodes, explored exhaustively: every order of bursts of
-//! requests, retry storms, restarts and idle periods, checked against the users' bound in every
+//! requests, retry storms, restarts and idle periods, checked against the platform's bound in every
 //! window. Callers pick nodes at random, so a burst reaches both.
 //!
 //! Two broken variants of the budget are explored as well, and must be caught: one that counts only
--- a/lib/tests/limit.rs
+++ b/lib/tests/limit.rs
@@ -115,9 +115,9 @@
     assert!(!limit.is_open(now + 999 * MS), "no permit is left");
 }
 
-/// Guards against nodes that all ask again at the same time.
+/// Guards against nodes that all retry at the same time.
 #[test]
-fn grant_many_ask_different_waits() {
+fn grant_many_nodes_different_waits() {
     let now = Instant::now();
     let mut limit = limited("2", now);
     let waits: Vec<_> =
@@ -153,24 +153,25 @@
 }
 
 proptest! {
-    /// Guards against exceeding the users' bound: in any 4 s at most one and a half times the rate,
-    /// and five, whatever the sequence of requests, and while two nodes grant permits for 1 s.
+    /// Guards against exceeding the platform's bound: in any 4 s at most one and a half times the
+    /// rate, and five, whatever the sequence of requests, and while two nodes grant permits for
+    /// 1 s.
     #[test]
-    fn grant_any_asking_rate_kept(
+    fn grant_any_requests_rate_kept(
         tenths in 3_u32..500,
-        asks in prop::collection::vec((0_u64..12_000, 0_u64..3_000), 1..2_000),
+        requests in prop::collection::vec((0_u64..12_000, 0_u64..3_000), 1..2_000),
         takes_over in 0_u64..12_000,
     ) {
         let now = Instant::now();
         let text = format!("{}.{}", tenths / 10, tenths % 10);
         let mut grantors = [limited(&text, now), limited(&text, now)];
         // Some tokens are reserved up to a second before they are used, or are never used.
-        let ask = |(n, (at, _)): (usize, &(u64, u64))| (*at, n, false);
+        let request = |(n, (at, _)): (usize, &(u64, u64))| (*at, n, false);
         let reserve = |(n, (at, lead)): (usize, &(u64, u64))| {
             (*lead < 1_000).then(|| (at.saturating_sub(*lead), n, true))
         };
-        let mut events: Vec<_> = asks.iter().enumerate().map(ask).collect();
-        events.extend(asks.iter().enumerate().filter_map(reserve));
+        let mut events: Vec<_> = requests.iter().enumerate().map(request).collect();
+        events.extend(requests.iter().enumerate().filter_map(reserve));
         events.sort_unstable();
         let mut granted = Vec::new();
         for (at, n, reserves) in events {
@@ -220,6 +221,6 @@
     assert!((most / 2..=most).contains(&granted.len()), "{} permits", granted.len());
     let each = queries as f64 / SECONDS as f64 / NODES as f64;
     assert!(each < 0.8, "{each} queries per second and node");
-    let users: std::collections::BTreeSet<_> = granted.iter().collect();
-    assert!(users.len() > granted.len() / 2, "{} nodes use the rate", users.len());
+    let granted_nodes: std::collections::BTreeSet<_> = granted.iter().collect();
+    assert!(granted_nodes.len() > granted.len() / 2, "{} nodes use the rate", granted_nodes.len());
 }
--- a/node/tests/lives.rs
+++ b/node/tests/lives.rs
@@ -27,11 +27,11 @@
     register.get(&id(runner)).is_some_and(|known| known.entry.address == runner.address())
 }
 
-async fn restart(set: &mut Deployment, at: usize) {
+async fn restart(deployment: &mut Deployment, at: usize) {
     let address = free_address(own_ip());
-    let restarted = set.runners[at].restart(address).await.expect("a free address");
-    set.runners[at] = restarted;
-    let (node, runner) = (&set.nodes[0].shared, &set.runners[at]);
+    let restarted = deployment.runners[at].restart(address).await.expect("a free address");
+    deployment.runners[at] = restarted;
+    let (node, runner) = (&deployment.nodes[0].shared, &deployment.runners[at]);
     wait_until("the node knows the new incarnation", async || address_known(node, runner)).await;
 }
 
@@ -40,17 +40,17 @@
 /// are sent there for prompts that it must read again.
 #[tokio::test]
 async fn restarted_runner_has_empty_cache() {
-    let mut set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
-    let ask = RequestSpec { headers: &GENERATION, ..RequestSpec::new("/count/a", "s1") };
-    assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::OK));
-    let shared = set.nodes[0].shared.clone();
+    let mut deployment = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
+    let request = RequestSpec { headers: &GENERATION, ..RequestSpec::new("/count/a", "s1") };
+    assert_eq!(deployment.send(0, &request).await.status, Some(StatusCode::OK));
+    let shared = deployment.nodes[0].shared.clone();
     let cached_tokens =
         |runner: &Runner| shared.register().get(&id(runner)).map(|r| r.cache.tokens());
-    assert!(cached_tokens(&set.runners[0]).is_some_and(|tokens| tokens >= 1_460));
-    restart(&mut set, 0).await;
-    assert_eq!(cached_tokens(&set.runners[0]), Some(0));
-    let ask = RequestSpec { headers: &GENERATION, ..RequestSpec::new("/count/a", "s2") };
-    assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::OK));
+    assert!(cached_tokens(&deployment.runners[0]).is_some_and(|tokens| tokens >= 1_460));
+    restart(&mut deployment, 0).await;
+    assert_eq!(cached_tokens(&deployment.runners[0]), Some(0));
+    let request = RequestSpec { headers: &GENERATION, ..RequestSpec::new("/count/a", "s2") };
+    assert_eq!(deployment.send(0, &request).await.status, Some(StatusCode::OK));
 }
 
 /// Guards against a restarted runner that is avoided, or believed idle while it works. Requests
@@ -58,14 +58,14 @@
 /// Their ends and failures must not be counted against the new incarnation.
 #[tokio::test]
 async fn previous_incarnation_does_not_affect_new_one() {
-    let mut set = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
-    set.runners[0].set_faults(Faults { hang: true, ..Faults::default() });
-    let shared = set.nodes[0].shared.clone();
-    let previous = set.runners[0].clone();
-    let front = set.front(0);
-    let asks: Vec<_> = (0..4)
+    let mut deployment = Deployment::new().await.with_plain(1).await.with_nodes(1).await;
+    deployment.runners[0].set_faults(Faults { hang: true, ..Faults::default() });
+    let shared = deployment.nodes[0].shared.clone();
+    let previous = deployment.runners[0].clone();
+    let front = deployment.front(0);
+    let requests: Vec<_> = (0..4)
         .map(|n| {
-            let caller = set.caller.clone();
+            let caller = deployment.caller.clone();
             let name = format!("egg-{n}");
             tokio::spawn(async move {
                 caller.send(front, &RequestSpec::new("/eggs/order", &name)).await
@@ -78,14 +78,14 @@
     let mut entry = previous.entry();
     entry["born"] = json!(entry["born"].as_u64().expect("a number") + 1);
     entry["address"] = json!(address.to_string());
-    set.store.put("servers", &previous.id, &entry);
+    deployment.store.put("servers", &previous.id, &entry);
     wait_until("the node knows the new incarnation", async || {
         shared.register().get(&id(&previous)).is_some_and(|r| r.entry.address == address)
     })
     .await;
-    set.runners[0] = previous.restart(address).await.expect("a free address");
-    for ask in asks {
-        let answer = ask.await.expect("the request ends");
+    deployment.runners[0] = previous.restart(address).await.expect("a free address");
+    for request in requests {
+        let answer = request.await.expect("the request ends");
         assert_eq!(answer.status, Some(StatusCode::BAD_GATEWAY), "the request may have run");
     }
     {
@@ -93,8 +93,8 @@
         let runner = register.get(&id(&previous)).expect("known");
         assert!(runner.own.is_empty() && runner.health.failure_rate() == 0.0);
     }
-    assert_eq!(set.send_default("/eggs/order", "egg-9").await.status, Some(StatusCode::OK));
-    assert_eq!(set.runners[0].run_count("egg-9"), 1);
+    assert_eq!(deployment.send_default("/eggs/order", "egg-9").await.status, Some(StatusCode::OK));
+    assert_eq!(deployment.runners[0].run_count("egg-9"), 1);
 }
 
 /// Guards against requests to an address where no runner listens. A runner restarts at another
@@ -102,23 +102,23 @@
 /// the latest incarnation.
 #[tokio::test]
 async fn late_entry_of_previous_incarnation_ignored() {
-    let mut set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    let late = set.runners[0].entry();
-    restart(&mut set, 0).await;
-    set.store.put("servers", &set.runners[0].id, &late);
+    let mut deployment = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
+    let late = deployment.runners[0].entry();
+    restart(&mut deployment, 0).await;
+    deployment.store.put("servers", &deployment.runners[0].id, &late);
     // A change that the node applies after the late entry.
-    set.runners[1].drain();
-    let shared = set.nodes[0].shared.clone();
+    deployment.runners[1].drain();
+    let shared = deployment.nodes[0].shared.clone();
     wait_until("the node has seen both", async || {
         let now = shared.clock.now();
-        shared.register().get(&id(&set.runners[1])).is_some_and(|r| !r.takes_work(now))
+        shared.register().get(&id(&deployment.runners[1])).is_some_and(|r| !r.takes_work(now))
     })
     .await;
-    assert!(address_known(&shared, &set.runners[0]));
+    assert!(address_known(&shared, &deployment.runners[0]));
     for n in 0..4 {
         let name = format!("r{n}");
-        assert_eq!(set.send_default("/board/a", &name).await.status, Some(StatusCode::OK));
-        assert_eq!(set.runners[0].run_count(&name), 1);
+        assert_eq!(deployment.send_default("/board/a", &name).await.status, Some(StatusCode::OK));
+        assert_eq!(deployment.runners[0].run_count(&name), 1);
     }
 }
 
@@ -127,18 +127,18 @@
 /// must query them.
 #[tokio::test]
 async fn all_nodes_restarted_cached_prompts_known() {
-    let mut set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
+    let mut deployment = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let headers =
         [("model", "m"), ("token-count", "9400,80"), ("prompt-prefix", "5c1e:9000,e440:400")];
-    let ask = RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", "s1") };
-    assert_eq!(set.send(0, &ask).await.status, Some(StatusCode::OK));
-    set.nodes.remove(0).stop().await;
-    set.add_node("edge-7", Vec::new()).await;
-    let shared = set.nodes[0].shared.clone();
+    let request = RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", "s1") };
+    assert_eq!(deployment.send(0, &request).await.status, Some(StatusCode::OK));
+    deployment.nodes.remove(0).stop().await;
+    deployment.add_node("edge-7", Vec::new()).await;
+    let shared = deployment.nodes[0].shared.clone();
     let chain = Chain::new("m", [("5c1e", 9_000), ("other", 10)].into_iter());
     wait_until("the new node knows the cached prompts", async || {
         let register = shared.register();
-        let runner = register.get(&id(&set.runners[0]));
+        let runner = register.get(&id(&deployment.runners[0]));
         runner.is_some_and(|r| r.cache.fetchable(&chain) == 9_000)
     })
     .await;
@@ -185,22 +185,22 @@
 /// entries that are ignored beside it. An invalid entry must remove what was known under its id.
 #[tokio::test]
 async fn invalid_entry_removes_runner() {
-    let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    let shared = set.nodes[0].shared.clone();
-    let replaced = set.runners[0].clone();
+    let deployment = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
+    let shared = deployment.nodes[0].shared.clone();
+    let replaced = deployment.runners[0].clone();
     for (n, entry) in invalid_entries(&replaced.entry()).into_iter().enumerate() {
-        set.store.put("servers", &replaced.id, &entry);
+        deployment.store.put("servers", &replaced.id, &entry);
         wait_until("the runner is not used", async || {
             shared.register().get(&id(&replaced)).is_none()
         })
         .await;
         let name = format!("r{n}");
         assert_eq!(
-            set.send_default("/board/a", &name).await.status,
+            deployment.send_default("/board/a", &name).await.status,
             Some(StatusCode::OK),
             "{entry:.80}"
         );
-        assert_eq!(set.runners[1].run_count(&name), 1);
+        assert_eq!(deployment.runners[1].run_count(&name), 1);
         replaced.write_entry();
         wait_until("its own entry is used again", async || address_known(&shared, &replaced)).await;
     }
@@ -211,20 +211,20 @@
 /// The same for a node that lists all entries, including entries under invalid ids.
 #[tokio::test]
 async fn list_with_invalid_entries_valid_ones_used() {
-    let mut set = Deployment::new().await.with_plain(3).await;
-    let valid = set.runners[0].entry();
+    let mut deployment = Deployment::new().await.with_plain(3).await;
+    let valid = deployment.runners[0].entry();
     // Without `born` an entry under another id looks like that of a runner that does not report it.
     let entries =
         invalid_entries(&valid).into_iter().filter(|e| e["born"].is_u64() || !e["seq"].is_u64());
     for (n, entry) in entries.enumerate() {
-        set.store.put("servers", &format!("x-{n}"), &entry);
+        deployment.store.put("servers", &format!("x-{n}"), &entry);
     }
     let long = "n".repeat(300);
     for name in ["", " ", "../..", "a b%", "\u{1F41F}", &long] {
-        set.store.put("servers", name, &json!({"state": "ready"}));
+        deployment.store.put("servers", name, &json!({"state": "ready"}));
     }
-    set = set.with_nodes(1).await;
-    assert_eq!(set.send_default("/board/a", "r1").await.status, Some(StatusCode::OK));
+    deployment = deployment.with_nodes(1).await;
+    assert_eq!(deployment.send_default("/board/a", "r1").await.status, Some(StatusCode::OK));
 }
 
 /// Guards against an order to a runner that may still carry out another one. An order gets no
@@ -232,8 +232,8 @@
 /// unanswered order must outlast the incarnation that it was for.
 #[tokio::test]
 async fn order_in_doubt_outlasts_incarnation() {
-    let mut set = Deployment::new().await.with_engines(1, 5).await.with_nodes(1).await;
-    for runner in &set.runners {
+    let mut deployment = Deployment::new().await.with_engines(1, 5).await.with_nodes(1).await;
+    for runner in &deployment.runners {
         runner.set_faults(Faults { drop_order_response: true, ..Faults::default() });
     }
     let headers =
@@ -241,15 +241,19 @@
     wait_until("an order is given", async || {
         for n in 0..6 {
             let name = format!("big-{n}");
-            set.send(0, &RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", &name) })
+            deployment
+                .send(0, &RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", &name) })
                 .await;
         }
-        set.runners.iter().any(|runner| !runner.orders().is_empty())
+        deployment.runners.iter().any(|runner| !runner.orders().is_empty())
     })
     .await;
-    let at =
-        set.runners.iter().position(|r| !r.orders().is_empty()).expect("a runner has an order");
-    restart(&mut set, at).await;
+    let at = deployment
+        .runners
+        .iter()
+        .position(|r| !r.orders().is_empty())
+        .expect("a runner has an order");
+    restart(&mut deployment, at).await;
     // Long enough for several evaluations of the demand, and shorter than an order may stay in
     // doubt.
     let until = tokio::time::Instant::now() + Duration::from_secs(3);
@@ -258,10 +262,10 @@
             break;
         }
         let name = format!("more-{n}");
-        let ask = RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", &name) };
-        set.send(0, &ask).await;
+        let request = RequestSpec { headers: &headers, ..RequestSpec::new("/count/a", &name) };
+        deployment.send(0, &request).await;
     }
-    assert_eq!(set.runners[at].orders(), []);
+    assert_eq!(deployment.runners[at].orders(), []);
 }
 
 /// Guards against nodes that never become ready. A deployment starts before its runners, and three
@@ -269,8 +273,8 @@
 /// none, the other nodes never receive it.
 #[tokio::test]
 async fn nodes_without_runners_all_ready() {
-    let set = Deployment::new().await.with_nodes(5).await;
-    for node in &set.nodes {
+    let deployment = Deployment::new().await.with_nodes(5).await;
+    for node in &deployment.nodes {
         assert!(node.shared.is_ready());
     }
 }
@@ -281,9 +285,9 @@
 /// request 5 s later.
 #[tokio::test]
 async fn difference_leaving_and_gone_together_not_doubted() {
-    let set = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
-    let shared = &set.nodes[0].shared;
-    let runner = &set.runners[0];
+    let deployment = Deployment::new().await.with_plain(2).await.with_nodes(1).await;
+    let shared = &deployment.nodes[0].shared;
+    let runner = &deployment.runners[0];
     let mut entry = runner.entry();
     entry["state"] = json!("draining");
     let leaves = Object {
--- a/node/tests/register_replica.rs
+++ b/node/tests/register_replica.rs
@@ -73,9 +73,9 @@
 
 /// Guards against requests to a runner that has left. After a store outage, a node that watches the
 /// store finds an entry missing and doubts it. If it announces its new version without the doubt,
-/// the other nodes consider their register up to date and ask no other node.
+/// the other nodes consider their register up to date and request no difference.
 #[test]
-fn since_doubt_told_with_its_mark() {
+fn since_doubt_sent_with_its_version() {
     let mut sender = RegisterReplica::default();
     sender.apply(vec![object(1, 5), object(2, 6)], &[], RegisterVersion::of(Point::without_era(6)));
     sender.apply_with_doubts(
@@ -98,7 +98,7 @@
 /// Guards against a change with an earlier version, as from a store that was restored from a copy,
 /// that is never sent to other nodes.
 #[test]
-fn since_change_under_earlier_mark_told() {
+fn since_change_with_earlier_version_sent() {
     let mut sender = RegisterReplica::default();
     sender.apply(
         vec![object(1, 5), object(2, 100)],
@@ -109,5 +109,5 @@
     sender.apply(vec![object(1, 60)], &[], RegisterVersion::of(Point::without_era(60)));
     let difference = sender.since(known);
     assert_eq!(difference.entries, [object(1, 60)]);
-    assert!(difference.version > known, "the announced version makes a node ask");
+    assert!(difference.version > known, "the announced version makes a node request it");
 }
