--- a/node/src/serve/scheduler.rs
+++ b/node/src/serve/scheduler.rs
@@ -269,7 +269,7 @@
 async fn query_node(shared: &Shared, peer: SocketAddr, query: &Query) -> Option<Option<Decision>> {
     let (number, answer) = shared.scheduling.state().queries.register();
     let message =
-        Schedule::Question { number, node: shared.me.id.clone(), ask: Box::new(query.clone()) };
+        Schedule::Query { number, node: shared.me.id.clone(), query: Box::new(query.clone()) };
     transmit(shared, peer, &message).await;
     let answer = timeout(REPLY_TIMEOUT, answer).await;
     shared.scheduling.state().queries.cancel(number);
@@ -290,7 +290,7 @@
 pub async fn receive(shared: &Arc<Shared>, from: SocketAddr, bytes: &[u8]) {
     shared.metrics.schedule_bytes.with_label_values(&["received"]).inc_by(bytes.len() as u64);
     match Schedule::decode(bytes) {
-        Ok(Schedule::Question { number, node, ask: query }) => {
+        Ok(Schedule::Query { number, node, query }) => {
             let decision = decide_for_node(shared, &node, &query);
             transmit(shared, from, &Schedule::Answer { number, decision }).await;
         }
--- a/node/tests/scheduler.rs
+++ b/node/tests/scheduler.rs
@@ -32,7 +32,7 @@
     Silent,
     /// It answers after the node's time-out.
     Late(RunnerId),
-    /// It answers each question twice.
+    /// It answers each query twice.
     Twice(RunnerId),
     /// It names this runner, whatever the node knows of it.
     FixedRunner(RunnerId),
@@ -84,7 +84,7 @@
 }
 
 /// Adds a node that sends normal heartbeats and schedules as `behaviour` says. Reports each
-/// question.
+/// query.
 async fn add_faulty_scheduler(
     node: &NodeId,
     peer: SocketAddr,
@@ -93,7 +93,7 @@
     let address = free_address(own_ip());
     let socket = UdpSocket::bind(address).await.expect("a free address");
     let heartbeat = heartbeat::ready(id_of_scheduler(node), address, ConfigVersion(0));
-    let (asked, questions) = mpsc::unbounded_channel();
+    let (asked, queries) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         let mut buffer = [0; 2_048];
         loop {
@@ -102,20 +102,20 @@
                     let _ = socket.send_to(&heartbeat.encode(), peer).await;
                 }
                 Ok((length, from)) = socket.recv_from(&mut buffer) => {
-                    let Ok(Schedule::Question { number, ask, .. }) =
+                    let Ok(Schedule::Query { number, query, .. }) =
                         Schedule::decode(&buffer[..length]) else { continue };
                     let _ = asked.send(());
                     if let Behaviour::Late(_) = behaviour {
                         sleep(Duration::from_millis(120)).await;
                     }
-                    for answer in answers(&behaviour, number, &ask.step) {
+                    for answer in answers(&behaviour, number, &query.step) {
                         let _ = socket.send_to(&answer, from).await;
                     }
                 }
             }
         }
     });
-    questions
+    queries
 }
 
 /// Sends generations to a node whose scheduler has this behaviour; returns how often it was asked.
@@ -123,8 +123,7 @@
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let shared = set.nodes[0].shared.clone();
     let behaviour = behaviour(&set.runners);
-    let mut questions =
-        add_faulty_scheduler(&shared.me.id, shared.me.peer, behaviour.clone()).await;
+    let mut queries = add_faulty_scheduler(&shared.me.id, shared.me.peer, behaviour.clone()).await;
     wait_until("the faulty scheduler is known", async || {
         shared.roster().ready_contacts().len() == 1
     })
@@ -143,7 +142,7 @@
         }
     }
     let mut count = 0;
-    while questions.try_recv().is_ok() {
+    while queries.try_recv().is_ok() {
         count += 1;
     }
     assert!(count > 0, "the scheduler was asked");
@@ -159,7 +158,7 @@
 #[tokio::test]
 async fn decide_scheduler_silent_node_places_and_passes_it_over() {
     let asked = serve_with_scheduler(|_| Behaviour::Silent).await;
-    // Two questions for the first request, then none for a while.
+    // Two queries for the first request, then none for a while.
     assert!(asked <= 6, "asked {asked} times without an answer");
 }
 
@@ -192,7 +191,7 @@
     let set = Deployment::new().await.with_engines(1, 2).await.with_nodes(1).await;
     let shared = set.nodes[0].shared.clone();
     let leaving = decoder(&set.runners);
-    let _questions = add_faulty_scheduler(
+    let _queries = add_faulty_scheduler(
         &shared.me.id,
         shared.me.peer,
         Behaviour::FixedRunner(leaving.clone()),
@@ -242,7 +241,7 @@
     });
     shared.limiter.apply_gossip(&announced, "another node");
     let behaviour = Behaviour::FixedRunner(decoder(&set.runners));
-    let _questions = add_faulty_scheduler(&shared.me.id, shared.me.peer, behaviour).await;
+    let _queries = add_faulty_scheduler(&shared.me.id, shared.me.peer, behaviour).await;
     wait_until("the faulty scheduler is known", async || {
         shared.roster().ready_contacts().len() == 1
     })
--- a/wire/src/schedule.rs
+++ b/wire/src/schedule.rs
@@ -38,17 +38,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Schedule {
     /// Asks where to run a request.
-    Question {
-        /// The number of the question, unique at the asking node.
+    Query {
+        /// The number of the query, unique at the requesting node.
         number: u64,
-        /// The asking node.
+        /// The requesting node.
         node: NodeId,
         /// The request to place.
-        ask: Box<Query>,
+        query: Box<Query>,
     },
-    /// Answers a [`Schedule::Question`].
+    /// Answers a [`Schedule::Query`].
     Answer {
-        /// The number of the question.
+        /// The number of the query.
         number: u64,
         /// The decision, or `None` if the answering node does not know the service.
         decision: Option<Decision>,
@@ -57,7 +57,7 @@
     Report(Report),
     /// Reports a runner termination to the node that counts them for the request.
     Ended {
-        /// The number of the question, unique at the reporting node.
+        /// The number of the datagram, unique at the reporting node.
         number: u64,
         /// The fingerprint of the request.
         request: Fingerprint,
@@ -66,23 +66,23 @@
     },
     /// Answers a [`Schedule::Ended`].
     Counted {
-        /// The number of the question.
+        /// The number of the datagram that it answers.
         number: u64,
         /// The number of terminations counted against the request.
         ends: u32,
     },
     /// Asks for a permit to send a request to a runner with a rate limit.
     Acquire {
-        /// The number of the question, unique at the asking node.
+        /// The number of the datagram, unique at the requesting node.
         number: u64,
-        /// The limit as the asking node knows it.
+        /// The limit as the requesting node knows it.
         limit: LimitReport,
     },
     /// Answers a [`Schedule::Acquire`].
     Acquired {
-        /// The number of the question.
+        /// The number of the datagram that it answers.
         number: u64,
-        /// How long to wait before asking again, or `None` if the permit is granted.
+        /// How long to wait before the next attempt, or `None` if the permit is granted.
         wait: Option<Duration>,
     },
 }
@@ -104,8 +104,8 @@
     /// Encodes the datagram.
     pub fn encode(&self) -> Vec<u8> {
         let body = match self {
-            Schedule::Question { number, node, ask } => {
-                pb::schedule::Body::Question(encode_question(*number, node, ask))
+            Schedule::Query { number, node, query } => {
+                pb::schedule::Body::Question(encode_query(*number, node, query))
             }
             Schedule::Answer { number, decision } => pb::schedule::Body::Answer(pb::Answer {
                 number: *number,
@@ -153,7 +153,7 @@
         let whole =
             pb::Schedule::decode(bytes).map_err(|error| WireError::Decode(error.to_string()))?;
         match whole.body.ok_or(WireError::Missing("body"))? {
-            pb::schedule::Body::Question(question) => decode_question(&question),
+            pb::schedule::Body::Question(question) => decode_query(&question),
             pb::schedule::Body::Answer(answer) => decode_answer(&answer),
             pb::schedule::Body::Report(report) => Ok(Schedule::Report(Report {
                 node: report.node.as_str().try_into().map_err(|_| WireError::Value("node"))?,
@@ -194,9 +194,9 @@
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn encode_question(number: u64, node: &NodeId, ask: &Query) -> pb::Question {
-    let terms = &ask.terms;
-    let (firmness, class, reader) = match &ask.step {
+fn encode_query(number: u64, node: &NodeId, query: &Query) -> pb::Question {
+    let terms = &query.terms;
+    let (firmness, class, reader) = match &query.step {
         Step::Start(firmness) => (*firmness, terms.class, None),
         Step::Continue { prefill_runner, class } => {
             (Firmness::New, *class, Some(prefill_runner.to_string()))
@@ -210,18 +210,18 @@
     pb::Question {
         number,
         node: node.to_string(),
-        service: ask.service.to_string(),
-        data_centre: ask.data_centre.to_string(),
+        service: query.service.to_string(),
+        data_centre: query.data_centre.to_string(),
         class: class.index() as u32,
         objective_us: terms.objective.map(micros),
         left_us: micros(terms.left),
         patience_us: micros(terms.patience),
         returned: terms.is_retry,
         size: terms.size as f32,
-        prompt: ask.work.prompt,
-        output: ask.work.output,
-        parts: ask.work.chain.0.iter().map(part).collect(),
-        skip: ask.skip.iter().map(ToString::to_string).collect(),
+        prompt: query.work.prompt,
+        output: query.work.output,
+        parts: query.work.chain.0.iter().map(part).collect(),
+        skip: query.skip.iter().map(ToString::to_string).collect(),
         firmness: match firmness {
             Firmness::New => pb::Firmness::New,
             Firmness::HasRun => pb::Firmness::HasRun,
@@ -245,7 +245,7 @@
     id.try_into().map_err(|_| WireError::Value("runner"))
 }
 
-fn decode_question(question: &pb::Question) -> Result<Schedule, WireError> {
+fn decode_query(question: &pb::Question) -> Result<Schedule, WireError> {
     let class = decode_class(question.class)?;
     let firmness = match question.firmness() {
         pb::Firmness::New => Firmness::New,
@@ -262,7 +262,7 @@
         Part { key: ChainKey(part.key), standalone_key: ChainKey(alone), tokens }
     };
     let text = |what| move |_| WireError::Value(what);
-    let ask = Query {
+    let query = Query {
         service: question.service.as_str().try_into().map_err(|_| WireError::Value("service"))?,
         data_centre: question.data_centre.as_str().try_into().map_err(text("data centre"))?,
         terms: Terms {
@@ -282,7 +282,7 @@
         step,
     };
     let node = question.node.as_str().try_into().map_err(|_| WireError::Value("node"))?;
-    Ok(Schedule::Question { number: question.number, node, ask: Box::new(ask) })
+    Ok(Schedule::Query { number: question.number, node, query: Box::new(query) })
 }
 
 fn encode_answer(decision: Option<&Decision>) -> pb::answer::Decision {
--- a/wire/tests/schedule.rs
+++ b/wire/tests/schedule.rs
@@ -24,7 +24,7 @@
     name.parse().expect("valid id")
 }
 
-fn ask(step: Step) -> Query {
+fn query(step: Step) -> Query {
     let parts = [("5c1e07a2", 13_300), ("91bd3f06", 410), ("e4402b7d", 250)];
     Query {
         service: "tryckassistent".parse().expect("valid id"),
@@ -76,23 +76,23 @@
 }
 
 #[test]
-fn decode_question_round_trip() {
+fn decode_query_round_trip() {
     let go_on = Step::Continue { prefill_runner: runner("i-2"), class: Class::LATE };
     let steps = [Firmness::New, Firmness::HasRun, Firmness::Streaming].map(Step::Start);
     for step in steps {
         let node = "edge-zaal-hofvijver-17".parse().expect("valid id");
-        round_trip(&Schedule::Question { number: 1 << 40, node, ask: Box::new(ask(step)) });
+        round_trip(&Schedule::Query { number: 1 << 40, node, query: Box::new(query(step)) });
     }
-    let Schedule::Question { ask: decoded, .. } = Schedule::decode(
-        &Schedule::Question {
+    let Schedule::Query { query: decoded, .. } = Schedule::decode(
+        &Schedule::Query {
             number: 1,
             node: "edge-1".parse().expect("valid id"),
-            ask: Box::new(ask(go_on.clone())),
+            query: Box::new(query(go_on.clone())),
         }
         .encode(),
     )
     .expect("should decode") else {
-        panic!("expected a question");
+        panic!("expected a query");
     };
     assert_eq!(decoded.step, go_on);
 }
