--- a/wire/src/schedule.rs
+++ b/wire/src/schedule.rs
@@ -37,7 +37,7 @@
 /// A datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Schedule {
-    /// Asks where to run a request.
+    /// Queries a scheduler for the runner of a request.
     Query {
         /// The number of the query, unique at the requesting node.
         number: u64,
@@ -71,7 +71,7 @@
         /// The number of terminations counted against the request.
         ends: u32,
     },
-    /// Asks for a permit to send a request to a runner with a rate limit.
+    /// Requests a permit to send a request to a runner with a rate limit.
     Acquire {
         /// The number of the datagram, unique at the requesting node.
         number: u64,
